--- a/source/jobs/job_codec.cc
+++ b/source/jobs/job_codec.cc
@@ -116,17 +116,17 @@
   return known;
 }
 
-static millstair_ListedResult ToWire(WireArena& arena, const ListedResult& listed) {
+static millstair_ListedResult ToWire(WireArena& arena, const RecordedResult& recorded) {
   millstair_ListedResult wire = millstair_ListedResult_init_zero;
-  wire.item = arena.NewString(listed.item.value());
+  wire.item = arena.NewString(recorded.item.value());
   wire.has_result = true;
-  wire.result = ToWire(arena, listed.result);
+  wire.result = ToWire(arena, recorded.result);
   return wire;
 }
 
-static bool FromWire(const millstair_ListedResult& wire, ListedResult& listed) {
-  listed.item = ItemId(ToString(wire.item));
-  return wire.has_result && FromWire(wire.result, listed.result);
+static bool FromWire(const millstair_ListedResult& wire, RecordedResult& recorded) {
+  recorded.item = ItemId(ToString(wire.item));
+  return wire.has_result && FromWire(wire.result, recorded.result);
 }
 
 static millstair_ProgressPart ToWire(WireArena& arena, const ProgressPart& part) {
@@ -134,14 +134,14 @@
   wire.job = arena.NewString(part.job.value());
   wire.item = part.item;
   wire.after = part.after;
-  wire.events = part.grown.events;
-  wire.text = arena.NewChunkedBytes(part.grown.text, &wire.text_count);
-  wire.versions = arena.NewArray<uint64_t>(part.grown.versions.size());
-  for (const WeightVersion version : part.grown.versions) {
+  wire.events = part.added.events;
+  wire.text = arena.NewChunkedBytes(part.added.text, &wire.text_count);
+  wire.versions = arena.NewArray<uint64_t>(part.added.versions.size());
+  for (const WeightVersion version : part.added.versions) {
     wire.versions[wire.versions_count++] = version.value();
   }
-  wire.version = part.grown.version.value();
-  wire.term = part.grown.term.value();
+  wire.version = part.added.version.value();
+  wire.term = part.added.term.value();
   return wire;
 }
 
@@ -149,14 +149,14 @@
   part.job = JobId(ToString(wire.job));
   part.item = wire.item;
   part.after = wire.after;
-  part.grown.events = wire.events;
-  part.grown.text = JoinBytes(wire.text, wire.text_count);
+  part.added.events = wire.events;
+  part.added.text = JoinBytes(wire.text, wire.text_count);
   for (pb_size_t i = 0; i < wire.versions_count; ++i) {
-    part.grown.versions.emplace_back(wire.versions[i]);
+    part.added.versions.emplace_back(wire.versions[i]);
   }
-  part.grown.version = WeightVersion(wire.version);
-  part.grown.term = Term(wire.term);
-  return part.grown.events > part.after;
+  part.added.version = WeightVersion(wire.version);
+  part.added.term = Term(wire.term);
+  return part.added.events > part.after;
 }
 
 static millstair_JobRecord ToWire(WireArena& arena, const JobRecord& record) {
@@ -178,7 +178,7 @@
   record.ended = wire.ended;
   std::vector<ProgressPart> progress;
   if (!FromWireArray(wire.progress, wire.progress_count, progress)) return false;
-  for (ProgressPart& part : progress) record.progress[part.item] = std::move(part.grown);
+  for (ProgressPart& part : progress) record.progress[part.item] = std::move(part.added);
   return wire.has_spec && FromWire(wire.spec, record.spec) &&
          FromWireArray(wire.results, wire.results_count, record.results);
 }
@@ -214,7 +214,7 @@
     wire.operation.submit.job = ToWire(arena, submit.job);
   }
 
-  void operator()(const ListResult& list) const {
+  void operator()(const RecordResult& list) const {
     wire.which_operation = millstair_JobCommand_list_tag;
     wire.operation.list = millstair_ListResult_init_zero;
     wire.operation.list.job = arena.NewString(list.job.value());
@@ -236,7 +236,7 @@
     wire.operation.announce = ToWire(arena, announce);
   }
 
-  void operator()(const KeepProgress& keep) const {
+  void operator()(const SaveProgress& keep) const {
     wire.which_operation = millstair_JobCommand_keep_tag;
     wire.operation.keep = millstair_KeepProgress_init_zero;
     wire.operation.keep.parts =
@@ -250,7 +250,7 @@
       return wire.operation.submit.has_job &&
              FromWire(wire.operation.submit.job, operation.emplace<SubmitJob>().job);
     case millstair_JobCommand_list_tag: {
-      auto& list = operation.emplace<ListResult>();
+      auto& list = operation.emplace<RecordResult>();
       list.job = JobId(ToString(wire.operation.list.job));
       list.after = wire.operation.list.after;
       list.term = Term(wire.operation.list.term);
@@ -264,7 +264,7 @@
       return FromWire(wire.operation.announce, operation.emplace<AnnounceOrder>());
     case millstair_JobCommand_keep_tag:
       return FromWireArray(wire.operation.keep.parts, wire.operation.keep.parts_count,
-                           operation.emplace<KeepProgress>().parts);
+                           operation.emplace<SaveProgress>().parts);
     default:
       return false;
   }
@@ -412,10 +412,10 @@
   if (!decoded.ok()) return decoded.status();
   const millstair_JobSnapshot& wire = **decoded;
   snapshot.clock = FromMilliseconds(wire.clock_milliseconds);
-  const bool sound =
+  const bool valid =
       wire.format == kSnapshotFormat &&
       FromWireArray(wire.announcements, wire.announcements_count, snapshot.announcements);
-  if (!sound) return absl::DataLossError("the snapshot of a job group does not decode");
+  if (!valid) return absl::DataLossError("the snapshot of a job group does not decode");
   return snapshot;
 }
 
--- a/source/jobs/job_codec.h
+++ b/source/jobs/job_codec.h
@@ -10,7 +10,7 @@
 
 namespace millstair {
 
-using JobOperation = std::variant<SubmitJob, ListResult, EndJob, AnnounceOrder, KeepProgress>;
+using JobOperation = std::variant<SubmitJob, RecordResult, EndJob, AnnounceOrder, SaveProgress>;
 
 struct JobCommand {
   JobOperation operation;
--- a/source/jobs/job_dispatch.cc
+++ b/source/jobs/job_dispatch.cc
@@ -35,7 +35,7 @@
       continue;
     }
     // Listed a moment ago: its body is gone, and it goes with the next changes.
-    if (state_.IsListed(rank.job, rank.index)) continue;
+    if (state_.IsRecorded(rank.job, rank.index)) continue;
     Work& work = *jobs_.at(rank.job).items.at(rank.index);
     if (now < work.not_before || !MaySend(work, *record)) continue;
     if (Dispatch(board, work, *record, *route)) {
@@ -63,7 +63,7 @@
     if (route == nullptr || record->ended) continue;
     for (const auto& work : job_work.items) {
       if (work == nullptr || work->phase != Phase::kRunning || work->moves >= kMostMoves) continue;
-      if (state_.IsListed(job, work->index)) continue;
+      if (state_.IsRecorded(job, work->index)) continue;
       const double missing = MissingEvents(*work, *record);
       const double here = pace_.SecondsPerEvent(work->run->instance());
       if (!WorthMoving(missing, here, pace_.FastestSeconds())) continue;
--- a/source/jobs/job_scheduler.cc
+++ b/source/jobs/job_scheduler.cc
@@ -87,7 +87,7 @@
 
 void JobScheduler::NoteChange(JobChange change, const JobId& job) {
   if (!leading_) return;
-  if (change == JobChange::kOrder) return;
+  if (change == JobChange::kOrderAnnounced) return;
   if (change == JobChange::kRestored) restored_ = true;
   changed_.insert(job);
   if (!change_timer_.armed()) change_timer_.Arm(Duration(0), [this] { TakeChanges(); });
@@ -128,7 +128,7 @@
     work->index = index;
     work->order = order.places[index];
     work->spare = order.spare[index];
-    if (state_.IsListed(id, index)) {
+    if (state_.IsRecorded(id, index)) {
       job.items.push_back(nullptr);
       continue;
     }
@@ -274,7 +274,7 @@
   KeepProgressSoon();
   std::vector<ProgressPart> parts = CollectProgress();
   if (parts.empty()) return;
-  const JobCommand command{KeepProgress{parts}, environment_.WallNow()};
+  const JobCommand command{SaveProgress{parts}, environment_.WallNow()};
   group_.Propose(EncodeJobCommand(command),
                  alive_.Guard([this, parts = std::move(parts)](const auto& result) {
                    if (!result.ok()) ForgetKept(parts);
@@ -289,7 +289,7 @@
       if (work == nullptr || work->phase == Phase::kListing || now < work->keep_from) continue;
       if (work->progress.events == work->kept_events) continue;
       ProgressPart part{job, work->index, work->kept_events, {work->progress, term_}};
-      part.grown.text.erase(0, work->kept_bytes);
+      part.added.text.erase(0, work->kept_bytes);
       work->kept_events = work->progress.events;
       work->kept_bytes = work->progress.text.size();
       work->keep_from = now + kKeepAfter;
@@ -320,7 +320,7 @@
     CancelScoring(*work);
     ReturnTrial(*work);
     work->run.reset();
-    const bool listed = state_.IsListed(job, work->index);
+    const bool listed = state_.IsRecorded(job, work->index);
     if (leading_ && !listed) KeepText(state_.Find(job), *work);
   }
   jobs_.erase(found);
@@ -329,7 +329,7 @@
 void JobScheduler::DropListed(const JobId& job) {
   const auto found = jobs_.find(job);
   for (auto& work : found->second.items) {
-    if (work == nullptr || !state_.IsListed(job, work->index)) continue;
+    if (work == nullptr || !state_.IsRecorded(job, work->index)) continue;
     waiting_.erase(RankOf(*work));
     CancelScoring(*work);
     ReturnTrial(*work);
@@ -382,7 +382,7 @@
   const auto found = jobs_.find(job);
   if (found == jobs_.end() || index >= found->second.items.size()) return nullptr;
   // What is listed has no content any more.
-  if (state_.IsListed(job, index)) return nullptr;
+  if (state_.IsRecorded(job, index)) return nullptr;
   return found->second.items[index].get();
 }
 
@@ -500,7 +500,7 @@
 void JobScheduler::Propose(const JobId& job, uint32_t index) {
   Work* work = FindWork(job, index);
   if (work == nullptr || !leading_) return;
-  ListResult list{job, work->result};
+  RecordResult list{job, work->result};
   if (work->kept_events > 0 && work->result.state == ItemState::kDone) {
     list.after = work->kept_events;
     list.term = term_;
@@ -515,17 +515,17 @@
 
 void JobScheduler::OnProposed(const JobId& job, uint32_t index,
                               const absl::StatusOr<std::string>& result) {
-  if (state_.IsListed(job, index)) return NoteListed(job, index);
+  if (state_.IsRecorded(job, index)) return NoteListed(job, index);
   Work* work = FindWork(job, index);
   if (work == nullptr) return;
   // What was kept is not there as this leader believed: the whole text is listed.
   const auto code = result.ok() ? DecodeJobResultCode(*result) : result.status();
-  if (code.ok() && *code == JobResultCode::kNotKept) {
+  if (code.ok() && *code == JobResultCode::kNotSaved) {
     ForgetKept(*work);
     return Propose(job, index);
   }
   environment_.Schedule(kProposePause, alive_.Guard([this, job, index] {
-    if (!state_.IsListed(job, index)) Propose(job, index);
+    if (!state_.IsRecorded(job, index)) Propose(job, index);
   }));
 }
 
--- a/source/jobs/job_service.cc
+++ b/source/jobs/job_service.cc
@@ -82,13 +82,13 @@
 
 JobQueryAnswer JobService::AnswerOf(const JobQuery& query) const {
   const JobRecord* record = state_ == nullptr ? nullptr : state_->Find(query.job);
-  if (record == nullptr || !MayUseJob(*record, query.tenant)) return {};
+  if (record == nullptr || !MayAccessJob(*record, query.tenant)) return {};
   if (query.kind == JobQueryKind::kResults) return ResultsOf(*record, query);
   const auto& items = record->spec.items;
   JobQueryAnswer answer;
   for (uint32_t index = 0; index < items.size(); ++index) {
     if (items[index].id != query.item) continue;
-    answer.found = !record->ended && !state_->IsListed(query.job, index);
+    answer.found = !record->ended && !state_->IsRecorded(query.job, index);
     if (answer.found) answer.body = items[index].body;
   }
   return answer;
--- a/source/jobs/job_state_machine.cc
+++ b/source/jobs/job_state_machine.cc
@@ -7,15 +7,15 @@
 namespace {
 
 /// Of so many engines the latest announcement is kept: more than get orders within any lease.
-constexpr size_t kMostAnnouncements = 4096;
+constexpr size_t kMaxAnnouncements = 4096;
 
-std::vector<bool> ListedItems(const JobRecord& record) {
-  std::vector<bool> listed(record.spec.items.size(), false);
-  for (const JobResult& result : record.results) listed.at(result.item) = true;
-  return listed;
+std::vector<bool> RecordedItems(const JobRecord& record) {
+  std::vector<bool> recorded(record.spec.items.size(), false);
+  for (const JobResult& result : record.results) recorded.at(result.item) = true;
+  return recorded;
 }
 
-bool IsSound(const JobRecord& record) {
+bool IsValid(const JobRecord& record) {
   const size_t items = record.spec.items.size();
   const bool results =
       std::all_of(record.results.begin(), record.results.end(),
@@ -26,12 +26,12 @@
 
 /// Whether text that the leader of `term` has after `after` events goes on where `kept` ends. Two
 /// leaders may have had an item run anew, so equal counts of events alone do not say so.
-bool Follows(const KeptProgress& kept, uint64_t after, Term term) {
-  return kept.events == after && kept.term == term;
+bool Continues(const SavedProgress& saved, uint64_t after, Term term) {
+  return saved.events == after && saved.term == term;
 }
 
 /// Frees what nobody may ask for any more; the identifier stays for reads of the result.
-void ForgetContent(JobItem& item) {
+void ClearContent(JobItem& item) {
   item.body = std::string();
   item.headers = HttpHeaders();
   item.scoring.reset();
@@ -45,7 +45,7 @@
   AdvanceClock(command->proposed_at);
   const JobResultCode code =
       std::visit([this](const auto& operation) { return Run(operation); }, command->operation);
-  ForgetOld();
+  RemoveExpired();
   return EncodeJobResultCode(code);
 }
 
@@ -60,44 +60,46 @@
 JobResultCode JobStateMachine::Run(const SubmitJob& submit) {
   const JobId& id = submit.job.id;
   if (const JobRecord* known = Find(id)) {
-    return MayUseJob(*known, submit.job.tenant) ? JobResultCode::kOk : JobResultCode::kOtherOwner;
+    return MayAccessJob(*known, submit.job.tenant) ? JobResultCode::kOk
+                                                   : JobResultCode::kOtherOwner;
   }
   jobs_[id] = {submit.job, clock_, false, {}};
-  listed_[id].assign(submit.job.items.size(), false);
+  recorded_[id].assign(submit.job.items.size(), false);
   Notify(JobChange::kSubmitted, id);
   return JobResultCode::kOk;
 }
 
-JobResultCode JobStateMachine::Run(const ListResult& list) {
-  const auto found = jobs_.find(list.job);
+JobResultCode JobStateMachine::Run(const RecordResult& record) {
+  const auto found = jobs_.find(record.job);
   if (found == jobs_.end()) return JobResultCode::kNotFound;
-  std::vector<bool>& listed = listed_[list.job];
-  if (list.result.item >= listed.size()) return JobResultCode::kInvalid;
-  if (listed[list.result.item]) return JobResultCode::kOk;
+  std::vector<bool>& recorded = recorded_[record.job];
+  if (record.result.item >= recorded.size()) return JobResultCode::kInvalid;
+  if (recorded[record.result.item]) return JobResultCode::kOk;
   // Nobody waits for it, and its client may already run the item again in another job.
   if (found->second.ended) return JobResultCode::kOk;
-  JobResult result = list.result;
-  if (list.after > 0) {
-    const auto kept = found->second.progress.find(list.result.item);
-    const bool there = kept != found->second.progress.end();
-    if (!there || !Follows(kept->second, list.after, list.term)) return JobResultCode::kNotKept;
-    result.text = kept->second.text + list.result.text;
+  JobResult result = record.result;
+  if (record.after > 0) {
+    const auto saved = found->second.progress.find(record.result.item);
+    const bool found_saved = saved != found->second.progress.end();
+    if (!found_saved || !Continues(saved->second, record.after, record.term))
+      return JobResultCode::kNotSaved;
+    result.text = saved->second.text + record.result.text;
   }
-  listed[list.result.item] = true;
+  recorded[record.result.item] = true;
   found->second.results.push_back(std::move(result));
-  ForgetContent(found->second.spec.items[list.result.item]);
-  found->second.progress.erase(list.result.item);
-  Notify(JobChange::kListed, list.job);
+  ClearContent(found->second.spec.items[record.result.item]);
+  found->second.progress.erase(record.result.item);
+  Notify(JobChange::kRecorded, record.job);
   return JobResultCode::kOk;
 }
 
 JobResultCode JobStateMachine::Run(const EndJob& end) {
   const auto found = jobs_.find(end.job);
   if (found == jobs_.end()) return JobResultCode::kNotFound;
-  if (!MayUseJob(found->second, end.tenant)) return JobResultCode::kNotFound;
+  if (!MayAccessJob(found->second, end.tenant)) return JobResultCode::kNotFound;
   if (found->second.ended) return JobResultCode::kOk;
   found->second.ended = true;
-  for (JobItem& item : found->second.spec.items) ForgetContent(item);
+  for (JobItem& item : found->second.spec.items) ClearContent(item);
   ended_encoded_[end.job] = std::make_shared<std::string>(EncodeSnapshotJob(found->second));
   Notify(JobChange::kEnded, end.job);
   return JobResultCode::kOk;
@@ -108,33 +110,33 @@
     return earlier.instance == announce.instance;
   });
   announcements_.push_back(announce);
-  if (announcements_.size() > kMostAnnouncements) announcements_.erase(announcements_.begin());
-  Notify(JobChange::kOrder, JobId());
+  if (announcements_.size() > kMaxAnnouncements) announcements_.erase(announcements_.begin());
+  Notify(JobChange::kOrderAnnounced, JobId());
   return JobResultCode::kOk;
 }
 
-JobResultCode JobStateMachine::Run(const KeepProgress& keep) {
+JobResultCode JobStateMachine::Run(const SaveProgress& keep) {
   for (const ProgressPart& part : keep.parts) {
     const auto found = jobs_.find(part.job);
     if (found == jobs_.end() || found->second.ended) continue;
-    if (part.item >= found->second.spec.items.size() || IsListed(part.job, part.item)) continue;
+    if (part.item >= found->second.spec.items.size() || IsRecorded(part.job, part.item)) continue;
     auto& progress = found->second.progress;
     if (part.after == 0) {
-      progress[part.item] = part.grown;
+      progress[part.item] = part.added;
       continue;
     }
     // A part that does not follow what is kept is passed over.
     const auto held = progress.find(part.item);
     if (held == progress.end()) continue;
-    if (!Follows(held->second, part.after, part.grown.term)) continue;
-    std::string text = std::move(held->second.text) + part.grown.text;
-    held->second = part.grown;
+    if (!Continues(held->second, part.after, part.added.term)) continue;
+    std::string text = std::move(held->second.text) + part.added.text;
+    held->second = part.added;
     held->second.text = std::move(text);
   }
   return JobResultCode::kOk;
 }
 
-void JobStateMachine::ForgetOld() {
+void JobStateMachine::RemoveExpired() {
   for (auto it = jobs_.begin(); it != jobs_.end();) {
     const bool old = clock_ - it->second.submitted_at > limits_.retention;
     if (!it->second.ended || !old) {
@@ -142,10 +144,10 @@
       continue;
     }
     const JobId id = it->first;
-    listed_.erase(id);
+    recorded_.erase(id);
     ended_encoded_.erase(id);
     it = jobs_.erase(it);
-    Notify(JobChange::kForgotten, id);
+    Notify(JobChange::kRemoved, id);
   }
 }
 
@@ -170,19 +172,19 @@
 absl::Status JobStateMachine::Restore(LogIndex, std::string_view bytes) {
   auto snapshot = DecodeJobSnapshot(bytes);
   if (!snapshot.ok()) return absl::DataLossError(snapshot.status().message());
-  const bool sound = std::all_of(snapshot->jobs.begin(), snapshot->jobs.end(),
-                                 [](const SnapshotJob& job) { return IsSound(job.record); });
-  if (!sound) {
+  const bool valid = std::all_of(snapshot->jobs.begin(), snapshot->jobs.end(),
+                                 [](const SnapshotJob& job) { return IsValid(job.record); });
+  if (!valid) {
     return absl::DataLossError("the snapshot lists a result of no item");
   }
   clock_ = snapshot->clock;
   announcements_ = std::move(snapshot->announcements);
   jobs_.clear();
-  listed_.clear();
+  recorded_.clear();
   ended_encoded_.clear();
   for (SnapshotJob& job : snapshot->jobs) {
     const JobId id = job.record.spec.id;
-    listed_[id] = ListedItems(job.record);
+    recorded_[id] = RecordedItems(job.record);
     if (job.record.ended) {
       ended_encoded_[id] = std::make_shared<std::string>(std::move(job.encoded));
     }
@@ -197,9 +199,9 @@
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-bool JobStateMachine::IsListed(const JobId& job, uint32_t item) const {
-  const auto found = listed_.find(job);
-  return found != listed_.end() && item < found->second.size() && found->second[item];
+bool JobStateMachine::IsRecorded(const JobId& job, uint32_t item) const {
+  const auto found = recorded_.find(job);
+  return found != recorded_.end() && item < found->second.size() && found->second[item];
 }
 
 void JobStateMachine::Notify(JobChange change, const JobId& job) {
--- a/source/jobs/job_state_machine.h
+++ b/source/jobs/job_state_machine.h
@@ -23,13 +23,20 @@
 };
 
 /// What the application of a command changed.
-enum class JobChange : uint8_t { kSubmitted, kListed, kEnded, kForgotten, kRestored, kOrder };
+enum class JobChange : uint8_t {
+  kSubmitted,
+  kRecorded,
+  kEnded,
+  kRemoved,
+  kRestored,
+  kOrderAnnounced
+};
 
 /// Deterministic. Its clock is the largest proposal time seen.
 class JobStateMachine : public StateMachine {
  public:
   /// Called while an entry is applied: only notes and arms timers. `job` is empty for kRestored and
-  /// kOrder.
+  /// kOrderAnnounced.
   using Listener = std::function<void(JobChange change, const JobId& job)>;
 
   explicit JobStateMachine(JobLimits limits = {}) : limits_(limits) {}
@@ -42,19 +49,19 @@
   const std::map<JobId, JobRecord>& jobs() const { return jobs_; }
   /// Null if there is no such job.
   const JobRecord* Find(const JobId& job) const;
-  bool IsListed(const JobId& job, uint32_t item) const;
+  bool IsRecorded(const JobId& job, uint32_t item) const;
   /// The latest announcement of an order to each engine, the oldest first.
   const std::vector<AnnounceOrder>& announcements() const { return announcements_; }
   void OnChange(Listener listener) { listener_ = std::move(listener); }
 
  private:
   JobResultCode Run(const SubmitJob& submit);
-  JobResultCode Run(const ListResult& list);
+  JobResultCode Run(const RecordResult& record);
   JobResultCode Run(const EndJob& end);
   JobResultCode Run(const AnnounceOrder& announce);
-  JobResultCode Run(const KeepProgress& keep);
+  JobResultCode Run(const SaveProgress& keep);
   void AdvanceClock(WallTime proposed_at);
-  void ForgetOld();
+  void RemoveExpired();
   void Notify(JobChange change, const JobId& job);
 
   JobLimits limits_;
@@ -64,7 +71,7 @@
   std::map<JobId, std::shared_ptr<const std::string>> ended_encoded_;
   std::vector<AnnounceOrder> announcements_;
   /// By job, whether the item of that index is listed.
-  std::map<JobId, std::vector<bool>> listed_;
+  std::map<JobId, std::vector<bool>> recorded_;
   Listener listener_;
 };
 
--- a/source/jobs/job_types.h
+++ b/source/jobs/job_types.h
@@ -64,7 +64,7 @@
 };
 
 /// Texts that one answer holds at most, in bytes.
-inline constexpr uint64_t kMostResultBytes = 900'000;
+inline constexpr uint64_t kMaxResultBytes = 900'000;
 
 /// What became of an item. Its position among the results of its job never changes.
 struct JobResult {
@@ -80,10 +80,10 @@
 };
 
 /// Text that the group's log keeps of an item that is not listed.
-struct KeptProgress : ItemProgress {
+struct SavedProgress : ItemProgress {
   /// Of the leader that kept it: no other leader's text goes on after it.
   Term term;
-  friend bool operator==(const KeptProgress&, const KeptProgress&) = default;
+  friend bool operator==(const SavedProgress&, const SavedProgress&) = default;
 };
 
 struct JobRecord {
@@ -94,12 +94,12 @@
   /// In listed order.
   std::vector<JobResult> results;
   /// Text that was kept of items that are not listed, by index.
-  std::map<uint32_t, KeptProgress> progress;
+  std::map<uint32_t, SavedProgress> progress;
 };
 
 /// Whether `caller` may read and end the job. One that nobody owns was handed in when the
 /// configuration held no tenants, and stays open to all.
-inline bool MayUseJob(const JobRecord& record, const TenantName& caller) {
+inline bool MayAccessJob(const JobRecord& record, const TenantName& caller) {
   return record.spec.tenant.value().empty() || record.spec.tenant == caller;
 }
 
@@ -117,7 +117,7 @@
 };
 
 /// Lists the result of an item; the first one stays.
-struct ListResult {
+struct RecordResult {
   JobId job;
   JobResult result;
   /// Events whose text the group's log keeps already; the result's text holds what follows them.
@@ -152,12 +152,12 @@
   /// Events that were kept before; 0 replaces what was.
   uint64_t after = 0;
   /// `text` holds the new part alone, the rest counts all events. Its term is the proposer's.
-  KeptProgress grown;
+  SavedProgress added;
   friend bool operator==(const ProgressPart&, const ProgressPart&) = default;
 };
 
 /// Keeps what was made of long texts, so that another leader goes on after it.
-struct KeepProgress {
+struct SaveProgress {
   std::vector<ProgressPart> parts;
 };
 
@@ -165,7 +165,7 @@
   kOk = 1,
   kNotFound = 2,    ///< no such job
   kInvalid = 3,     ///< malformed command
-  kNotKept = 4,     ///< the result goes on after a text that is not kept: it has to be listed whole
+  kNotSaved = 4,    ///< the result goes on after a text that is not kept: it has to be listed whole
   kOtherOwner = 5,  ///< another tenant's job has the identifier
 };
 
@@ -183,11 +183,11 @@
   uint64_t after = 0;
   Duration wait{0};
   /// Bound on the texts of one answer; at least one result is given if there is one.
-  uint64_t max_bytes = kMostResultBytes;
+  uint64_t max_bytes = kMaxResultBytes;
 };
 
 /// A result with its item's identifier.
-struct ListedResult {
+struct RecordedResult {
   ItemId item;
   JobResult result;
 };
@@ -196,7 +196,7 @@
   bool found = false;
   /// Items of the job.
   uint64_t total = 0;
-  std::vector<ListedResult> results;
+  std::vector<RecordedResult> results;
   std::string body;
 };
 
--- a/source/jobs/storage_node.cc
+++ b/source/jobs/storage_node.cc
@@ -110,7 +110,8 @@
     auto machine = std::make_unique<JobStateMachine>(options_.jobs);
     state_ = machine.get();
     machine->OnChange([this](JobChange change, const JobId& job) {
-      if (change == JobChange::kOrder) loads_.NoteAnnouncement(state_->announcements().back());
+      if (change == JobChange::kOrderAnnounced)
+        loads_.NoteAnnouncement(state_->announcements().back());
       if (change == JobChange::kRestored) NoteAnnouncements();
       service_.NoteChange(job);
       if (scheduler_ != nullptr) scheduler_->NoteChange(change, job);
--- a/test/jobs/job_scheduler_test.cc
+++ b/test/jobs/job_scheduler_test.cc
@@ -398,7 +398,7 @@
   fixture.Lead();
   fixture.scheduler.RunFor(milliseconds(200));
   const JobResult result{0, ItemState::kDone, "text", {WeightVersion(1)}, "sig"};
-  fixture.state.Apply(LogIndex(9), EncodeJobCommand({ListResult{JobId("j"), result}, {}}));
+  fixture.state.Apply(LogIndex(9), EncodeJobCommand({RecordResult{JobId("j"), result}, {}}));
   fixture.scheduler.RunFor(seconds(2));
   CHECK(fixture.backends.CountAt("e:1") == 0);
 }
@@ -422,9 +422,9 @@
   fixture.Submit(fixture.Job("j"));
   fixture.scheduler.RunFor(milliseconds(1300));
   // The entry of an earlier leader, with other text, is applied only now.
-  const KeptProgress foreign{{"other", 1, {WeightVersion(1)}, WeightVersion(1)}, Term(1)};
+  const SavedProgress foreign{{"other", 1, {WeightVersion(1)}, WeightVersion(1)}, Term(1)};
   fixture.state.Apply(LogIndex(50),
-                      EncodeJobCommand({KeepProgress{{{JobId("j"), 0, 0, foreign}}}, {}}));
+                      EncodeJobCommand({SaveProgress{{{JobId("j"), 0, 0, foreign}}}, {}}));
   fixture.scheduler.RunFor(seconds(2));
   REQUIRE(fixture.ResultOf("j") != nullptr);
   CHECK(fixture.ResultOf("j")->text == "one\ntwo\nthree\nfour");
@@ -440,7 +440,7 @@
   fixture.Lead();
   // What an earlier leader proposed is applied only now, and work is done before it is taken in.
   const JobResult result{0, ItemState::kDone, "text", {WeightVersion(1)}, "sig"};
-  fixture.state.Apply(LogIndex(9), EncodeJobCommand({ListResult{JobId("j"), result}, {}}));
+  fixture.state.Apply(LogIndex(9), EncodeJobCommand({RecordResult{JobId("j"), result}, {}}));
   fixture.scheduler_under_test.Pump();
   CHECK(fixture.backends.CountAt("e:1") == 0);
   fixture.scheduler.RunFor(seconds(1));
--- a/test/jobs/job_service_test.cc
+++ b/test/jobs/job_service_test.cc
@@ -96,7 +96,7 @@
 
   void List(uint32_t item, const std::string& text) {
     const JobResult result{item, ItemState::kDone, text, {}, ""};
-    state.Apply(LogIndex(++index), EncodeJobCommand({ListResult{JobId("j"), result}, {}}));
+    state.Apply(LogIndex(++index), EncodeJobCommand({RecordResult{JobId("j"), result}, {}}));
   }
 
   VirtualScheduler scheduler{1};
--- a/test/jobs/job_state_machine_test.cc
+++ b/test/jobs/job_state_machine_test.cc
@@ -49,7 +49,7 @@
 TEST_CASE("A job is taken once, and a resend changes nothing") {
   Machine machine;
   CHECK(machine.Run(SubmitJob{Job("a", 2)}) == JobResultCode::kOk);
-  CHECK(machine.Run(ListResult{JobId("a"), Result(1, "x")}) == JobResultCode::kOk);
+  CHECK(machine.Run(RecordResult{JobId("a"), Result(1, "x")}) == JobResultCode::kOk);
   CHECK(machine.Run(SubmitJob{Job("a", 5)}) == JobResultCode::kOk);
   const JobRecord* record = machine.machine.Find(JobId("a"));
   REQUIRE(record != nullptr);
@@ -94,25 +94,25 @@
 TEST_CASE("A position keeps its first result") {
   Machine machine;
   machine.Run(SubmitJob{Job("a", 3)});
-  machine.Run(ListResult{JobId("a"), Result(2, "first")});
-  machine.Run(ListResult{JobId("a"), Result(2, "second")});
-  machine.Run(ListResult{JobId("a"), Result(0, "other")});
+  machine.Run(RecordResult{JobId("a"), Result(2, "first")});
+  machine.Run(RecordResult{JobId("a"), Result(2, "second")});
+  machine.Run(RecordResult{JobId("a"), Result(0, "other")});
   const JobRecord* record = machine.machine.Find(JobId("a"));
   REQUIRE(record->results.size() == 2);
   CHECK(record->results[0].text == "first");
   CHECK(record->results[1].item == 0);
-  CHECK(machine.Run(ListResult{JobId("a"), Result(3, "")}) == JobResultCode::kInvalid);
-  CHECK(machine.Run(ListResult{JobId("b"), Result(0, "")}) == JobResultCode::kNotFound);
+  CHECK(machine.Run(RecordResult{JobId("a"), Result(3, "")}) == JobResultCode::kInvalid);
+  CHECK(machine.Run(RecordResult{JobId("b"), Result(0, "")}) == JobResultCode::kNotFound);
 }
 
 TEST_CASE("Nothing is listed any more once a job has ended") {
   Machine machine;
   machine.Run(SubmitJob{Job("a", 2)});
-  machine.Run(ListResult{JobId("a"), Result(1, "before")});
+  machine.Run(RecordResult{JobId("a"), Result(1, "before")});
   machine.Run(EndJob{JobId("a")});
-  machine.Run(ListResult{JobId("a"), Result(0, "after")});
+  machine.Run(RecordResult{JobId("a"), Result(0, "after")});
   CHECK(machine.machine.Find(JobId("a"))->results.size() == 1);
-  CHECK_FALSE(machine.machine.IsListed(JobId("a"), 0));
+  CHECK_FALSE(machine.machine.IsRecorded(JobId("a"), 0));
 }
 
 TEST_CASE("An ended job is remembered for its retention, an open one for good") {
@@ -131,16 +131,16 @@
   Machine machine;
   machine.Run(SubmitJob{Job("a", 2)});
   machine.Run(SubmitJob{Job("b", 2)});
-  machine.Run(ListResult{JobId("a"), Result(1, "x")});
+  machine.Run(RecordResult{JobId("a"), Result(1, "x")});
   machine.Run(EndJob{JobId("a")});
   const std::string ended = EncodeSnapshotJob(*machine.machine.Find(JobId("a")));
   CHECK(machine.machine.TakeSnapshot().find(ended) != std::string::npos);
   Machine restored;
   REQUIRE(restored.machine.Restore(LogIndex(4), machine.machine.TakeSnapshot()).ok());
   restored.machine.Apply(LogIndex(5),
-                         EncodeJobCommand({ListResult{JobId("b"), Result(0, "y")}, {}}));
+                         EncodeJobCommand({RecordResult{JobId("b"), Result(0, "y")}, {}}));
   machine.machine.Apply(LogIndex(5),
-                        EncodeJobCommand({ListResult{JobId("b"), Result(0, "y")}, {}}));
+                        EncodeJobCommand({RecordResult{JobId("b"), Result(0, "y")}, {}}));
   CHECK(restored.machine.TakeSnapshot() == machine.machine.TakeSnapshot());
   CHECK(restored.machine.TakeSnapshot().find(ended) != std::string::npos);
   CHECK(restored.machine.Find(JobId("b"))->results.size() == 1);
@@ -168,25 +168,25 @@
 TEST_CASE("A result may hold only what follows the text that its leader kept") {
   Machine machine;
   machine.Run(SubmitJob{Job("a", 2)});
-  machine.Run(KeepProgress{{Part(0, 2, "x\ny")}});
-  const ListResult rest{JobId("a"), Result(0, "\nz"), 2, Term(3)};
+  machine.Run(SaveProgress{{Part(0, 2, "x\ny")}});
+  const RecordResult rest{JobId("a"), Result(0, "\nz"), 2, Term(3)};
   SECTION("it is listed whole") {
     CHECK(machine.Run(rest) == JobResultCode::kOk);
     CHECK(machine.machine.Find(JobId("a"))->results.at(0).text == "x\ny\nz");
     CHECK(machine.machine.Find(JobId("a"))->progress.empty());
   }
   SECTION("another leader has kept as many events anew") {
-    machine.Run(KeepProgress{{Part(0, 2, "p\nq", 0, Term(4))}});
-    CHECK(machine.Run(rest) == JobResultCode::kNotKept);
-    CHECK_FALSE(machine.machine.IsListed(JobId("a"), 0));
+    machine.Run(SaveProgress{{Part(0, 2, "p\nq", 0, Term(4))}});
+    CHECK(machine.Run(rest) == JobResultCode::kNotSaved);
+    CHECK_FALSE(machine.machine.IsRecorded(JobId("a"), 0));
   }
   SECTION("more was kept meanwhile") {
-    machine.Run(KeepProgress{{Part(2, 3, "\nq")}});
-    CHECK(machine.Run(rest) == JobResultCode::kNotKept);
+    machine.Run(SaveProgress{{Part(2, 3, "\nq")}});
+    CHECK(machine.Run(rest) == JobResultCode::kNotSaved);
   }
   SECTION("nothing is kept") {
-    const ListResult other{JobId("a"), Result(1, "\nz"), 2, Term(3)};
-    CHECK(machine.Run(other) == JobResultCode::kNotKept);
+    const RecordResult other{JobId("a"), Result(1, "\nz"), 2, Term(3)};
+    CHECK(machine.Run(other) == JobResultCode::kNotSaved);
     CHECK(machine.machine.Find(JobId("a"))->results.empty());
   }
 }
@@ -194,8 +194,8 @@
 TEST_CASE("A leader's part does not go on after a text that another leader kept") {
   Machine machine;
   machine.Run(SubmitJob{Job("a", 2)});
-  machine.Run(KeepProgress{{Part(0, 2, "x\ny")}});
-  machine.Run(KeepProgress{{Part(2, 3, "\nz", 0, Term(4))}});
+  machine.Run(SaveProgress{{Part(0, 2, "x\ny")}});
+  machine.Run(SaveProgress{{Part(2, 3, "\nz", 0, Term(4))}});
   CHECK(machine.machine.Find(JobId("a"))->progress.at(0).text == "x\ny");
   Machine restored;
   REQUIRE(restored.machine.Restore(LogIndex(3), machine.machine.TakeSnapshot()).ok());
@@ -206,26 +206,26 @@
   Machine machine;
   machine.Run(SubmitJob{Job("a", 2)});
   const auto& progress = machine.machine.Find(JobId("a"))->progress;
-  machine.Run(KeepProgress{{Part(0, 2, "x\ny")}});
-  machine.Run(KeepProgress{{Part(2, 3, "\nz")}});
-  machine.Run(KeepProgress{{Part(2, 3, "\nz")}});
-  machine.Run(KeepProgress{{Part(5, 6, "\nlost")}});
+  machine.Run(SaveProgress{{Part(0, 2, "x\ny")}});
+  machine.Run(SaveProgress{{Part(2, 3, "\nz")}});
+  machine.Run(SaveProgress{{Part(2, 3, "\nz")}});
+  machine.Run(SaveProgress{{Part(5, 6, "\nlost")}});
   CHECK(progress.at(0).text == "x\ny\nz");
   CHECK(progress.at(0).events == 3);
-  machine.Run(KeepProgress{{Part(0, 1, "anew")}});
+  machine.Run(SaveProgress{{Part(0, 1, "anew")}});
   CHECK(progress.at(0).text == "anew");
-  machine.Run(KeepProgress{{Part(0, 1, "nobody's", 7)}});
+  machine.Run(SaveProgress{{Part(0, 1, "nobody's", 7)}});
   CHECK(progress.size() == 1);
-  machine.Run(ListResult{JobId("a"), Result(0, "whole")});
+  machine.Run(RecordResult{JobId("a"), Result(0, "whole")});
   CHECK(progress.empty());
-  machine.Run(KeepProgress{{Part(0, 1, "late")}});
+  machine.Run(SaveProgress{{Part(0, 1, "late")}});
   CHECK(progress.empty());
 }
 
 TEST_CASE("A part that follows nothing leaves no trace, and the snapshot can be restored") {
   Machine machine;
   machine.Run(SubmitJob{Job("a", 2)});
-  machine.Run(KeepProgress{{Part(5, 6, "\nlost", 1)}});
+  machine.Run(SaveProgress{{Part(5, 6, "\nlost", 1)}});
   CHECK(machine.machine.Find(JobId("a"))->progress.empty());
   Machine restored;
   CHECK(restored.machine.Restore(LogIndex(2), machine.machine.TakeSnapshot()).ok());
@@ -254,7 +254,7 @@
       }
       const std::string id(1, static_cast<char>('a' + steps[i] % 3));
       JobOperation operation = SubmitJob{Job(id, 4)};
-      if (steps[i] % 4 == 1) operation = ListResult{JobId(id), Result(steps[i] % 5U, id)};
+      if (steps[i] % 4 == 1) operation = RecordResult{JobId(id), Result(steps[i] % 5U, id)};
       if (steps[i] % 4 == 2) operation = EndJob{JobId(id)};
       if (steps[i] % 4 == 3) {
         operation = AnnounceOrder{NodeId("n"), InstanceId(id), Term(i), seconds(i)};
