--- a/source/jobs/engine_roster.cc
+++ b/source/jobs/active_engine_set.cc
@@ -1,4 +1,4 @@
-#include "jobs/engine_roster.h"
+#include "jobs/active_engine_set.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -10,9 +10,9 @@
 namespace {
 
 /// What was taken in gets its weights and its first runs before more is.
-constexpr Duration kGrowPause = std::chrono::milliseconds(500);
-constexpr size_t kGrowPart = 4;
-const NodeId kOrderKey("engine roster");
+constexpr Duration kGrowInterval = std::chrono::milliseconds(500);
+constexpr size_t kGrowDivisor = 4;
+const NodeId kRankingKey("engine roster");
 
 struct Ranked {
   uint64_t rank = 0;
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void EngineRoster::Refresh(const ServiceName& service) {
+void ActiveEngineSet::Refresh(const ServiceName& service) {
   Chosen& chosen = services_[service];
   const std::vector<const BackendInstance*> live = directory_.Live(service);
   chosen.engines.clear();
@@ -33,7 +33,7 @@
   std::vector<Ranked> ranked;
   ranked.reserve(live.size());
   for (const BackendInstance* engine : live) {
-    ranked.push_back({RendezvousWeight(engine->id.value(), kOrderKey), engine});
+    ranked.push_back({RendezvousWeight(engine->id.value(), kRankingKey), engine});
   }
   const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(chosen.wanted);
   std::nth_element(ranked.begin(), end, ranked.end());
@@ -43,20 +43,20 @@
   std::sort(chosen.engines.begin(), chosen.engines.end());
 }
 
-bool EngineRoster::Grow(const ServiceName& service) {
+bool ActiveEngineSet::Grow(const ServiceName& service) {
   Chosen& chosen = services_[service];
   const TimePoint now = environment_.Now();
   const size_t live = directory_.Live(service).size();
-  if (chosen.engines.size() >= live || now - chosen.grown_at < kGrowPause) return false;
+  if (chosen.engines.size() >= live || now - chosen.grown_at < kGrowInterval) return false;
   chosen.grown_at = now;
-  chosen.wanted += chosen.wanted / kGrowPart;
+  chosen.wanted += chosen.wanted / kGrowDivisor;
   Refresh(service);
   LogEvent(EventId::kEnginesTakenIn, "service={} engines={} live={}", service,
            chosen.engines.size(), live);
   return true;
 }
 
-std::vector<const BackendInstance*> EngineRoster::Engines(const ServiceName& service) const {
+std::vector<const BackendInstance*> ActiveEngineSet::Engines(const ServiceName& service) const {
   std::vector<const BackendInstance*> engines;
   const auto found = services_.find(service);
   if (found == services_.end()) return engines;
--- a/source/jobs/engine_roster.h
+++ b/source/jobs/active_engine_set.h
@@ -16,12 +16,12 @@
 
 /// So many engines are worked with at the least. With six places each they hold some 570 runs, four
 /// times what eight trainers of 120 texts each four seconds keep under way.
-inline constexpr size_t kLeastEngines = 96;
+inline constexpr size_t kMinActiveEngines = 96;
 
 /// Lives on the node's serial executor.
-class EngineRoster {
+class ActiveEngineSet {
  public:
-  EngineRoster(const BackendDirectory& directory, Environment& environment)
+  ActiveEngineSet(const BackendDirectory& directory, Environment& environment)
       : directory_(directory), environment_(environment) {}
 
   /// Chooses anew among the live engines of `service`.
@@ -35,7 +35,7 @@
 
  private:
   struct Chosen {
-    size_t wanted = kLeastEngines;
+    size_t wanted = kMinActiveEngines;
     std::vector<InstanceId> engines;
     TimePoint grown_at;
   };
--- a/source/jobs/engine_pace.cc
+++ b/source/jobs/engine_speed_tracker.cc
@@ -1,4 +1,4 @@
-#include "jobs/engine_pace.h"
+#include "jobs/engine_speed_tracker.h"
 
 #include <algorithm>
 #include <vector>
@@ -10,32 +10,32 @@
 /// An engine whose events take this much longer than the median is slow.
 constexpr double kSlowFactor = 2.0;
 /// With fewer engines there is no telling which one is out of line.
-constexpr size_t kFewestEngines = 3;
+constexpr size_t kMinComparedEngines = 3;
 /// Engines that are known; beyond it all are learned anew.
-constexpr size_t kMostEngines = 10'000;
+constexpr size_t kMaxTrackedEngines = 10'000;
 
 }  // namespace
 
-void EnginePace::Note(const InstanceId& instance, Duration gap) {
-  if (seconds_.size() >= kMostEngines && !seconds_.contains(instance)) Clear();
+void EngineSpeedTracker::RecordInterval(const InstanceId& instance, Duration gap) {
+  if (seconds_.size() >= kMaxTrackedEngines && !seconds_.contains(instance)) Clear();
   const double seconds = ToSeconds(gap);
   const auto [known, added] = seconds_.try_emplace(instance, seconds);
   if (!added) known->second += kSmoothing * (seconds - known->second);
 }
 
-void EnginePace::Clear() {
+void EngineSpeedTracker::Clear() {
   seconds_.clear();
   slow_.clear();
   typical_seconds_ = kAssumedSeconds;
   fastest_seconds_ = kAssumedSeconds;
 }
 
-double EnginePace::SecondsPerEvent(const InstanceId& instance) const {
+double EngineSpeedTracker::SecondsPerEvent(const InstanceId& instance) const {
   const auto known = seconds_.find(instance);
   return known == seconds_.end() ? typical_seconds_ : known->second;
 }
 
-void EnginePace::Judge() {
+void EngineSpeedTracker::Recompute() {
   slow_.clear();
   if (seconds_.empty()) return;
   std::vector<double> values;
@@ -45,7 +45,7 @@
   std::nth_element(values.begin(), middle, values.end());
   typical_seconds_ = *middle;
   fastest_seconds_ = *std::min_element(values.begin(), values.end());
-  if (seconds_.size() < kFewestEngines) return;
+  if (seconds_.size() < kMinComparedEngines) return;
   for (const auto& [instance, seconds] : seconds_) {
     if (seconds > kSlowFactor * *middle) slow_.insert(instance);
   }
--- a/source/jobs/engine_pace.h
+++ b/source/jobs/engine_speed_tracker.h
@@ -11,13 +11,13 @@
 namespace millstair {
 
 /// Lives on the node's serial executor.
-class EnginePace {
+class EngineSpeedTracker {
  public:
   /// Two events of one run at `instance` came `gap` apart.
-  void Note(const InstanceId& instance, Duration gap);
+  void RecordInterval(const InstanceId& instance, Duration gap);
   void Clear();
   /// Judges all engines anew; `IsSlow` and `TypicalSeconds` tell what this found.
-  void Judge();
+  void Recompute();
   /// Whether its events come far slower than those of most engines.
   bool IsSlow(const InstanceId& instance) const { return slow_.contains(instance); }
   /// Expected time between two events at `instance`; the typical one if it is unknown.
--- a/source/jobs/job_dispatch.cc
+++ b/source/jobs/job_dispatch.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void JobScheduler::DispatchWaiting(EngineBoard& board) {
+void JobScheduler::DispatchWaiting(EngineSnapshot& snapshot) {
   const TimePoint now = environment_.Now();
   std::vector<Rank> sent;
   /// Jobs for which no engine has room: their further items need not be looked at.
@@ -38,7 +38,7 @@
     if (state_.IsRecorded(rank.job, rank.index)) continue;
     Work& work = *jobs_.at(rank.job).items.at(rank.index);
     if (now < work.not_before || !MaySend(work, *record)) continue;
-    if (Dispatch(board, work, *record, *route)) {
+    if (Dispatch(snapshot, work, *record, *route)) {
       sent.push_back(rank);
       continue;
     }
@@ -65,8 +65,8 @@
       if (work == nullptr || work->phase != Phase::kRunning || work->moves >= kMostMoves) continue;
       if (state_.IsRecorded(job, work->index)) continue;
       const double missing = MissingEvents(*work, *record);
-      const double here = pace_.SecondsPerEvent(work->run->instance());
-      if (!WorthMoving(missing, here, pace_.FastestSeconds())) continue;
+      const double here = speeds_.SecondsPerEvent(work->run->instance());
+      if (!WorthMoving(missing, here, speeds_.FastestSeconds())) continue;
       candidates.push_back({missing, work.get(), record, route});
     }
   }
@@ -77,33 +77,33 @@
   return candidates;
 }
 
-void JobScheduler::MoveToFasterEngines(EngineBoard& board) {
+void JobScheduler::MoveToFasterEngines(EngineSnapshot& snapshot) {
   const TimePoint now = environment_.Now();
   if (now < next_moves_at_) return;
   next_moves_at_ = now + kMoveInterval;
   size_t moved = 0;
   for (const MoveCandidate& candidate : MoveCandidates()) {
     if (moved >= kMovesAtOnce) return;
-    if (Move(board, candidate)) ++moved;
+    if (Move(snapshot, candidate)) ++moved;
   }
 }
 
-bool JobScheduler::Move(EngineBoard& board, const MoveCandidate& candidate) {
+bool JobScheduler::Move(EngineSnapshot& snapshot, const MoveCandidate& candidate) {
   Work& work = *candidate.work;
   const JobRecord& record = *candidate.record;
   const double missing = candidate.missing_events;
   const InstanceId from = work.run->instance();
   work.avoid = from;
-  const BackendInstance* target = PickEngine(board, work, record, *candidate.route);
-  if (target == nullptr || pace_.IsSlow(target->id)) return false;
-  const double here = pace_.SecondsPerEvent(from);
-  if (!WorthMoving(missing, here, pace_.SecondsPerEvent(target->id))) return false;
+  const BackendInstance* target = PickEngine(snapshot, work, record, *candidate.route);
+  if (target == nullptr || speeds_.IsSlow(target->id)) return false;
+  const double here = speeds_.SecondsPerEvent(from);
+  if (!WorthMoving(missing, here, speeds_.SecondsPerEvent(target->id))) return false;
   LogEvent(EventId::kItemMoved, "job={} item={} from={} to={} events={} missing={:.0f}", work.job,
            record.spec.items[work.index].id, from, target->id, work.progress.events, missing);
   ++work.moves;
   work.run.reset();
-  board.NoteEnded(from);
-  board.NoteBegun(target->id);
+  snapshot.OnRunEnded(from);
+  snapshot.OnRunStarted(target->id);
   StartRun(work, record, *candidate.route, *target);
   return true;
 }
@@ -123,7 +123,7 @@
 }
 
 Duration JobScheduler::StallAt(const InstanceId& engine) const {
-  const Duration expected = FromSeconds(kStallEvents * pace_.SecondsPerEvent(engine));
+  const Duration expected = FromSeconds(kStallEvents * speeds_.SecondsPerEvent(engine));
   return std::min(std::max(expected, kLeastStall), options_.stall);
 }
 
@@ -134,7 +134,7 @@
   return sibling == engines.end() ? InstanceId() : sibling->second;
 }
 
-const BackendInstance* JobScheduler::PickEngine(EngineBoard& board, Work& work,
+const BackendInstance* JobScheduler::PickEngine(EngineSnapshot& snapshot, Work& work,
                                                 const JobRecord& record, const Route& route) {
   const double missing = MissingEvents(work, record);
   const WeightVersion oldest = UsefulVersion(work, record);
@@ -143,11 +143,12 @@
   const BackendInstance* best = nullptr;
   double best_cost = 0;
   for (const ServiceShare& share : route.services) {
-    for (const ModelHolder& holder : board.HoldersOf(share.service, record.spec.model)) {
-      if (holder.version < oldest) continue;
-      if (one_version && holder.version != work.progress.version) continue;
-      const BoardEngine& engine = board.engine(holder.engine);
-      if (!engine.HasRoom() || engine.record->id == work.avoid) continue;
+    for (const EngineCandidate& candidate :
+         snapshot.CandidatesFor(share.service, record.spec.model)) {
+      if (candidate.version < oldest) continue;
+      if (one_version && candidate.version != work.progress.version) continue;
+      const SnapshotEngine& engine = snapshot.engine(candidate.engine);
+      if (!engine.HasFreeSlot() || engine.record->id == work.avoid) continue;
       EngineOffer offer = engine.offer;
       offer.keeps_prompt = engine.record->id == sibling;
       const double cost = PlacementCost(missing, offer);
@@ -162,14 +163,14 @@
   return best;
 }
 
-bool JobScheduler::Dispatch(EngineBoard& board, Work& work, const JobRecord& record,
+bool JobScheduler::Dispatch(EngineSnapshot& snapshot, Work& work, const JobRecord& record,
                             const Route& route) {
   const bool lost =
       NeedsOneVersion(work, route) && !AnyHolds(route, record.spec.model, work.progress.version);
   if (lost) BeginAnew(work);
-  const BackendInstance* engine = PickEngine(board, work, record, route);
+  const BackendInstance* engine = PickEngine(snapshot, work, record, route);
   if (engine == nullptr) return false;
-  board.NoteBegun(engine->id);
+  snapshot.OnRunStarted(engine->id);
   StartRun(work, record, route, *engine);
   return true;
 }
@@ -207,7 +208,7 @@
            work.job, record.spec.items[work.index].id, engine.id, work.progress.events,
            loads_.VersionOf(engine.id, record.spec.model), record.spec.min_version);
   work.run->OnGap([this](const InstanceId& instance, Duration gap) {
-    if (!loads_.LoadingAny(instance)) pace_.Note(instance, gap);
+    if (!loads_.LoadingAny(instance)) speeds_.RecordInterval(instance, gap);
   });
   work.run->Start(http_, engine, RequestFor(work, record, route, engine.id));
 }
--- a/source/jobs/job_scheduler.cc
+++ b/source/jobs/job_scheduler.cc
@@ -48,10 +48,10 @@
   wants_to_lead_ = leading;
   term_ = group_.CurrentTerm();
   changed_.clear();
-  kept_.Clear();
+  partial_texts_.Clear();
   lengths_.Clear();
   versions_until_return_.clear();
-  pace_.Clear();
+  speeds_.Clear();
   std::vector<JobId> known;
   for (const auto& [job, work] : jobs_) known.push_back(job);
   for (const JobId& job : known) DropJob(job);
@@ -164,7 +164,7 @@
 
 void JobScheduler::Wait(Work& work, const JobRecord& record) {
   work.phase = Phase::kWaiting;
-  const double seconds = MissingEvents(work, record) * pace_.TypicalSeconds();
+  const double seconds = MissingEvents(work, record) * speeds_.TypicalSeconds();
   work.latest_start = DueAt(record) - FromSeconds(seconds);
   waiting_.insert(RankOf(work));
 }
@@ -240,8 +240,8 @@
     work.progress = own->second;
     return;
   }
-  auto carried =
-      kept_.Take({record.spec.tenant, record.spec.items[work.index].id}, record.spec.min_version);
+  auto carried = partial_texts_.Take({record.spec.tenant, record.spec.items[work.index].id},
+                                     record.spec.min_version);
   if (carried) work.progress = *std::move(carried);
 }
 
@@ -253,7 +253,7 @@
     work.progress.versions = std::move(work.result.versions);
   }
   lengths_.Note(item, work.progress.events, false, record->spec.min_version);
-  kept_.Keep({record->spec.tenant, item}, std::move(work.progress));
+  partial_texts_.Store({record->spec.tenant, item}, std::move(work.progress));
 }
 
 void JobScheduler::LearnKeptTexts() {
@@ -261,7 +261,7 @@
     if (!record.ended) continue;
     LearnLengths(record);
     for (const auto& [index, progress] : record.progress) {
-      kept_.Keep({record.spec.tenant, record.spec.items[index].id}, progress);
+      partial_texts_.Store({record.spec.tenant, record.spec.items[index].id}, progress);
     }
   }
 }
@@ -348,11 +348,11 @@
   next_pump_at_ = now + kLeastPumpInterval;
   GiveUpOld();
   StartScoring();
-  pace_.Judge();
+  speeds_.Recompute();
   if (allowed_()) {
-    EngineBoard board(ingress_.directory(), loads_, pace_, now);
-    DispatchWaiting(board);
-    MoveToFasterEngines(board);
+    EngineSnapshot snapshot(ingress_.directory(), loads_, speeds_, now);
+    DispatchWaiting(snapshot);
+    MoveToFasterEngines(snapshot);
   }
   if (jobs_.empty()) return pump_timer_.Cancel();
   PumpSoon(kPumpInterval);
--- a/source/jobs/job_scheduler.h
+++ b/source/jobs/job_scheduler.h
@@ -17,14 +17,14 @@
 #include "common/stats.h"
 #include "consensus/raft_group.h"
 #include "ingress/ingress_service.h"
-#include "jobs/engine_board.h"
-#include "jobs/engine_pace.h"
+#include "jobs/engine_snapshot.h"
+#include "jobs/engine_speed_tracker.h"
 #include "jobs/item_lengths.h"
 #include "jobs/item_order.h"
 #include "jobs/item_run.h"
 #include "jobs/job_state_machine.h"
-#include "jobs/kept_texts.h"
 #include "jobs/load_scheduler.h"
+#include "jobs/partial_text_cache.h"
 #include "jobs/placement.h"
 
 namespace millstair {
@@ -166,14 +166,14 @@
     const Route* route = nullptr;
   };
 
-  void DispatchWaiting(EngineBoard& board);
+  void DispatchWaiting(EngineSnapshot& snapshot);
   /// Runs go on at faster engines that have room left, those first that are far from whole.
-  void MoveToFasterEngines(EngineBoard& board);
+  void MoveToFasterEngines(EngineSnapshot& snapshot);
   /// Items of `route` wait and found no engine.
   void NoteFull(const Route& route);
   /// Those first that are far from whole.
   std::vector<MoveCandidate> MoveCandidates();
-  bool Move(EngineBoard& board, const MoveCandidate& candidate);
+  bool Move(EngineSnapshot& snapshot, const MoveCandidate& candidate);
   /// False while the item is held because engines ended under it: then it waits on.
   bool MaySend(Work& work, const JobRecord& record);
   void AskForTrial(Work& work, const RequestFingerprint& item);
@@ -183,7 +183,7 @@
   /// Tells the guard how the run that just ended speaks for or against the item.
   void NoteRunEnd(Work& work, const JobRecord& record, const BackendInstance& engine,
                   ItemRunEnd end);
-  bool Dispatch(EngineBoard& board, Work& work, const JobRecord& record, const Route& route);
+  bool Dispatch(EngineSnapshot& snapshot, Work& work, const JobRecord& record, const Route& route);
   void StartRun(Work& work, const JobRecord& record, const Route& route,
                 const BackendInstance& engine);
   BackendRequest RequestFor(const Work& work, const JobRecord& record, const Route& route,
@@ -196,7 +196,7 @@
   /// Engine that ran the latest item of the same group; empty if none did.
   InstanceId SiblingEngine(const Work& work, const JobRecord& record) const;
   /// Where the rest of `work` is expected to be whole first; null if no engine may begin it now.
-  const BackendInstance* PickEngine(EngineBoard& board, Work& work, const JobRecord& record,
+  const BackendInstance* PickEngine(EngineSnapshot& snapshot, Work& work, const JobRecord& record,
                                     const Route& route);
   void OnRunEnd(const JobId& job, uint32_t index, ItemRunEnd end, const std::string& reason);
   void Requeue(Work& work, Duration pause);
@@ -246,11 +246,11 @@
   std::map<std::string, std::set<Rank>> scoring_waiting_;
   /// Scorings under way, by the name of their route.
   std::map<std::string, uint32_t> scorings_;
-  KeptTexts kept_;
+  PartialTextCache partial_texts_;
   ItemLengths lengths_;
   /// Of each model: how far the oldest allowed weights move on until items come back.
   std::map<ModelName, uint64_t> versions_until_return_;
-  EnginePace pace_;
+  EngineSpeedTracker speeds_;
   TimePoint next_moves_at_;
   TimePoint next_pump_at_;
   /// Jobs that changed since the last run of the timer.
--- a/source/jobs/load_scheduler.h
+++ b/source/jobs/load_scheduler.h
@@ -22,7 +22,7 @@
 #include "ingress/backend_directory.h"
 #include "ingress/backend_protocol.h"
 #include "ingress/route_table.h"
-#include "jobs/engine_roster.h"
+#include "jobs/active_engine_set.h"
 #include "jobs/job_types.h"
 
 namespace millstair {
@@ -164,7 +164,7 @@
   std::map<ModelName, ModelDemand> demand_;
   /// Services whose engines hold models.
   std::map<ServiceName, std::vector<ModelName>> services_;
-  EngineRoster roster_;
+  ActiveEngineSet roster_;
   TimePoint learned_at_;
   std::map<InstanceId, EngineLoadState> engines_;
   std::map<InstanceId, std::unique_ptr<BoundedCall>> exchanges_;
--- a/source/jobs/kept_texts.cc
+++ b/source/jobs/partial_text_cache.cc
@@ -1,4 +1,4 @@
-#include "jobs/kept_texts.h"
+#include "jobs/partial_text_cache.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,20 +6,21 @@
 namespace millstair {
 namespace {
 
-constexpr size_t kMostTexts = 2000;
+constexpr size_t kMaxTexts = 2000;
 
 }  // namespace
 
-void KeptTexts::Keep(const OwnedItem& item, ItemProgress progress) {
+void PartialTextCache::Store(const OwnedItem& item, ItemProgress progress) {
   texts_[item] = std::move(progress);
   order_.push_back(item);
-  while (order_.size() > kMostTexts) {
+  while (order_.size() > kMaxTexts) {
     texts_.erase(order_.front());
     order_.pop_front();
   }
 }
 
-std::optional<ItemProgress> KeptTexts::Take(const OwnedItem& item, WeightVersion min_version) {
+std::optional<ItemProgress> PartialTextCache::Take(const OwnedItem& item,
+                                                   WeightVersion min_version) {
   const auto found = texts_.find(item);
   if (found == texts_.end()) return std::nullopt;
   ItemProgress progress = std::move(found->second);
@@ -32,7 +33,7 @@
   return progress;
 }
 
-void KeptTexts::Clear() {
+void PartialTextCache::Clear() {
   texts_.clear();
   order_.clear();
 }
--- a/source/jobs/kept_texts.h
+++ b/source/jobs/partial_text_cache.h
@@ -12,9 +12,9 @@
 namespace millstair {
 
 /// Lives on the node's serial executor.
-class KeptTexts {
+class PartialTextCache {
  public:
-  void Keep(const OwnedItem& item, ItemProgress progress);
+  void Store(const OwnedItem& item, ItemProgress progress);
   /// Gives the text away; nothing if there is none, or if a part of it was made by weights older
   /// than `min_version`.
   std::optional<ItemProgress> Take(const OwnedItem& item, WeightVersion min_version);
