--- a/source/jobs/item_lengths.cc
+++ b/source/jobs/item_lengths.cc
@@ -7,41 +7,42 @@
 namespace {
 
 /// Items that are remembered: those of some steps of the largest jobs served so far.
-constexpr size_t kMostItems = 4000;
+constexpr size_t kMaxItems = 4000;
 /// Assumed of an item whose client guesses nothing.
-constexpr uint64_t kUnknownTokens = 256;
+constexpr uint64_t kDefaultTokens = 256;
 /// Assumed where the configuration does not tell.
-constexpr uint64_t kUnknownTokensPerEvent = 16;
+constexpr uint64_t kDefaultTokensPerEvent = 16;
 /// A text that outgrew its guess is expected to become this much longer than it is: lengths have
 /// long tails. On a quiet day of lsipm-quotes the texts that outgrew their guess ended, in the
 /// mean, at 1.26 to 1.47 times the length at which they were looked at (20 to 120 events).
-constexpr double kFurtherGrowth = 1.3;
+constexpr double kGrowthFactor = 1.3;
 
 }  // namespace
 
-void ItemLengths::Note(const ItemId& item, uint64_t events, bool whole, WeightVersion min_version) {
+void ItemLengths::RecordLength(const ItemId& item, uint64_t events, bool complete,
+                               WeightVersion min_version) {
   const auto [found, added] = known_.try_emplace(item);
   Known& known = found->second;
   known.min_version = std::max(known.min_version, min_version);
-  if (whole || !known.whole) {
+  if (complete || !known.complete) {
     known.events = std::max(known.events, events);
-    known.whole = whole;
+    known.complete = complete;
   }
   if (!added) return;
   order_.push_back(item);
-  if (order_.size() <= kMostItems) return;
+  if (order_.size() <= kMaxItems) return;
   known_.erase(order_.front());
   order_.pop_front();
 }
 
-void ItemLengths::NoteListed(const ItemId& item, ListedText listed) {
+void ItemLengths::RecordTextLocation(const ItemId& item, RecordedTextLocation location) {
   const auto known = known_.find(item);
-  if (known != known_.end()) known->second.listed = std::move(listed);
+  if (known != known_.end()) known->second.location = std::move(location);
 }
 
-std::optional<ListedText> ItemLengths::ListedTextOf(const ItemId& item) const {
+std::optional<RecordedTextLocation> ItemLengths::RecordedTextOf(const ItemId& item) const {
   const auto known = known_.find(item);
-  return known == known_.end() ? std::nullopt : known->second.listed;
+  return known == known_.end() ? std::nullopt : known->second.location;
 }
 
 std::optional<WeightVersion> ItemLengths::EarlierMinVersion(const ItemId& item) const {
@@ -58,19 +59,20 @@
 double ItemLengths::ExpectedEvents(const JobItem& item, uint64_t made,
                                    uint64_t tokens_per_event) const {
   const auto per_event =
-      static_cast<double>(tokens_per_event > 0 ? tokens_per_event : kUnknownTokensPerEvent);
-  const uint64_t tokens = item.expected_tokens > 0 ? item.expected_tokens : kUnknownTokens;
+      static_cast<double>(tokens_per_event > 0 ? tokens_per_event : kDefaultTokensPerEvent);
+  const uint64_t tokens = item.expected_tokens > 0 ? item.expected_tokens : kDefaultTokens;
   double events = std::max(1.0, static_cast<double>(tokens) / per_event);
   // The prompt's tokens are in the bound too: it is a little too high.
   if (item.tokens > 0) events = std::min(events, static_cast<double>(item.tokens) / per_event);
   const auto known = known_.find(item.id);
   const bool seen = known != known_.end();
-  if (seen && known->second.whole) return static_cast<double>(std::max(known->second.events, made));
-  const auto least = static_cast<double>(std::max(seen ? known->second.events : 0, made));
-  if (least < events) return events;
-  const double grown = least * kFurtherGrowth;
+  if (seen && known->second.complete)
+    return static_cast<double>(std::max(known->second.events, made));
+  const auto min_events = static_cast<double>(std::max(seen ? known->second.events : 0, made));
+  if (min_events < events) return events;
+  const double grown = min_events * kGrowthFactor;
   if (item.tokens == 0) return grown;
-  return std::max(least, std::min(grown, static_cast<double>(item.tokens) / per_event));
+  return std::max(min_events, std::min(grown, static_cast<double>(item.tokens) / per_event));
 }
 
 uint64_t EventsOfText(const std::string& text) {
--- a/source/jobs/item_lengths.h
+++ b/source/jobs/item_lengths.h
@@ -13,7 +13,7 @@
 namespace millstair {
 
 /// Where an ended job lists the whole text of an item.
-struct ListedText {
+struct RecordedTextLocation {
   JobId job;
   size_t position = 0;
 };
@@ -23,11 +23,11 @@
  public:
   /// The text of `item` had `events` events in a job that allowed `min_version` and newer; `whole`
   /// if those were all.
-  void Note(const ItemId& item, uint64_t events, bool whole, WeightVersion min_version);
+  void RecordLength(const ItemId& item, uint64_t events, bool complete, WeightVersion min_version);
   /// An ended job lists the whole text of `item`.
-  void NoteListed(const ItemId& item, ListedText listed);
+  void RecordTextLocation(const ItemId& item, RecordedTextLocation location);
   /// The latest such text; none if there is none.
-  std::optional<ListedText> ListedTextOf(const ItemId& item) const;
+  std::optional<RecordedTextLocation> RecordedTextOf(const ItemId& item) const;
   /// The oldest weights that the earlier job of the item allowed; none if no job held it.
   std::optional<WeightVersion> EarlierMinVersion(const ItemId& item) const;
   /// Whether an earlier job held the item.
@@ -40,9 +40,9 @@
  private:
   struct Known {
     uint64_t events = 0;
-    bool whole = false;
+    bool complete = false;
     WeightVersion min_version;
-    std::optional<ListedText> listed;
+    std::optional<RecordedTextLocation> location;
   };
 
   std::map<ItemId, Known> known_;
--- a/source/jobs/item_order.cc
+++ b/source/jobs/item_order.cc
@@ -62,9 +62,9 @@
     if (a.spare != b.spare) return b.spare;
     return a.expected_events > b.expected_events;
   });
-  order.places.resize(job.items.size());
-  for (size_t place = 0; place < entries.size(); ++place) {
-    order.places[entries[place].index] = place;
+  order.positions.resize(job.items.size());
+  for (size_t position = 0; position < entries.size(); ++position) {
+    order.positions[entries[position].index] = position;
   }
   return order;
 }
--- a/source/jobs/item_order.h
+++ b/source/jobs/item_order.h
@@ -20,7 +20,7 @@
 
 struct ItemOrder {
   /// By index of the item: its place, the first is 0.
-  std::vector<uint64_t> places;
+  std::vector<uint64_t> positions;
   /// By index of the item: its group is not among those that the client is expected to wait for.
   std::vector<bool> spare;
   /// Of all items together.
--- a/source/jobs/item_run.cc
+++ b/source/jobs/item_run.cc
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr int kOk = 200;
-constexpr int kUnprocessable = 422;
-constexpr int kServerErrors = 500;
+constexpr int kUnprocessableEntity = 422;
+constexpr int kInternalServerError = 500;
 
 BackendEnd BackendEndOf(ItemRunEnd end) {
   switch (end) {
-    case ItemRunEnd::kWhole:
+    case ItemRunEnd::kComplete:
     case ItemRunEnd::kServerError:
     case ItemRunEnd::kImpossible:
     case ItemRunEnd::kWrongVersion:
@@ -34,7 +34,7 @@
 
 std::string_view ItemRunEndName(ItemRunEnd end) {
   switch (end) {
-    case ItemRunEnd::kWhole:
+    case ItemRunEnd::kComplete:
       return "whole";
     case ItemRunEnd::kRefused:
       return "refused";
@@ -80,7 +80,8 @@
 }
 
 void ItemRun::WatchForStall() {
-  stall_timer_.Arm(options_.stall, [this] { End(ItemRunEnd::kBroken, "no byte for too long"); });
+  stall_timer_.Arm(options_.stall_timeout,
+                   [this] { End(ItemRunEnd::kBroken, "no byte for too long"); });
 }
 
 void ItemRun::OnHead(const HttpResponseHead& head) {
@@ -89,8 +90,8 @@
   if (!answer.own) return End(ItemRunEnd::kBroken, "the answer belongs to another request");
   if (answer.wrong_instance) return End(ItemRunEnd::kWrongInstance, "another back end answered");
   if (answer.not_run) return End(ItemRunEnd::kRefused, "the engine refused");
-  if (head.status == kUnprocessable) return End(ItemRunEnd::kImpossible, "status 422");
-  if (head.status == kServerErrors) return End(ItemRunEnd::kServerError, "status 500");
+  if (head.status == kUnprocessableEntity) return End(ItemRunEnd::kImpossible, "status 422");
+  if (head.status == kInternalServerError) return End(ItemRunEnd::kServerError, "status 500");
   if (head.status != kOk) return End(ItemRunEnd::kBroken, fmt::format("status {}", head.status));
   streaming_ = true;
   if (answer.version) version_ = *answer.version;
@@ -101,11 +102,11 @@
   if (ended_ || !streaming_) return;
   WatchForStall();
   for (const std::string& lines : splitter_.Take(bytes)) {
-    if (!TakeEvent(lines)) return;
+    if (!HandleEvent(lines)) return;
   }
 }
 
-bool ItemRun::TakeEvent(const std::string& lines) {
+bool ItemRun::HandleEvent(const std::string& lines) {
   const auto event = protocol_.ReadEvent(lines);
   if (!event.ok()) {
     End(ItemRunEnd::kBroken, std::string(event.status().message()));
@@ -125,8 +126,8 @@
   progress_.version = version_;
   progress_.Append(**event);
   const TimePoint now = environment_.Now();
-  if (event_at_ && on_gap_) on_gap_(instance(), now - *event_at_);
-  event_at_ = now;
+  if (last_event_at_ && on_gap_) on_gap_(instance(), now - *last_event_at_);
+  last_event_at_ = now;
   return true;
 }
 
@@ -140,7 +141,7 @@
   if (!streaming_ || splitter_.HasPartialEvent() || progress_.events == 0) {
     return End(ItemRunEnd::kBroken, "the stream ended inside an event");
   }
-  End(ItemRunEnd::kWhole, "");
+  End(ItemRunEnd::kComplete, "");
 }
 
 void ItemRun::OnFailed(CallFailure failure, const std::string& reason) {
--- a/source/jobs/item_run.h
+++ b/source/jobs/item_run.h
@@ -17,7 +17,7 @@
 namespace millstair {
 
 enum class ItemRunEnd : uint8_t {
-  kWhole,          ///< the stream ended as it should
+  kComplete,       ///< the stream ended as it should
   kRefused,        ///< the engine did not run it
   kWrongInstance,  ///< another life of the engine has the address
   kUnreachable,    ///< nothing could be sent
@@ -38,7 +38,7 @@
 
 struct ItemRunOptions {
   /// Without a byte for this long the run counts as broken.
-  Duration stall{0};
+  Duration stall_timeout{0};
   VersionRule versions;
 };
 
@@ -56,7 +56,7 @@
   ~ItemRun() override;
   void Start(HttpCaller& http, const BackendInstance& target, const BackendRequest& request);
 
-  void OnGap(GapListener listener) { on_gap_ = std::move(listener); }
+  void SetGapListener(GapListener listener) { on_gap_ = std::move(listener); }
   const BackendInstance& target() const { return target_; }
   const InstanceId& instance() const { return target_.id; }
   /// The weights that the engine itself named in this run; 0 if it named none. The text may have
@@ -70,7 +70,7 @@
 
  private:
   /// False if the run has ended by it.
-  bool TakeEvent(const std::string& lines);
+  bool HandleEvent(const std::string& lines);
   bool VersionAllowed(WeightVersion version) const;
   void WatchForStall();
   void End(ItemRunEnd end, const std::string& reason);
@@ -85,7 +85,7 @@
   std::string request_id_;
   TimePoint started_at_;
   /// When the latest event came; none before the first.
-  std::optional<TimePoint> event_at_;
+  std::optional<TimePoint> last_event_at_;
   GapListener on_gap_;
   std::unique_ptr<CallHandle> handle_;
   EventStreamSplitter splitter_;
--- a/source/jobs/job_dispatch.cc
+++ b/source/jobs/job_dispatch.cc
@@ -72,7 +72,7 @@
   }
   std::sort(candidates.begin(), candidates.end(),
             [](const MoveCandidate& a, const MoveCandidate& b) {
-              return a.missing_events > b.missing_events;
+              return a.remaining_events > b.remaining_events;
             });
   return candidates;
 }
@@ -91,7 +91,7 @@
 bool JobScheduler::Move(EngineSnapshot& snapshot, const MoveCandidate& candidate) {
   Work& work = *candidate.work;
   const JobRecord& record = *candidate.record;
-  const double missing = candidate.missing_events;
+  const double missing = candidate.remaining_events;
   const InstanceId from = work.run->instance();
   work.avoid = from;
   const BackendInstance* target = PickEngine(snapshot, work, record, *candidate.route);
@@ -124,7 +124,7 @@
 
 Duration JobScheduler::StallAt(const InstanceId& engine) const {
   const Duration expected = FromSeconds(kStallEvents * speeds_.SecondsPerEvent(engine));
-  return std::min(std::max(expected, kLeastStall), options_.stall);
+  return std::min(std::max(expected, kLeastStall), options_.stall_timeout);
 }
 
 InstanceId JobScheduler::SiblingEngine(const Work& work, const JobRecord& record) const {
@@ -150,7 +150,7 @@
       const SnapshotEngine& engine = snapshot.engine(candidate.engine);
       if (!engine.HasFreeSlot() || engine.record->id == work.avoid) continue;
       EngineOffer offer = engine.offer;
-      offer.keeps_prompt = engine.record->id == sibling;
+      offer.has_prompt_cached = engine.record->id == sibling;
       const double cost = PlacementCost(missing, offer);
       if (best != nullptr && cost >= best_cost) continue;
       best = engine.record;
@@ -207,7 +207,7 @@
   LogEvent(EventId::kItemSent, "job={} item={} instance={} after={} version={} min_version={}",
            work.job, record.spec.items[work.index].id, engine.id, work.progress.events,
            loads_.VersionOf(engine.id, record.spec.model), record.spec.min_version);
-  work.run->OnGap([this](const InstanceId& instance, Duration gap) {
+  work.run->SetGapListener([this](const InstanceId& instance, Duration gap) {
     if (!loads_.LoadingAny(instance)) speeds_.RecordInterval(instance, gap);
   });
   work.run->Start(http_, engine, RequestFor(work, record, route, engine.id));
--- a/source/jobs/job_guard.cc
+++ b/source/jobs/job_guard.cc
@@ -80,7 +80,7 @@
   RequestGuard& guard = ingress_.guard();
   const uint64_t events = work.progress.events;
   const bool further = work.lost_after_events && events > *work.lost_after_events;
-  const bool whole = end == ItemRunEnd::kWhole;
+  const bool whole = end == ItemRunEnd::kComplete;
   const std::string place = PlaceOf(record.spec.host, record.spec.items[work.index].path);
   if ((further || whole) && guard.MayBeSuspect(place)) {
     guard.NoteServed(FingerprintOf(work, record));
--- a/source/jobs/job_scheduler.cc
+++ b/source/jobs/job_scheduler.cc
@@ -126,7 +126,7 @@
     auto work = std::make_unique<Work>();
     work->job = id;
     work->index = index;
-    work->order = order.places[index];
+    work->order = order.positions[index];
     work->spare = order.spare[index];
     if (state_.IsRecorded(id, index)) {
       job.items.push_back(nullptr);
@@ -198,13 +198,13 @@
     const JobResult& result = record.results[position];
     const ItemId& item = record.spec.items[result.item].id;
     const bool whole = result.state == ItemState::kDone;
-    lengths_.Note(item, EventsOfText(result.text), whole, record.spec.min_version);
-    if (whole) lengths_.NoteListed(item, {record.spec.id, position});
+    lengths_.RecordLength(item, EventsOfText(result.text), whole, record.spec.min_version);
+    if (whole) lengths_.RecordTextLocation(item, {record.spec.id, position});
   }
   for (uint32_t index = 0; index < record.spec.items.size(); ++index) {
     const auto progress = record.progress.find(index);
     const uint64_t made = progress == record.progress.end() ? 0 : progress->second.events;
-    lengths_.Note(record.spec.items[index].id, made, false, record.spec.min_version);
+    lengths_.RecordLength(record.spec.items[index].id, made, false, record.spec.min_version);
   }
 }
 
@@ -214,7 +214,7 @@
 }
 
 bool JobScheduler::UseListedText(const JobRecord& record, Work& work) {
-  const auto listed = lengths_.ListedTextOf(record.spec.items[work.index].id);
+  const auto listed = lengths_.RecordedTextOf(record.spec.items[work.index].id);
   const JobRecord* earlier = listed ? state_.Find(listed->job) : nullptr;
   if (earlier == nullptr || listed->position >= earlier->results.size()) return false;
   if (earlier->spec.tenant != record.spec.tenant) return false;
@@ -252,7 +252,7 @@
     work.progress.text = std::move(work.result.text);
     work.progress.versions = std::move(work.result.versions);
   }
-  lengths_.Note(item, work.progress.events, false, record->spec.min_version);
+  lengths_.RecordLength(item, work.progress.events, false, record->spec.min_version);
   partial_texts_.Store({record->spec.tenant, item}, std::move(work.progress));
 }
 
@@ -411,7 +411,7 @@
                       std::string(ItemRunEndName(end))})
         .Add();
   }
-  if (end != ItemRunEnd::kWhole) {
+  if (end != ItemRunEnd::kComplete) {
     LogEvent(EventId::kItemBroke, "job={} item={} instance={} events={} end={} reason=\"{}\"", job,
              record->spec.items[index].id, instance, work->progress.events, ItemRunEndName(end),
              reason);
@@ -420,7 +420,7 @@
   const Route* route = RouteOf(*record);
   const uint32_t attempts = route == nullptr ? 1 : route->attempts;
   switch (end) {
-    case ItemRunEnd::kWhole:
+    case ItemRunEnd::kComplete:
       Score(*work, *record);
       break;
     case ItemRunEnd::kRefused:
--- a/source/jobs/job_scheduler.h
+++ b/source/jobs/job_scheduler.h
@@ -35,7 +35,7 @@
 struct JobSchedulerOptions {
   /// Without a byte for this long a run is broken off and goes on elsewhere, at the latest; earlier
   /// where the engine's pace says that its next event should long have come.
-  Duration stall = std::chrono::milliseconds(2500);
+  Duration stall_timeout = std::chrono::milliseconds(2500);
   /// An item whose route states none is given up after this long.
   Duration item_lifetime = std::chrono::minutes(10);
 };
@@ -160,7 +160,7 @@
   void PumpSoon(Duration delay);
   /// A run that could go on at a faster engine.
   struct MoveCandidate {
-    double missing_events = 0;
+    double remaining_events = 0;
     Work* work = nullptr;
     const JobRecord* record = nullptr;
     const Route* route = nullptr;
--- a/source/jobs/job_scoring.cc
+++ b/source/jobs/job_scoring.cc
@@ -13,7 +13,7 @@
 constexpr Duration kLongestPause = std::chrono::seconds(1);
 /// Scorings at once that no route leads anywhere: each is tried again soon, in case a route comes.
 constexpr uint32_t kMostUnrouted = 8;
-constexpr int kServerErrors = 500;
+constexpr int kInternalServerError = 500;
 
 }  // namespace
 
@@ -94,7 +94,7 @@
     return List(*work, ItemState::kDone, result.signature);
   }
   work->scoring_errors += result.server_errors;
-  if (answered && result.head.status == kServerErrors) {
+  if (answered && result.head.status == kInternalServerError) {
     const JobScoring& scoring = *record->spec.items[index].scoring;
     const Route* own = RouteOf(*record);
     const Route* scorer = ingress_.routes() == nullptr
--- a/source/jobs/placement.h
+++ b/source/jobs/placement.h
@@ -14,15 +14,15 @@
   /// Its events come far slower than those of most engines.
   bool slow = false;
   /// It ran the latest item of the same group, so that it keeps their prompt.
-  bool keeps_prompt = false;
+  bool has_prompt_cached = false;
 };
 
-/// In seconds, until the item is whole there; the least is the best. `missing_events` of its text
+/// In seconds, until the item is whole there; the least is the best. `remaining_events` of its text
 /// are expected.
-double PlacementCost(double missing_events, const EngineOffer& offer);
+double PlacementCost(double remaining_events, const EngineOffer& offer);
 
 /// Whether a run is to go on where an event takes `there` seconds instead of `here`: what it gains
 /// is worth a new connection and reading prompt and text again.
-bool WorthMoving(double missing_events, double here, double there);
+bool WorthMoving(double remaining_events, double current_seconds, double target_seconds);
 
 }  // namespace millstair
--- a/source/server/node_options.cc
+++ b/source/server/node_options.cc
@@ -128,7 +128,7 @@
   options.jobs.retention =
       std::chrono::duration_cast<std::chrono::milliseconds>(timing.job_retention);
   options.replicas.voters = VotersOf(settings);
-  options.scheduler.stall = timing.run_stall;
+  options.scheduler.stall_timeout = timing.run_stall;
   options.loads.concurrent_loads = static_cast<uint32_t>(settings.concurrent_loads);
   options.loads.holder_lease = timing.holder_lease;
   options.cold_bound = ColdBoundOf(settings);
--- a/test/jobs/item_lengths_test.cc
+++ b/test/jobs/item_lengths_test.cc
@@ -35,13 +35,13 @@
   ItemLengths lengths;
   const JobItem item = Item(400, 2000);
   CHECK_FALSE(lengths.Contains(item.id));
-  lengths.Note(item.id, 100, false, WeightVersion(3));
+  lengths.RecordLength(item.id, 100, false, WeightVersion(3));
   CHECK(lengths.Contains(item.id));
   CHECK(lengths.ExpectedEvents(item, 0, kTokensPerEvent) > 110);
-  lengths.Note(item.id, 120, true, WeightVersion(5));
+  lengths.RecordLength(item.id, 120, true, WeightVersion(5));
   CHECK(lengths.ExpectedEvents(item, 0, kTokensPerEvent) == Approx(120));
   // A later part does not hide the whole.
-  lengths.Note(item.id, 5, false, WeightVersion(4));
+  lengths.RecordLength(item.id, 5, false, WeightVersion(4));
   CHECK(lengths.ExpectedEvents(item, 0, kTokensPerEvent) == Approx(120));
   CHECK(lengths.EarlierMinVersion(item.id) == WeightVersion(5));
   lengths.Clear();
@@ -52,7 +52,7 @@
 TEST_CASE("The oldest items are forgotten first") {
   ItemLengths lengths;
   for (int number = 0; number < 5000; ++number) {
-    lengths.Note(ItemId(std::to_string(number)), 1, true, WeightVersion(1));
+    lengths.RecordLength(ItemId(std::to_string(number)), 1, true, WeightVersion(1));
   }
   CHECK_FALSE(lengths.Contains(ItemId("0")));
   CHECK(lengths.Contains(ItemId("4999")));
--- a/test/jobs/item_order_test.cc
+++ b/test/jobs/item_order_test.cc
@@ -23,7 +23,7 @@
   job.items = {Item("a1", "a", 10), Item("a2", "a", 900), Item("b1", "b", 20),
                Item("b2", "b", 50), Item("c1", "c", 70),  Item("c2", "c", 30)};
   const ItemOrder order = OrderItems(job, Guess);
-  CHECK(order.places == std::vector<uint64_t>{5, 4, 3, 1, 0, 2});
+  CHECK(order.positions == std::vector<uint64_t>{5, 4, 3, 1, 0, 2});
   CHECK(order.expected_events == 1080);
 }
 
@@ -34,14 +34,14 @@
   const ItemOrder order = OrderItems(job, [](const JobItem& item) -> ItemEstimate {
     return {Guess(item).events, item.id == ItemId("a1")};
   });
-  CHECK(order.places == std::vector<uint64_t>{0, 1});
+  CHECK(order.positions == std::vector<uint64_t>{0, 1});
   CHECK(order.spare == std::vector<bool>{false, true});
 }
 
 TEST_CASE("Without groups and guesses the order is that of the job") {
   JobSpec job;
   job.items = {Item("a", "", 0), Item("b", "", 0), Item("c", "", 0)};
-  CHECK(OrderItems(job, Guess).places == std::vector<uint64_t>{0, 1, 2});
+  CHECK(OrderItems(job, Guess).positions == std::vector<uint64_t>{0, 1, 2});
 }
 
 }  // namespace
--- a/test/jobs/item_run_test.cc
+++ b/test/jobs/item_run_test.cc
@@ -50,7 +50,7 @@
 TEST_CASE("Events cut anywhere by the network make the same text") {
   Fixture fixture;
   fixture.Run(Stream({"1|", "|one\n", "\n2||two\r\n\r\n3|5|thr", "ee\n\n"}));
-  CHECK(fixture.end == ItemRunEnd::kWhole);
+  CHECK(fixture.end == ItemRunEnd::kComplete);
   CHECK(fixture.progress.text == "one\ntwo\nthree");
   CHECK(fixture.progress.versions ==
         std::vector<WeightVersion>{WeightVersion(4), WeightVersion(5)});
@@ -64,7 +64,7 @@
   fixture.end.reset();
   fixture.Run(Stream({"2||two\n\n"}));
   CHECK(FindHeader(fixture.backends.calls[1]->request.headers, "resume") == "1");
-  CHECK(fixture.end == ItemRunEnd::kWhole);
+  CHECK(fixture.end == ItemRunEnd::kComplete);
   CHECK(fixture.progress.text == "one\ntwo");
 }
 
