--- a/source/jobs/engine_snapshot.cc
+++ b/source/jobs/engine_snapshot.cc
@@ -50,7 +50,7 @@
   for (const size_t index : EnginesOf(service)) {
     const EngineLoadState* state = loads_.StateOf(engines_[index].record->id);
     // An engine that is not known to the load scheduler holds no version that is known.
-    if (state != nullptr && state->Loads(model)) continue;
+    if (state != nullptr && state->IsLoading(model)) continue;
     const WeightVersion version = state == nullptr ? WeightVersion() : state->HeldVersion(model);
     auto& candidates = engines_[index].failed_lately ? failed_lately : known->second;
     candidates.push_back({index, version});
--- a/source/jobs/job_dispatch.cc
+++ b/source/jobs/job_dispatch.cc
@@ -48,11 +48,11 @@
     }
   }
   for (const Rank& rank : sent) waiting_.erase(rank);
-  for (const Route* route : full) NoteFull(*route);
+  for (const Route* route : full) OnNoFreeSlot(*route);
 }
 
-void JobScheduler::NoteFull(const Route& route) {
-  for (const ServiceShare& share : route.services) loads_.NoteFull(share.service);
+void JobScheduler::OnNoFreeSlot(const Route& route) {
+  for (const ServiceShare& share : route.services) loads_.OnNoFreeSlot(share.service);
 }
 
 std::vector<JobScheduler::MoveCandidate> JobScheduler::MoveCandidates() {
--- a/source/jobs/job_scheduler.cc
+++ b/source/jobs/job_scheduler.cc
@@ -142,7 +142,8 @@
     Wait(added, record);
   }
   const auto event_tokens = static_cast<double>(std::max<uint64_t>(1, tokens_per_event));
-  loads_.NoteJob(record.spec.model, order.expected_events * event_tokens, record.spec.min_version);
+  loads_.OnJobSubmitted(record.spec.model, order.expected_events * event_tokens,
+                        record.spec.min_version);
 }
 
 void JobScheduler::LearnReturn(const JobRecord& record) {
@@ -403,7 +404,7 @@
   if (end == ItemRunEnd::kWrongVersion) {
     loads_.CorrectVersion(instance, record->spec.model, named);
   } else if (named != WeightVersion()) {
-    loads_.NoteVersion(instance, record->spec.model, named);
+    loads_.RecordVersion(instance, record->spec.model, named);
   }
   if (stats_ != nullptr) {
     stats_
--- a/source/jobs/job_scheduler.h
+++ b/source/jobs/job_scheduler.h
@@ -170,7 +170,7 @@
   /// Runs go on at faster engines that have room left, those first that are far from whole.
   void MoveToFasterEngines(EngineSnapshot& snapshot);
   /// Items of `route` wait and found no engine.
-  void NoteFull(const Route& route);
+  void OnNoFreeSlot(const Route& route);
   /// Those first that are far from whole.
   std::vector<MoveCandidate> MoveCandidates();
   bool Move(EngineSnapshot& snapshot, const MoveCandidate& candidate);
--- a/source/jobs/load_scheduler.cc
+++ b/source/jobs/load_scheduler.cc
@@ -10,25 +10,25 @@
 namespace millstair {
 namespace {
 
-constexpr uint32_t kLeastLoads = 2;
+constexpr uint32_t kMinConcurrentLoads = 2;
 constexpr uint32_t kEnginesPerLoad = 5;
 constexpr double kWorkSmoothing = 0.5;
 constexpr Duration kTick = std::chrono::milliseconds(50);
 /// Between two looks at which engines there are: 520 servers that register in a second would each
 /// be followed by one.
-constexpr Duration kLearnPause = std::chrono::milliseconds(50);
+constexpr Duration kMinRefreshInterval = std::chrono::milliseconds(50);
 /// Assumed until a load was seen, and the least that is believed.
-constexpr Duration kFirstLoadTime = std::chrono::seconds(1);
-constexpr Duration kShortestLoad = std::chrono::milliseconds(50);
+constexpr Duration kInitialLoadTime = std::chrono::seconds(1);
+constexpr Duration kMinLoadTime = std::chrono::milliseconds(50);
 /// How often an engine is asked whether its load is done once it should be.
-constexpr Duration kNextQuestion = std::chrono::milliseconds(50);
+constexpr Duration kPollInterval = std::chrono::milliseconds(50);
 /// A load that is not done by then was not taken, or its engine is stuck.
-constexpr Duration kLongestLoad = std::chrono::seconds(8);
+constexpr Duration kMaxLoadTime = std::chrono::seconds(8);
 /// An exchange without an answer for this long is given up.
-constexpr Duration kAnswerLimit = std::chrono::milliseconds(1500);
+constexpr Duration kCallTimeout = std::chrono::milliseconds(1500);
 /// A request that was sent to an engine has begun after this time: a dozen prompts of a thousand
 /// tokens are read in some forty milliseconds. An order refuses what has not begun.
-constexpr Duration kBeginTime = std::chrono::milliseconds(100);
+constexpr Duration kRequestStartTime = std::chrono::milliseconds(100);
 
 }  // namespace
 
@@ -41,11 +41,11 @@
       protocol_(protocol),
       self_(std::move(self)),
       options_(options),
-      leases_(environment, self_, options.holder_lease + kLeaseMargin),
-      load_time_(kFirstLoadTime),
-      roster_(directory, environment),
+      leases_(environment, self_, options.order_lease + kLeaseMargin),
+      load_time_(kInitialLoadTime),
+      active_engines_(directory, environment),
       timer_(environment),
-      learn_timer_(environment) {}
+      refresh_timer_(environment) {}
 
 LoadScheduler::~LoadScheduler() = default;
 
@@ -56,7 +56,7 @@
   engines_.clear();
   if (group_ == nullptr) return timer_.Cancel();
   CatchUp();
-  LearnEngines();
+  RefreshEngines();
   Tick();
 }
 
@@ -87,34 +87,34 @@
   }
   if (group_ == nullptr) return;
   // No load is begun by models that are not trained any more.
-  Assign();
-  LearnEnginesSoon();
+  AssignModels();
+  ScheduleEngineRefresh();
 }
 
-void LoadScheduler::LearnEnginesSoon() {
-  const Duration pause = learned_at_ + kLearnPause - environment_.Now();
+void LoadScheduler::ScheduleEngineRefresh() {
+  const Duration pause = refreshed_at_ + kMinRefreshInterval - environment_.Now();
   if (pause > Duration(0)) {
-    if (!learn_timer_.armed()) learn_timer_.Arm(pause, [this] { LearnEnginesSoon(); });
+    if (!refresh_timer_.armed()) refresh_timer_.Arm(pause, [this] { ScheduleEngineRefresh(); });
     return;
   }
-  learn_timer_.Cancel();
+  refresh_timer_.Cancel();
   if (group_ == nullptr) return;
-  LearnEngines();
+  RefreshEngines();
   StartLoads();
 }
 
-void LoadScheduler::NoteFull(const ServiceName& service) {
-  if (group_ == nullptr || !roster_.Grow(service)) return;
-  LearnEngines();
+void LoadScheduler::OnNoFreeSlot(const ServiceName& service) {
+  if (group_ == nullptr || !active_engines_.Grow(service)) return;
+  RefreshEngines();
   StartLoads();
 }
 
-void LoadScheduler::LearnEngines() {
-  learned_at_ = environment_.Now();
+void LoadScheduler::RefreshEngines() {
+  refreshed_at_ = environment_.Now();
   std::set<InstanceId> live;
   for (const auto& [service, models] : services_) {
-    roster_.Refresh(service);
-    for (const BackendInstance* engine : roster_.Engines(service)) {
+    active_engines_.Refresh(service);
+    for (const BackendInstance* engine : active_engines_.Engines(service)) {
       live.insert(engine->id);
       EngineLoadState& state = engines_[engine->id];
       for (const NamedVersion& held : engine->models) {
@@ -125,16 +125,16 @@
   }
   std::erase_if(engines_, [&](const auto& entry) { return !live.contains(entry.first); });
   std::erase_if(exchanges_, [&](const auto& entry) { return !live.contains(entry.first); });
-  Assign();
+  AssignModels();
 }
 
-void LoadScheduler::NoteJob(const ModelName& model, double work, WeightVersion min_version) {
+void LoadScheduler::OnJobSubmitted(const ModelName& model, double work, WeightVersion min_version) {
   ModelDemand& demand = demand_[model];
   demand.work = demand.work > 0 ? demand.work + kWorkSmoothing * (work - demand.work) : work;
   const auto target = targets_.find(model);
   const bool known = target != targets_.end() && target->second >= min_version;
   demand.allowed_lag = known ? target->second.value() - min_version.value() : 0;
-  Assign();
+  AssignModels();
 }
 
 std::set<ModelName> LoadScheduler::TrainedModels() const {
@@ -190,7 +190,7 @@
 
 /// Each engine serves one of the models that are trained, so that a new version of one costs only
 /// the loads of its own engines. Assignments change as little as possible.
-void LoadScheduler::Assign() {
+void LoadScheduler::AssignModels() {
   std::map<ModelName, EngineGroup> by_model;
   for (const ModelName& model : TrainedModels()) by_model[model];
   if (by_model.empty()) return;
@@ -204,7 +204,7 @@
     return static_cast<std::ptrdiff_t>(entry.second.size()) -
            static_cast<std::ptrdiff_t>(wanted.at(entry.first));
   };
-  const auto poorer = [&](const auto& a, const auto& b) { return surplus(a) < surplus(b); };
+  const auto less_surplus = [&](const auto& a, const auto& b) { return surplus(a) < surplus(b); };
   const auto move = [](EngineGroup& from, const ModelName& model, EngineGroup& to) {
     const auto nearest = NewestOf(from, model);
     (*nearest)->assigned = model;
@@ -212,14 +212,14 @@
     from.erase(nearest);
   };
   while (!free.empty()) {
-    const auto poor = std::min_element(by_model.begin(), by_model.end(), poorer);
-    move(free, poor->first, poor->second);
+    const auto shortest = std::min_element(by_model.begin(), by_model.end(), less_surplus);
+    move(free, shortest->first, shortest->second);
   }
   while (true) {
-    const auto poor = std::min_element(by_model.begin(), by_model.end(), poorer);
-    const auto rich = std::max_element(by_model.begin(), by_model.end(), poorer);
-    if (surplus(*rich) < 1 || surplus(*poor) > -1) return;
-    move(rich->second, poor->first, poor->second);
+    const auto shortest = std::min_element(by_model.begin(), by_model.end(), less_surplus);
+    const auto fullest = std::max_element(by_model.begin(), by_model.end(), less_surplus);
+    if (surplus(*fullest) < 1 || surplus(*shortest) > -1) return;
+    move(fullest->second, shortest->first, shortest->second);
   }
 }
 
@@ -232,7 +232,7 @@
 }
 
 LoadScheduler::Progress LoadScheduler::ProgressOf(const ModelName& model, WeightVersion target,
-                                                  const InstanceId& asking) const {
+                                                  const InstanceId& candidate) const {
   Progress progress;
   for (const auto& [instance, engine] : engines_) {
     if (engine.assigned != model || directory_.Ejected(instance)) continue;
@@ -240,7 +240,7 @@
     const auto held = engine.versions.find(model);
     const bool holds = held != engine.versions.end() && held->second >= target;
     const bool loads = engine.loading && engine.loading->model == model;
-    const bool soon = engine.reserved && instance != asking;
+    const bool soon = engine.reserved && instance != candidate;
     if (holds || loads || soon) ++progress.newest;
   }
   return progress;
@@ -251,8 +251,8 @@
   const TimePoint now = environment_.Now();
   for (auto& [instance, engine] : engines_) {
     if (exchanges_.contains(instance)) continue;
-    const bool due = engine.loading && now >= engine.ask_again_at;
-    if (due || (engine.reserved && HasBegunAll(instance))) AskReport(instance);
+    const bool due = engine.loading && now >= engine.next_poll_at;
+    if (due || (engine.reserved && HasStartedAll(instance))) RequestReport(instance);
   }
   StartLoads();
 }
@@ -271,12 +271,12 @@
   const uint64_t lag = demand == demand_.end() ? 0 : demand->second.allowed_lag;
   if (version + lag < newest) return wanted;
   const Progress progress = ProgressOf(engine.assigned, target->second, instance);
-  const bool enough = progress.newest * (lag + 1) + lag >= progress.engines;
-  if (enough) return std::nullopt;
+  const bool enough_engines = progress.newest * (lag + 1) + lag >= progress.engines;
+  if (enough_engines) return std::nullopt;
   return wanted;
 }
 
-uint32_t LoadScheduler::LoadsUnderWay() const {
+uint32_t LoadScheduler::LoadsInProgress() const {
   uint32_t count = 0;
   for (const auto& [instance, engine] : engines_) {
     if (engine.loading || engine.reserved || exchanges_.contains(instance)) ++count;
@@ -284,10 +284,10 @@
   return count;
 }
 
-uint32_t LoadScheduler::MostLoads() const {
+uint32_t LoadScheduler::MaxLoads() const {
   if (options_.concurrent_loads > 0) return options_.concurrent_loads;
   const auto engines = static_cast<uint32_t>(engines_.size());
-  return std::max(kLeastLoads, (engines + kEnginesPerLoad - 1) / kEnginesPerLoad);
+  return std::max(kMinConcurrentLoads, (engines + kEnginesPerLoad - 1) / kEnginesPerLoad);
 }
 
 void LoadScheduler::StartLoads() {
@@ -296,7 +296,7 @@
   std::vector<InstanceId> behind;
   for (const auto& [instance, engine] : engines_) {
     if (engine.loading || engine.reserved || exchanges_.contains(instance)) continue;
-    if (now < engine.ask_again_at) continue;
+    if (now < engine.next_poll_at) continue;
     if (directory_.Ejected(instance) || !MayOrder(instance)) continue;
     if (!Wanted(instance)) continue;
     behind.push_back(instance);
@@ -309,19 +309,19 @@
     return directory_.Running(a) < directory_.Running(b);
   });
   for (const InstanceId& instance : behind) {
-    if (LoadsUnderWay() >= MostLoads()) return;
+    if (LoadsInProgress() >= MaxLoads()) return;
     // What is under way by now may be enough.
     if (Wanted(instance)) Reserve(instance);
   }
 }
 
-bool LoadScheduler::HasBegunAll(const InstanceId& instance) const {
-  return environment_.Now() - directory_.LatestBegin(instance) >= kBeginTime;
+bool LoadScheduler::HasStartedAll(const InstanceId& instance) const {
+  return environment_.Now() - directory_.LatestBegin(instance) >= kRequestStartTime;
 }
 
 void LoadScheduler::Reserve(const InstanceId& instance) {
   engines_.at(instance).reserved = true;
-  if (directory_.Running(instance) == 0 || HasBegunAll(instance)) AskReport(instance);
+  if (directory_.Running(instance) == 0 || HasStartedAll(instance)) RequestReport(instance);
 }
 
 void LoadScheduler::Release(const InstanceId& instance) {
@@ -330,15 +330,15 @@
   if (on_ready_) on_ready_();
 }
 
-void LoadScheduler::AskReport(const InstanceId& instance) {
+void LoadScheduler::RequestReport(const InstanceId& instance) {
   const BackendInstance* target = directory_.FindLive(instance);
   if (target == nullptr) return Release(instance);
   auto exchange = std::make_unique<BoundedCall>(
-      environment_, kAnswerLimit,
+      environment_, kCallTimeout,
       alive_.Guard([this, instance](int status, const std::string& body) {
         if (exchanges_.erase(instance) == 0 || !engines_.contains(instance)) return;
         EngineLoadState& engine = engines_.at(instance);
-        engine.ask_again_at = environment_.Now() + kNextQuestion;
+        engine.next_poll_at = environment_.Now() + kPollInterval;
         constexpr int kOk = 200;
         const auto report = status == kOk ? protocol_.ReadReport(body)
                                           : absl::UnavailableError("the engine gave no report");
@@ -352,8 +352,8 @@
 
 void LoadScheduler::HandleReport(const InstanceId& instance, const ReportedEngine& report) {
   // Another life of the server answers: what it says is not about this one, which is over.
-  const bool other_life = report.born != BirthTime() && report.born != BirthOf(instance);
-  if (other_life) return directory_.NoteOver(instance);
+  const bool other_incarnation = report.born != BirthTime() && report.born != BirthOf(instance);
+  if (other_incarnation) return directory_.NoteOver(instance);
   EngineLoadState& engine = engines_.at(instance);
   for (const NamedVersion& held : report.models) {
     engine.versions[held.model] = std::max(engine.versions[held.model], held.version);
@@ -369,15 +369,15 @@
   if (engine.loading) {
     const auto held = engine.versions.find(engine.loading->model);
     const bool done = held != engine.versions.end() && held->second >= engine.loading->version;
-    const bool late = environment_.Now() - engine.loading_since > kLongestLoad;
+    const bool late = environment_.Now() - engine.loading_since > kMaxLoadTime;
     if (!done && !late) return;
     EndLoad(instance, done);
   }
   const auto wanted = Wanted(instance);
-  if (wanted) Order(instance, *wanted, report.orders);
+  if (wanted) ProposeOrder(instance, *wanted, report.orders);
 }
 
-Duration LoadScheduler::FirstQuestionAfter() const { return load_time_ * 7 / 8; }
+Duration LoadScheduler::FirstPollDelay() const { return load_time_ * 7 / 8; }
 
 void LoadScheduler::EndLoad(const InstanceId& instance, bool done) {
   EngineLoadState& engine = engines_.at(instance);
@@ -388,7 +388,7 @@
     // Engines are asked before the expected end, so that a shorter time shows; one long load among
     // others counts for a part only.
     const Duration next = took < load_time_ ? took : load_time_ + (took - load_time_) / 4;
-    load_time_ = std::clamp(next, kShortestLoad, kLongestLoad);
+    load_time_ = std::clamp(next, kMinLoadTime, kMaxLoadTime);
   }
   engine.loading.reset();
   if (on_ready_) on_ready_();
@@ -396,37 +396,38 @@
 }
 
 bool LoadScheduler::MayOrder(const InstanceId& instance) const {
-  return group_ != nullptr && leases_.MayAct(SubjectOf(instance), group_->CurrentTerm());
+  return group_ != nullptr && leases_.MayAct(LeaseSubject(instance), group_->CurrentTerm());
 }
 
-void LoadScheduler::Order(const InstanceId& instance, const NamedVersion& wanted, uint64_t orders) {
+void LoadScheduler::ProposeOrder(const InstanceId& instance, const NamedVersion& wanted,
+                                 uint64_t orders) {
   const TimePoint now = environment_.Now();
   if (group_ == nullptr || !caught_up_ || !MayOrder(instance)) return;
   EngineLoadState& engine = engines_.at(instance);
   // New items are kept away while the order is under way.
   engine.loading = wanted;
   engine.loading_since = now;
-  engine.ask_again_at = now + FirstQuestionAfter();
+  engine.next_poll_at = now + FirstPollDelay();
   const AnnounceOrder announced{self_, instance, group_->CurrentTerm(), now.time_since_epoch()};
   const JobCommand announcement{announced, environment_.WallNow()};
   group_->Propose(EncodeJobCommand(announcement),
                   alive_.Guard([this, instance, wanted, orders,
                                 now](const absl::StatusOr<std::string>& committed) {
-                    if (committed.ok()) return Give(instance, wanted, orders, now);
+                    if (committed.ok()) return SendOrder(instance, wanted, orders, now);
                     const auto engine = engines_.find(instance);
                     if (engine != engines_.end()) engine->second.loading.reset();
                   }));
 }
 
-void LoadScheduler::Give(const InstanceId& instance, const NamedVersion& wanted, uint64_t orders,
-                         TimePoint announced_at) {
+void LoadScheduler::SendOrder(const InstanceId& instance, const NamedVersion& wanted,
+                              uint64_t orders, TimePoint announced_at) {
   const BackendInstance* target = directory_.FindLive(instance);
   const auto found = engines_.find(instance);
   if (found == engines_.end()) return;
   // By now every earlier announcement is applied here.
   const bool leads = group_ != nullptr && group_->IsLeader();
   const bool may_order =
-      leads && leases_.MayStillAct(SubjectOf(instance), group_->CurrentTerm(), announced_at);
+      leads && leases_.MayStillAct(LeaseSubject(instance), group_->CurrentTerm(), announced_at);
   if (!may_order || target == nullptr) {
     found->second.loading.reset();
     return;
@@ -441,7 +442,7 @@
   LogEvent(EventId::kLoadOrdered, "instance={} model={} version={} fence={} expected={}", instance,
            wanted.model, wanted.version, order.fence, orders);
   auto exchange = std::make_unique<BoundedCall>(
-      environment_, kAnswerLimit, alive_.Guard([this, instance](int status, const std::string&) {
+      environment_, kCallTimeout, alive_.Guard([this, instance](int status, const std::string&) {
         if (exchanges_.erase(instance) == 0 || !engines_.contains(instance)) return;
         HandleOrderAnswer(instance,
                           status == 0 ? LoadAnswer::kUnknown : protocol_.ReadLoadAnswer(status));
@@ -458,7 +459,7 @@
   switch (answer) {
     case LoadAnswer::kTaken:
       engine.loading_since = now;
-      engine.ask_again_at = now + FirstQuestionAfter();
+      engine.next_poll_at = now + FirstPollDelay();
       return;
     case LoadAnswer::kHolds:
       engine.versions[engine.loading->model] =
@@ -468,13 +469,13 @@
       break;
     case LoadAnswer::kUnknown:
       // Its report tells; an order that is carried out late meets another count of orders.
-      engine.ask_again_at = now + kNextQuestion;
+      engine.next_poll_at = now + kPollInterval;
       LogEvent(EventId::kLoadAnswered, "instance={} model={} version={} answer=none", instance,
                engine.loading->model, engine.loading->version);
       break;
   }
   engine.loading.reset();
-  engine.ask_again_at = now + kNextQuestion;
+  engine.next_poll_at = now + kPollInterval;
   if (on_ready_) on_ready_();
 }
 
@@ -494,7 +495,7 @@
   return engine->second.HeldVersion(model);
 }
 
-bool EngineLoadState::Loads(const ModelName& model) const {
+bool EngineLoadState::IsLoading(const ModelName& model) const {
   if (reserved && assigned == model) return true;
   return loading && loading->model == model;
 }
@@ -520,8 +521,8 @@
   known = version;
 }
 
-void LoadScheduler::NoteVersion(const InstanceId& instance, const ModelName& model,
-                                WeightVersion version) {
+void LoadScheduler::RecordVersion(const InstanceId& instance, const ModelName& model,
+                                  WeightVersion version) {
   const auto engine = engines_.find(instance);
   if (engine == engines_.end()) return;
   WeightVersion& known = engine->second.versions[model];
--- a/source/jobs/load_scheduler.h
+++ b/source/jobs/load_scheduler.h
@@ -31,7 +31,7 @@
   /// Engines that load at once, over all models; 0 is a fifth of them, and two at least.
   uint32_t concurrent_loads = 0;
   /// No order to an engine within this time of another holder's.
-  Duration holder_lease = std::chrono::seconds(3);
+  Duration order_lease = std::chrono::seconds(3);
 };
 
 /// What the jobs of a model ask for.
@@ -52,12 +52,12 @@
   /// A load is under way, or may be.
   std::optional<NamedVersion> loading;
   TimePoint loading_since;
-  TimePoint ask_again_at;
+  TimePoint next_poll_at;
 
   /// 0 is unknown.
   WeightVersion HeldVersion(const ModelName& model) const;
   /// Whether it loads `model` or is about to, so that new runs would be refused.
-  bool Loads(const ModelName& model) const;
+  bool IsLoading(const ModelName& model) const;
 };
 
 /// Lives on the node's serial executor.
@@ -70,20 +70,20 @@
   /// Orders are given from now on, under `group`'s leadership; null ends it.
   void SetLeading(RaftGroup* group);
   /// An announcement was applied here, in the order of the log.
-  void NoteAnnouncement(const AnnounceOrder& announcement) {
-    leases_.NoteAnnouncement({announcement.holder, SubjectOf(announcement.instance),
+  void RecordAnnouncement(const AnnounceOrder& announcement) {
+    leases_.NoteAnnouncement({announcement.holder, LeaseSubject(announcement.instance),
                               announcement.term, announcement.announced_at});
   }
   void Update(const Configuration& configuration, const RouteTable* routes);
   /// A job of `model` came; `work` is in tokens that come out.
-  void NoteJob(const ModelName& model, double work, WeightVersion min_version);
+  void OnJobSubmitted(const ModelName& model, double work, WeightVersion min_version);
   /// The engines of `service` that items go to. Pointers are valid until the directory is next
   /// updated.
   std::vector<const BackendInstance*> EnginesOf(const ServiceName& service) const {
-    return roster_.Engines(service);
+    return active_engines_.Engines(service);
   }
   /// Items wait and no engine of `service` has room.
-  void NoteFull(const ServiceName& service);
+  void OnNoFreeSlot(const ServiceName& service);
   /// Called whenever an engine became able to take items.
   void OnReady(std::function<void()> callback) { on_ready_ = std::move(callback); }
 
@@ -98,44 +98,44 @@
   /// A run was made by older weights than `instance` was believed to hold.
   void CorrectVersion(const InstanceId& instance, const ModelName& model, WeightVersion version);
   /// An answer showed that `instance` holds `version`, or a later one by now.
-  void NoteVersion(const InstanceId& instance, const ModelName& model, WeightVersion version);
+  void RecordVersion(const InstanceId& instance, const ModelName& model, WeightVersion version);
 
  private:
   /// The subject of the lease on a server's orders: the same for all its lives, so that two holders
   /// never take turns at one server.
-  static std::string SubjectOf(const InstanceId& life) { return ServerOf(life).value(); }
+  static std::string LeaseSubject(const InstanceId& instance) { return ServerOf(instance).value(); }
 
   using EngineGroup = std::vector<EngineLoadState*>;
 
   void CatchUp();
   void Tick();
   /// Learns which engines there are, soon: many changes of a moment cost as much as one.
-  void LearnEnginesSoon();
-  void LearnEngines();
+  void ScheduleEngineRefresh();
+  void RefreshEngines();
   uint64_t VersionsBehind(const InstanceId& instance) const;
-  void Assign();
+  void AssignModels();
   /// The one that holds the newest weights of `model`; `engines` is not empty.
   static EngineGroup::iterator NewestOf(EngineGroup& engines, const ModelName& model);
   /// Models that have jobs or a named version; a version may be named after the first jobs.
   std::set<ModelName> TrainedModels() const;
   /// From an order until its engine is asked whether it is done.
-  Duration FirstQuestionAfter() const;
+  Duration FirstPollDelay() const;
   /// Engines that each trained model is to have, by its share of the work.
   std::map<ModelName, size_t> WantedCounts() const;
-  uint32_t LoadsUnderWay() const;
-  uint32_t MostLoads() const;
+  uint32_t LoadsInProgress() const;
+  uint32_t MaxLoads() const;
   void StartLoads();
   /// Whether what was sent to `instance` has begun there by now, so that an order refuses none.
-  bool HasBegunAll(const InstanceId& instance) const;
+  bool HasStartedAll(const InstanceId& instance) const;
   void Reserve(const InstanceId& instance);
   void Release(const InstanceId& instance);
-  void AskReport(const InstanceId& instance);
+  void RequestReport(const InstanceId& instance);
   void HandleReport(const InstanceId& instance, const ReportedEngine& report);
   bool MayOrder(const InstanceId& instance) const;
-  void Order(const InstanceId& instance, const NamedVersion& wanted, uint64_t orders);
+  void ProposeOrder(const InstanceId& instance, const NamedVersion& wanted, uint64_t orders);
   /// The announcement is committed: gives the order if there is still time for it.
-  void Give(const InstanceId& instance, const NamedVersion& wanted, uint64_t orders,
-            TimePoint announced_at);
+  void SendOrder(const InstanceId& instance, const NamedVersion& wanted, uint64_t orders,
+                 TimePoint announced_at);
   void EndLoad(const InstanceId& instance, bool done);
   void HandleOrderAnswer(const InstanceId& instance, LoadAnswer answer);
   std::optional<NamedVersion> Wanted(const InstanceId& instance) const;
@@ -145,7 +145,8 @@
     uint64_t engines = 0;
     uint64_t newest = 0;
   };
-  Progress ProgressOf(const ModelName& model, WeightVersion target, const InstanceId& asking) const;
+  Progress ProgressOf(const ModelName& model, WeightVersion target,
+                      const InstanceId& candidate) const;
 
   Environment& environment_;
   HttpCaller& http_;
@@ -164,13 +165,13 @@
   std::map<ModelName, ModelDemand> demand_;
   /// Services whose engines hold models.
   std::map<ServiceName, std::vector<ModelName>> services_;
-  ActiveEngineSet roster_;
-  TimePoint learned_at_;
+  ActiveEngineSet active_engines_;
+  TimePoint refreshed_at_;
   std::map<InstanceId, EngineLoadState> engines_;
   std::map<InstanceId, std::unique_ptr<BoundedCall>> exchanges_;
   std::function<void()> on_ready_;
   ScopedTimer timer_;
-  ScopedTimer learn_timer_;
+  ScopedTimer refresh_timer_;
   AliveFlag alive_;
 };
 
--- a/source/jobs/storage_node.cc
+++ b/source/jobs/storage_node.cc
@@ -111,17 +111,17 @@
     state_ = machine.get();
     machine->OnChange([this](JobChange change, const JobId& job) {
       if (change == JobChange::kOrderAnnounced)
-        loads_.NoteAnnouncement(state_->announcements().back());
-      if (change == JobChange::kRestored) NoteAnnouncements();
+        loads_.RecordAnnouncement(state_->announcements().back());
+      if (change == JobChange::kRestored) RecordAnnouncements();
       service_.NoteChange(job);
       if (scheduler_ != nullptr) scheduler_->NoteChange(change, job);
     });
     return machine;
   }
 
-  void NoteAnnouncements() {
+  void RecordAnnouncements() {
     for (const AnnounceOrder& announced : state_->announcements()) {
-      loads_.NoteAnnouncement(announced);
+      loads_.RecordAnnouncement(announced);
     }
   }
 
--- a/source/server/node_options.cc
+++ b/source/server/node_options.cc
@@ -130,7 +130,7 @@
   options.replicas.voters = VotersOf(settings);
   options.scheduler.stall_timeout = timing.run_stall;
   options.loads.concurrent_loads = static_cast<uint32_t>(settings.concurrent_loads);
-  options.loads.holder_lease = timing.holder_lease;
+  options.loads.order_lease = timing.holder_lease;
   options.cold_bound = ColdBoundOf(settings);
   return options;
 }
--- a/test/jobs/job_scheduler_test.cc
+++ b/test/jobs/job_scheduler_test.cc
@@ -518,7 +518,7 @@
   // Weights have moved on too far: the text may not be used.
   fixture.state.Apply(LogIndex(51), EncodeJobCommand({EndJob{JobId("k")}, {}}));
   fixture.scheduler.RunFor(milliseconds(10));
-  fixture.loads.NoteVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(2));
+  fixture.loads.RecordVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(2));
   JobSpec later = fixture.Job("l");
   later.min_version = WeightVersion(2);
   fixture.Submit(later);
@@ -672,14 +672,14 @@
 TEST_CASE("A spare group begins on weights whose text still counts when it comes back") {
   ReturnFixture fixture;
   fixture.NameVersion(4);
-  fixture.loads.NoteVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(4));
+  fixture.loads.RecordVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(4));
   fixture.held = "4";
   fixture.SubmitThird();
   fixture.scheduler.RunFor(seconds(2));
   CHECK(fixture.RunsOf("wanted") == 1);
   CHECK(fixture.RunsOf("spare") == 0);
   fixture.NameVersion(5);
-  fixture.loads.NoteVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(5));
+  fixture.loads.RecordVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(5));
   fixture.scheduler.RunFor(milliseconds(200));
   CHECK(fixture.RunsOf("spare") == 1);
 }
@@ -687,7 +687,7 @@
 TEST_CASE("A spare group does not wait for a version that does not come") {
   ReturnFixture fixture;
   fixture.NameVersion(4);
-  fixture.loads.NoteVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(4));
+  fixture.loads.RecordVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(4));
   fixture.held = "4";
   fixture.SubmitThird();
   fixture.scheduler.RunFor(milliseconds(5300));
@@ -723,7 +723,7 @@
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
   fixture.scheduler.RunFor(milliseconds(30));
-  fixture.loads.NoteVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(2));
+  fixture.loads.RecordVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(2));
   fixture.scheduler.RunFor(seconds(2));
   REQUIRE(fixture.ResultOf("j") != nullptr);
   CHECK(fixture.ResultOf("j")->text == "new");
@@ -749,7 +749,7 @@
     return answer;
   });
   fixture.Lead();
-  fixture.loads.NoteVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(2));
+  fixture.loads.RecordVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(2));
   fixture.Submit(fixture.Job("j"));
   fixture.scheduler.RunFor(milliseconds(15));
   fixture.Add("e:2", "engines", [](const HttpRequest&) {
@@ -763,7 +763,7 @@
 TEST_CASE("An engine whose weights are older than believed gets no more of such work") {
   Fixture fixture;
   fixture.Lead();
-  fixture.loads.NoteVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(5));
+  fixture.loads.RecordVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(5));
   JobSpec job = fixture.Job("j");
   job.min_version = WeightVersion(5);
   fixture.Submit(job);
--- a/test/jobs/load_scheduler_test.cc
+++ b/test/jobs/load_scheduler_test.cc
@@ -34,7 +34,7 @@
   explicit Fixture(int engines, LoadOptions options = {}) : loads_options(options) {
     state.OnChange([this](JobChange change, const JobId&) {
       if (change == JobChange::kOrderAnnounced)
-        loads.NoteAnnouncement(state.announcements().back());
+        loads.RecordAnnouncement(state.announcements().back());
     });
     routes.services.push_back(
         {ServiceName("engines"), "", 0, EngineProfile{2, 1, {ModelName("m")}}});
@@ -125,13 +125,13 @@
   fixture.Name(2);
   fixture.scheduler.RunFor(milliseconds(60));
   CHECK(fixture.Orders() == 0);
-  CHECK(fixture.loads.StateOf(InstanceId("e0:1"))->Loads(ModelName("m")));
+  CHECK(fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("m")));
   fixture.scheduler.RunFor(milliseconds(200));
   REQUIRE(fixture.Orders() == 1);
   CHECK(fixture.engines["e0:1"].ordered_at[0] - begun_at >= milliseconds(100));
   fixture.scheduler.RunFor(seconds(2));
   CHECK(fixture.Holding(2) == 1);
-  CHECK_FALSE(fixture.loads.StateOf(InstanceId("e0:1"))->Loads(ModelName("m")));
+  CHECK_FALSE(fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("m")));
 }
 
 TEST_CASE("Every engine gets a version that all jobs need, at most so many at once") {
@@ -150,7 +150,7 @@
   fixture.Lead();
   for (uint64_t version = 2; version <= 6; ++version) {
     fixture.Name(version);
-    fixture.loads.NoteJob(ModelName("m"), 100, WeightVersion(version - 1));
+    fixture.loads.OnJobSubmitted(ModelName("m"), 100, WeightVersion(version - 1));
     fixture.scheduler.RunFor(seconds(5));
     size_t useful = 0;
     for (const auto& [address, engine] : fixture.engines) {
@@ -171,7 +171,7 @@
   constexpr uint64_t kLast = 10;
   for (uint64_t version = 3; version <= kLast; ++version) {
     fixture.Name(version);
-    fixture.loads.NoteJob(ModelName("m"), 100, WeightVersion(version - 1));
+    fixture.loads.OnJobSubmitted(ModelName("m"), 100, WeightVersion(version - 1));
     fixture.scheduler.RunFor(seconds(5));
     size_t useful = 0;
     for (const auto& [address, engine] : fixture.engines) {
@@ -185,7 +185,7 @@
 
 TEST_CASE("A new leader gives no order within the lease of the last holder") {
   LoadOptions options;
-  options.holder_lease = seconds(3);
+  options.order_lease = seconds(3);
   Fixture fixture(1, options);
   fixture.scheduler.RunFor(seconds(10));
   fixture.Announce("other");
@@ -201,7 +201,7 @@
 
 TEST_CASE("An announcement of another holder that is applied late moves the first order again") {
   LoadOptions options;
-  options.holder_lease = seconds(3);
+  options.order_lease = seconds(3);
   Fixture fixture(1, options);
   fixture.scheduler.RunFor(seconds(10));
   fixture.group.commit_time = milliseconds(100);
@@ -217,7 +217,7 @@
 
 TEST_CASE("A holder that comes back goes on at once, whoever held the lease before it") {
   LoadOptions options;
-  options.holder_lease = seconds(3);
+  options.order_lease = seconds(3);
   Fixture fixture(1, options);
   fixture.scheduler.RunFor(seconds(10));
   // As a restarted replica applies them: all at the same moment.
@@ -231,7 +231,7 @@
 
 TEST_CASE("A new leader waits for the lease of the engine's own holder alone") {
   LoadOptions options;
-  options.holder_lease = seconds(3);
+  options.order_lease = seconds(3);
   Fixture fixture(2, options);
   fixture.scheduler.RunFor(seconds(10));
   fixture.Announce("other", "e1:1");
@@ -248,7 +248,7 @@
 
 TEST_CASE("An old log that is applied at once tells how long ago its orders were announced") {
   LoadOptions options;
-  options.holder_lease = seconds(3);
+  options.order_lease = seconds(3);
   Fixture fixture(3, options);
   fixture.scheduler.RunFor(seconds(10));
   fixture.Announce("other", "e0:1", seconds(100));
@@ -320,10 +320,10 @@
   fixture.loads.OnReady([&] { ready = true; });
   fixture.Name(2);
   fixture.scheduler.RunFor(milliseconds(300));
-  CHECK(fixture.loads.StateOf(InstanceId("e0:1"))->Loads(ModelName("m")));
-  CHECK_FALSE(fixture.loads.StateOf(InstanceId("e0:1"))->Loads(ModelName("other")));
+  CHECK(fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("m")));
+  CHECK_FALSE(fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("other")));
   fixture.scheduler.RunFor(seconds(2));
-  CHECK_FALSE(fixture.loads.StateOf(InstanceId("e0:1"))->Loads(ModelName("m")));
+  CHECK_FALSE(fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("m")));
   CHECK(fixture.loads.VersionOf(InstanceId("e0:1"), ModelName("m")) == WeightVersion(2));
   CHECK(ready);
 }
@@ -333,8 +333,8 @@
   fixture.routes.services[0].engine->models = {ModelName("m"), ModelName("small")};
   fixture.Name(2);
   fixture.Name(2, "small");
-  fixture.loads.NoteJob(ModelName("m"), 1000, WeightVersion(2));
-  fixture.loads.NoteJob(ModelName("small"), 1, WeightVersion(2));
+  fixture.loads.OnJobSubmitted(ModelName("m"), 1000, WeightVersion(2));
+  fixture.loads.OnJobSubmitted(ModelName("small"), 1, WeightVersion(2));
   fixture.Lead();
   fixture.scheduler.RunFor(seconds(40));
   size_t large = 0;
@@ -357,7 +357,7 @@
     fixture.Name(version);
     fixture.scheduler.RunFor(milliseconds(200));
     REQUIRE(engine.ordered_at.size() == 1);
-    while (fixture.loads.StateOf(InstanceId("e0:1"))->Loads(ModelName("m"))) {
+    while (fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("m"))) {
       fixture.scheduler.RunFor(milliseconds(5));
     }
     return fixture.scheduler.Now() - engine.ordered_at[0] - load_time;
@@ -373,8 +373,8 @@
   Fixture fixture(6);
   fixture.routes.services[0].engine->models = {ModelName("m"), ModelName("late")};
   fixture.Lead();
-  fixture.loads.NoteJob(ModelName("m"), 100, WeightVersion(1));
-  fixture.loads.NoteJob(ModelName("late"), 100, WeightVersion(1));
+  fixture.loads.OnJobSubmitted(ModelName("m"), 100, WeightVersion(1));
+  fixture.loads.OnJobSubmitted(ModelName("late"), 100, WeightVersion(1));
   fixture.Name(2);
   fixture.scheduler.RunFor(seconds(8));
   CHECK(fixture.Orders() == 3);
