--- a/source/jobs/job_dispatch.cc
+++ b/source/jobs/job_dispatch.cc
@@ -10,13 +10,13 @@
 
 /// So many times the usual time between two events is too long; and the least that is, which leaves
 /// room for a dozen prompts read before the first event and for a run that is preempted.
-constexpr double kStallEvents = 25;
-constexpr Duration kLeastStall = std::chrono::milliseconds(1000);
+constexpr double kStallIntervals = 25;
+constexpr Duration kMinStallTimeout = std::chrono::milliseconds(1000);
 /// How often runs are looked at for a move: as often as waiting items are in quiet times.
 constexpr Duration kMoveInterval = std::chrono::milliseconds(100);
 /// Times that one item is moved, and items that are moved at once.
-constexpr uint32_t kMostMoves = 2;
-constexpr size_t kMovesAtOnce = 4;
+constexpr uint32_t kMaxMovesPerItem = 2;
+constexpr size_t kMaxMovesPerPass = 4;
 
 }  // namespace
 
@@ -43,15 +43,15 @@
       continue;
     }
     full.insert(route);
-    if (!NeedsOneVersion(work, *route)) {
+    if (!RequiresSameVersion(work, *route)) {
       stuck.insert(rank.job);
     }
   }
   for (const Rank& rank : sent) waiting_.erase(rank);
-  for (const Route* route : full) OnNoFreeSlot(*route);
+  for (const Route* route : full) ReportNoFreeSlot(*route);
 }
 
-void JobScheduler::OnNoFreeSlot(const Route& route) {
+void JobScheduler::ReportNoFreeSlot(const Route& route) {
   for (const ServiceShare& share : route.services) loads_.OnNoFreeSlot(share.service);
 }
 
@@ -62,12 +62,13 @@
     const Route* route = record == nullptr ? nullptr : RouteOf(*record);
     if (route == nullptr || record->ended) continue;
     for (const auto& work : job_work.items) {
-      if (work == nullptr || work->phase != Phase::kRunning || work->moves >= kMostMoves) continue;
+      if (work == nullptr || work->phase != Phase::kRunning || work->moves >= kMaxMovesPerItem)
+        continue;
       if (state_.IsRecorded(job, work->index)) continue;
-      const double missing = MissingEvents(*work, *record);
+      const double remaining = RemainingEvents(*work, *record);
       const double here = speeds_.SecondsPerEvent(work->run->instance());
-      if (!WorthMoving(missing, here, speeds_.FastestSeconds())) continue;
-      candidates.push_back({missing, work.get(), record, route});
+      if (!WorthMoving(remaining, here, speeds_.FastestSeconds())) continue;
+      candidates.push_back({remaining, work.get(), record, route});
     }
   }
   std::sort(candidates.begin(), candidates.end(),
@@ -83,7 +84,7 @@
   next_moves_at_ = now + kMoveInterval;
   size_t moved = 0;
   for (const MoveCandidate& candidate : MoveCandidates()) {
-    if (moved >= kMovesAtOnce) return;
+    if (moved >= kMaxMovesPerPass) return;
     if (Move(snapshot, candidate)) ++moved;
   }
 }
@@ -91,15 +92,15 @@
 bool JobScheduler::Move(EngineSnapshot& snapshot, const MoveCandidate& candidate) {
   Work& work = *candidate.work;
   const JobRecord& record = *candidate.record;
-  const double missing = candidate.remaining_events;
+  const double remaining = candidate.remaining_events;
   const InstanceId from = work.run->instance();
   work.avoid = from;
   const BackendInstance* target = PickEngine(snapshot, work, record, *candidate.route);
   if (target == nullptr || speeds_.IsSlow(target->id)) return false;
   const double here = speeds_.SecondsPerEvent(from);
-  if (!WorthMoving(missing, here, speeds_.SecondsPerEvent(target->id))) return false;
+  if (!WorthMoving(remaining, here, speeds_.SecondsPerEvent(target->id))) return false;
   LogEvent(EventId::kItemMoved, "job={} item={} from={} to={} events={} missing={:.0f}", work.job,
-           record.spec.items[work.index].id, from, target->id, work.progress.events, missing);
+           record.spec.items[work.index].id, from, target->id, work.progress.events, remaining);
   ++work.moves;
   work.run.reset();
   snapshot.OnRunEnded(from);
@@ -108,12 +109,12 @@
   return true;
 }
 
-bool JobScheduler::NeedsOneVersion(const Work& work, const Route& route) {
+bool JobScheduler::RequiresSameVersion(const Work& work, const Route& route) {
   return route.single_version && work.progress.events > 0;
 }
 
-bool JobScheduler::AnyHolds(const Route& route, const ModelName& model,
-                            WeightVersion version) const {
+bool JobScheduler::AnyEngineHolds(const Route& route, const ModelName& model,
+                                  WeightVersion version) const {
   for (const ServiceShare& share : route.services) {
     for (const BackendInstance* engine : loads_.EnginesOf(share.service)) {
       if (loads_.VersionOf(engine->id, model) == version) return true;
@@ -122,9 +123,9 @@
   return false;
 }
 
-Duration JobScheduler::StallAt(const InstanceId& engine) const {
-  const Duration expected = FromSeconds(kStallEvents * speeds_.SecondsPerEvent(engine));
-  return std::min(std::max(expected, kLeastStall), options_.stall_timeout);
+Duration JobScheduler::StallTimeout(const InstanceId& engine) const {
+  const Duration expected = FromSeconds(kStallIntervals * speeds_.SecondsPerEvent(engine));
+  return std::min(std::max(expected, kMinStallTimeout), options_.stall_timeout);
 }
 
 InstanceId JobScheduler::SiblingEngine(const Work& work, const JobRecord& record) const {
@@ -136,9 +137,9 @@
 
 const BackendInstance* JobScheduler::PickEngine(EngineSnapshot& snapshot, Work& work,
                                                 const JobRecord& record, const Route& route) {
-  const double missing = MissingEvents(work, record);
-  const WeightVersion oldest = UsefulVersion(work, record);
-  const bool one_version = NeedsOneVersion(work, route);
+  const double remaining = RemainingEvents(work, record);
+  const WeightVersion oldest = MinUsefulVersion(work, record);
+  const bool one_version = RequiresSameVersion(work, route);
   const InstanceId sibling = SiblingEngine(work, record);
   const BackendInstance* best = nullptr;
   double best_cost = 0;
@@ -151,7 +152,7 @@
       if (!engine.HasFreeSlot() || engine.record->id == work.avoid) continue;
       EngineOffer offer = engine.offer;
       offer.has_prompt_cached = engine.record->id == sibling;
-      const double cost = PlacementCost(missing, offer);
+      const double cost = PlacementCost(remaining, offer);
       if (best != nullptr && cost >= best_cost) continue;
       best = engine.record;
       best_cost = cost;
@@ -165,9 +166,9 @@
 
 bool JobScheduler::Dispatch(EngineSnapshot& snapshot, Work& work, const JobRecord& record,
                             const Route& route) {
-  const bool lost =
-      NeedsOneVersion(work, route) && !AnyHolds(route, record.spec.model, work.progress.version);
-  if (lost) BeginAnew(work);
+  const bool lost = RequiresSameVersion(work, route) &&
+                    !AnyEngineHolds(route, record.spec.model, work.progress.version);
+  if (lost) DiscardProgress(work);
   const BackendInstance* engine = PickEngine(snapshot, work, record, route);
   if (engine == nullptr) return false;
   snapshot.OnRunStarted(engine->id);
@@ -194,10 +195,10 @@
 
 void JobScheduler::StartRun(Work& work, const JobRecord& record, const Route& route,
                             const BackendInstance& engine) {
-  ItemRunOptions options{StallAt(engine.id), {record.spec.min_version, route.single_version}};
+  ItemRunOptions options{StallTimeout(engine.id), {record.spec.min_version, route.single_version}};
   work.phase = Phase::kRunning;
   work.runs_on_trial = std::exchange(work.trial_granted, false);
-  work.keep_from = environment_.Now() + kKeepAfter;
+  work.next_save_at = environment_.Now() + kMinSaveInterval;
   work.run = std::make_unique<ItemRun>(environment_, ingress_.directory(), ingress_.protocol(),
                                        work.progress, options,
                                        alive_.Guard([this, job = work.job, index = work.index](
--- a/source/jobs/job_guard.cc
+++ b/source/jobs/job_guard.cc
@@ -14,7 +14,7 @@
 
 /// A held item is looked at again this often: another one of the same content may get further
 /// meanwhile, which clears both.
-constexpr Duration kLookAgain = std::chrono::milliseconds(250);
+constexpr Duration kRecheckInterval = std::chrono::milliseconds(250);
 constexpr char kItemMethod[] = "POST";
 
 }  // namespace
@@ -41,12 +41,12 @@
     case GuardVerdict::kWait:
       return false;
     case GuardVerdict::kTrial:
-      AskForTrial(work, item);
+      RequestTrial(work, item);
       return false;
     case GuardVerdict::kRefuse:
       break;
   }
-  work.not_before = environment_.Now() + kLookAgain;
+  work.not_before = environment_.Now() + kRecheckInterval;
   LogEvent(EventId::kRequestWithheld, "job={} item={} fingerprint={} crashes={} trials={}",
            work.job, record.spec.items[work.index].id, item, decision.count.crashes,
            decision.count.trials);
@@ -58,25 +58,25 @@
   ingress_.guard().ReturnTrial(*work.fingerprint);
 }
 
-void JobScheduler::AskForTrial(Work& work, const RequestFingerprint& item) {
-  if (std::exchange(work.trial_asked, true)) return;
+void JobScheduler::RequestTrial(Work& work, const RequestFingerprint& item) {
+  if (std::exchange(work.trial_requested, true)) return;
   ingress_.guard().BeginTrial(
       item, alive_.Guard([this, job = work.job, index = work.index, item](bool granted) {
-        Work* asked = FindWork(job, index);
-        if (asked == nullptr) {
+        Work* requester = FindWork(job, index);
+        if (requester == nullptr) {
           // Another item of the same content may still use it.
           if (granted) ingress_.guard().ReturnTrial(item);
           return;
         }
-        asked->trial_asked = false;
-        asked->trial_granted = granted;
-        if (!granted) asked->not_before = environment_.Now() + kLookAgain;
-        PumpSoon(Duration(0));
+        requester->trial_requested = false;
+        requester->trial_granted = granted;
+        if (!granted) requester->not_before = environment_.Now() + kRecheckInterval;
+        SchedulePump(Duration(0));
       }));
 }
 
-void JobScheduler::NoteRunEnd(Work& work, const JobRecord& record, const BackendInstance& engine,
-                              ItemRunEnd end) {
+void JobScheduler::ReportRunEnd(Work& work, const JobRecord& record, const BackendInstance& engine,
+                                ItemRunEnd end) {
   RequestGuard& guard = ingress_.guard();
   const uint64_t events = work.progress.events;
   const bool further = work.lost_after_events && events > *work.lost_after_events;
--- a/source/jobs/job_scheduler.cc
+++ b/source/jobs/job_scheduler.cc
@@ -12,18 +12,18 @@
 constexpr Duration kPumpInterval = std::chrono::milliseconds(100);
 /// And no more often than this, whatever is heard: each look costs time for every job and engine,
 /// and in a busy step some hundred runs end in a second. An event of a text takes longer.
-constexpr Duration kLeastPumpInterval = std::chrono::milliseconds(10);
-constexpr Duration kRefusedPause = std::chrono::milliseconds(20);
-constexpr Duration kFailedPause = std::chrono::milliseconds(50);
+constexpr Duration kMinPumpInterval = std::chrono::milliseconds(10);
+constexpr Duration kRefusedRetryDelay = std::chrono::milliseconds(20);
+constexpr Duration kFailedRetryDelay = std::chrono::milliseconds(50);
 /// Items of spare groups wait for newer weights at most this long after a version was named. With
 /// steps each four seconds the next version comes after four to five; the platform's rule on items
 /// that lie idle counts from six seconds after a version.
-constexpr Duration kSpareWait = std::chrono::milliseconds(5500);
+constexpr Duration kMaxSpareWait = std::chrono::milliseconds(5500);
 /// Between two tries to have the leadership confirmed.
-constexpr Duration kCatchUpPause = std::chrono::milliseconds(20);
-constexpr Duration kProposePause = std::chrono::milliseconds(50);
+constexpr Duration kCatchUpRetryDelay = std::chrono::milliseconds(20);
+constexpr Duration kProposeRetryDelay = std::chrono::milliseconds(50);
 /// How often long texts are looked at.
-constexpr Duration kKeepInterval = std::chrono::milliseconds(250);
+constexpr Duration kSaveInterval = std::chrono::milliseconds(250);
 }  // namespace
 
 JobScheduler::JobScheduler(Environment& environment, HttpCaller& http, IngressService& ingress,
@@ -39,7 +39,7 @@
       stats_(stats),
       pump_timer_(environment),
       change_timer_(environment),
-      keep_timer_(environment) {}
+      save_timer_(environment) {}
 
 JobScheduler::~JobScheduler() { SetLeading(false); }
 
@@ -56,24 +56,24 @@
   for (const auto& [job, work] : jobs_) known.push_back(job);
   for (const JobId& job : known) DropJob(job);
   pump_timer_.Cancel();
-  keep_timer_.Cancel();
+  save_timer_.Cancel();
   if (wants_to_lead_) CatchUp();
 }
 
 void JobScheduler::CatchUp() {
   group_.ConfirmRead(alive_.Guard([this, term = term_](const absl::StatusOr<LogIndex>& index) {
     if (!wants_to_lead_ || leading_ || term_ != term) return;
-    if (index.ok()) return Begin();
+    if (index.ok()) return StartWork();
     LogEvent(EventId::kJobCatchUpFailed, "group={} term={} reason=\"{}\"", group_.id(), term,
              std::string(index.status().message()));
-    pump_timer_.Arm(kCatchUpPause, [this] { CatchUp(); });
+    pump_timer_.Arm(kCatchUpRetryDelay, [this] { CatchUp(); });
   }));
 }
 
-void JobScheduler::Begin() {
+void JobScheduler::StartWork() {
   leading_ = true;
-  LearnKeptTexts();
-  KeepProgressSoon();
+  LoadPartialTexts();
+  ScheduleSave();
   std::vector<const JobRecord*> open;
   for (const auto& [job, record] : state_.jobs()) {
     if (!record.ended) open.push_back(&record);
@@ -82,29 +82,29 @@
     return a->submitted_at < b->submitted_at;
   });
   for (const JobRecord* record : open) AddJob(*record);
-  PumpSoon(Duration(0));
+  SchedulePump(Duration(0));
 }
 
-void JobScheduler::NoteChange(JobChange change, const JobId& job) {
+void JobScheduler::OnStateChange(JobChange change, const JobId& job) {
   if (!leading_) return;
   if (change == JobChange::kOrderAnnounced) return;
-  if (change == JobChange::kRestored) restored_ = true;
+  if (change == JobChange::kRestored) was_restored_ = true;
   changed_.insert(job);
-  if (!change_timer_.armed()) change_timer_.Arm(Duration(0), [this] { TakeChanges(); });
+  if (!change_timer_.armed()) change_timer_.Arm(Duration(0), [this] { HandleChanges(); });
 }
 
-void JobScheduler::TakeChanges() {
+void JobScheduler::HandleChanges() {
   if (!leading_) return;
-  if (std::exchange(restored_, false)) return SetLeading(wants_to_lead_);
+  if (std::exchange(was_restored_, false)) return SetLeading(wants_to_lead_);
   for (const JobId& job : std::exchange(changed_, {})) {
     const JobRecord* record = state_.Find(job);
     if (record == nullptr || record->ended) {
       DropJob(job);
-      if (record != nullptr) LearnLengths(*record);
+      if (record != nullptr) UpdateLengths(*record);
     } else if (!jobs_.contains(job)) {
       AddJob(*record);
     } else {
-      DropListed(job);
+      DropRecorded(job);
     }
   }
   Pump();
@@ -116,7 +116,7 @@
   job.order = next_order_++;
   const Route* route = RouteOf(record);
   if (route != nullptr) job.priority = ingress_.routes()->PriorityOf(*route, record.spec.tenant);
-  LearnReturn(record);
+  UpdateReturnLag(record);
   const uint64_t tokens_per_event = TokensPerEvent(record);
   const ItemOrder order =
       OrderItems(record.spec, [this, tokens_per_event](const JobItem& item) -> ItemEstimate {
@@ -134,19 +134,19 @@
     }
     job.items.push_back(std::move(work));
     Work& added = *job.items.back();
-    if (UseListedText(record, added)) {
+    if (ReuseRecordedText(record, added)) {
       Score(added, record);
       continue;
     }
-    UseKeptText(record, added);
-    Wait(added, record);
+    UseSavedText(record, added);
+    Enqueue(added, record);
   }
   const auto event_tokens = static_cast<double>(std::max<uint64_t>(1, tokens_per_event));
   loads_.OnJobSubmitted(record.spec.model, order.expected_events * event_tokens,
                         record.spec.min_version);
 }
 
-void JobScheduler::LearnReturn(const JobRecord& record) {
+void JobScheduler::UpdateReturnLag(const JobRecord& record) {
   for (const JobItem& item : record.spec.items) {
     const auto earlier = lengths_.EarlierMinVersion(item.id);
     if (!earlier || *earlier >= record.spec.min_version) continue;
@@ -155,17 +155,17 @@
   }
 }
 
-WeightVersion JobScheduler::UsefulVersion(const Work& work, const JobRecord& record) const {
+WeightVersion JobScheduler::MinUsefulVersion(const Work& work, const JobRecord& record) const {
   const JobSpec& spec = record.spec;
   const auto known = versions_until_return_.find(spec.model);
   if (!work.spare || known == versions_until_return_.end()) return spec.min_version;
-  if (environment_.Now() >= loads_.NamedAt(spec.model) + kSpareWait) return spec.min_version;
+  if (environment_.Now() >= loads_.NamedAt(spec.model) + kMaxSpareWait) return spec.min_version;
   return WeightVersion(spec.min_version.value() + known->second);
 }
 
-void JobScheduler::Wait(Work& work, const JobRecord& record) {
+void JobScheduler::Enqueue(Work& work, const JobRecord& record) {
   work.phase = Phase::kWaiting;
-  const double seconds = MissingEvents(work, record) * speeds_.TypicalSeconds();
+  const double seconds = RemainingEvents(work, record) * speeds_.TypicalSeconds();
   work.latest_start = DueAt(record) - FromSeconds(seconds);
   waiting_.insert(RankOf(work));
 }
@@ -177,7 +177,7 @@
   return environment_.Now() + allowed - age;
 }
 
-double JobScheduler::MissingEvents(const Work& work, const JobRecord& record) const {
+double JobScheduler::RemainingEvents(const Work& work, const JobRecord& record) const {
   const JobItem& item = record.spec.items[work.index];
   const uint64_t made = work.progress.events;
   const double expected = lengths_.ExpectedEvents(item, made, TokensPerEvent(record));
@@ -194,7 +194,7 @@
   return 0;
 }
 
-void JobScheduler::LearnLengths(const JobRecord& record) {
+void JobScheduler::UpdateLengths(const JobRecord& record) {
   for (size_t position = 0; position < record.results.size(); ++position) {
     const JobResult& result = record.results[position];
     const ItemId& item = record.spec.items[result.item].id;
@@ -214,12 +214,12 @@
   return {job.priority, work.spare, work.latest_start, job.order, work.order, work.job, work.index};
 }
 
-bool JobScheduler::UseListedText(const JobRecord& record, Work& work) {
-  const auto listed = lengths_.RecordedTextOf(record.spec.items[work.index].id);
-  const JobRecord* earlier = listed ? state_.Find(listed->job) : nullptr;
-  if (earlier == nullptr || listed->position >= earlier->results.size()) return false;
+bool JobScheduler::ReuseRecordedText(const JobRecord& record, Work& work) {
+  const auto recorded = lengths_.RecordedTextOf(record.spec.items[work.index].id);
+  const JobRecord* earlier = recorded ? state_.Find(recorded->job) : nullptr;
+  if (earlier == nullptr || recorded->position >= earlier->results.size()) return false;
   if (earlier->spec.tenant != record.spec.tenant) return false;
-  const JobResult& result = earlier->results[listed->position];
+  const JobResult& result = earlier->results[recorded->position];
   const Route* route = RouteOf(record);
   if (route == nullptr || (route->single_version && result.versions.size() > 1)) return false;
   const bool fits =
@@ -230,11 +230,11 @@
   work.progress.events = EventsOfText(result.text);
   work.progress.versions = result.versions;
   LogEvent(EventId::kItemReused, "job={} item={} earlier={} events={}", work.job,
-           record.spec.items[work.index].id, listed->job, work.progress.events);
+           record.spec.items[work.index].id, recorded->job, work.progress.events);
   return true;
 }
 
-void JobScheduler::UseKeptText(const JobRecord& record, Work& work) {
+void JobScheduler::UseSavedText(const JobRecord& record, Work& work) {
   const auto own = record.progress.find(work.index);
   if (own != record.progress.end()) {
     // An earlier leader kept it: this one keeps it anew with what it adds.
@@ -246,10 +246,10 @@
   if (carried) work.progress = *std::move(carried);
 }
 
-void JobScheduler::KeepText(const JobRecord* record, Work& work) {
+void JobScheduler::CachePartialText(const JobRecord* record, Work& work) {
   if (record == nullptr || work.index >= record->spec.items.size()) return;
   const ItemId& item = record->spec.items[work.index].id;
-  if (work.phase == Phase::kListing && work.result.state == ItemState::kDone) {
+  if (work.phase == Phase::kRecording && work.result.state == ItemState::kDone) {
     work.progress.text = std::move(work.result.text);
     work.progress.versions = std::move(work.result.versions);
   }
@@ -257,28 +257,28 @@
   partial_texts_.Store({record->spec.tenant, item}, std::move(work.progress));
 }
 
-void JobScheduler::LearnKeptTexts() {
+void JobScheduler::LoadPartialTexts() {
   for (const auto& [job, record] : state_.jobs()) {
     if (!record.ended) continue;
-    LearnLengths(record);
+    UpdateLengths(record);
     for (const auto& [index, progress] : record.progress) {
       partial_texts_.Store({record.spec.tenant, record.spec.items[index].id}, progress);
     }
   }
 }
 
-void JobScheduler::KeepProgressSoon() {
-  keep_timer_.Arm(kKeepInterval, [this] { KeepLongTexts(); });
+void JobScheduler::ScheduleSave() {
+  save_timer_.Arm(kSaveInterval, [this] { SaveLongTexts(); });
 }
 
-void JobScheduler::KeepLongTexts() {
-  KeepProgressSoon();
+void JobScheduler::SaveLongTexts() {
+  ScheduleSave();
   std::vector<ProgressPart> parts = CollectProgress();
   if (parts.empty()) return;
   const JobCommand command{SaveProgress{parts}, environment_.WallNow()};
   group_.Propose(EncodeJobCommand(command),
                  alive_.Guard([this, parts = std::move(parts)](const auto& result) {
-                   if (!result.ok()) ForgetKept(parts);
+                   if (!result.ok()) MarkUnsaved(parts);
                  }));
 }
 
@@ -287,28 +287,28 @@
   std::vector<ProgressPart> parts;
   for (auto& [job, job_work] : jobs_) {
     for (const auto& work : job_work.items) {
-      if (work == nullptr || work->phase == Phase::kListing || now < work->keep_from) continue;
-      if (work->progress.events == work->kept_events) continue;
-      ProgressPart part{job, work->index, work->kept_events, {work->progress, term_}};
-      part.added.text.erase(0, work->kept_bytes);
-      work->kept_events = work->progress.events;
-      work->kept_bytes = work->progress.text.size();
-      work->keep_from = now + kKeepAfter;
+      if (work == nullptr || work->phase == Phase::kRecording || now < work->next_save_at) continue;
+      if (work->progress.events == work->saved_events) continue;
+      ProgressPart part{job, work->index, work->saved_events, {work->progress, term_}};
+      part.added.text.erase(0, work->saved_bytes);
+      work->saved_events = work->progress.events;
+      work->saved_bytes = work->progress.text.size();
+      work->next_save_at = now + kMinSaveInterval;
       parts.push_back(std::move(part));
     }
   }
   return parts;
 }
 
-void JobScheduler::ForgetKept(Work& work) {
-  work.kept_events = 0;
-  work.kept_bytes = 0;
+void JobScheduler::MarkUnsaved(Work& work) {
+  work.saved_events = 0;
+  work.saved_bytes = 0;
 }
 
-void JobScheduler::ForgetKept(const std::vector<ProgressPart>& parts) {
+void JobScheduler::MarkUnsaved(const std::vector<ProgressPart>& parts) {
   for (const ProgressPart& part : parts) {
     Work* work = FindWork(part.job, part.item);
-    if (work != nullptr) ForgetKept(*work);
+    if (work != nullptr) MarkUnsaved(*work);
   }
 }
 
@@ -321,13 +321,13 @@
     CancelScoring(*work);
     ReturnTrial(*work);
     work->run.reset();
-    const bool listed = state_.IsRecorded(job, work->index);
-    if (leading_ && !listed) KeepText(state_.Find(job), *work);
+    const bool recorded = state_.IsRecorded(job, work->index);
+    if (leading_ && !recorded) CachePartialText(state_.Find(job), *work);
   }
   jobs_.erase(found);
 }
 
-void JobScheduler::DropListed(const JobId& job) {
+void JobScheduler::DropRecorded(const JobId& job) {
   const auto found = jobs_.find(job);
   for (auto& work : found->second.items) {
     if (work == nullptr || !state_.IsRecorded(job, work->index)) continue;
@@ -338,25 +338,25 @@
   }
 }
 
-void JobScheduler::PumpSoon(Duration delay) {
+void JobScheduler::SchedulePump(Duration delay) {
   pump_timer_.Arm(delay, [this] { Pump(); });
 }
 
 void JobScheduler::Pump() {
   if (!leading_) return;
   const TimePoint now = environment_.Now();
-  if (now < next_pump_at_) return PumpSoon(next_pump_at_ - now);
-  next_pump_at_ = now + kLeastPumpInterval;
-  GiveUpOld();
+  if (now < next_pump_at_) return SchedulePump(next_pump_at_ - now);
+  next_pump_at_ = now + kMinPumpInterval;
+  FailExpiredItems();
   StartScoring();
   speeds_.Recompute();
-  if (allowed_()) {
+  if (may_start_work_()) {
     EngineSnapshot snapshot(ingress_.directory(), loads_, speeds_, now);
     DispatchWaiting(snapshot);
     MoveToFasterEngines(snapshot);
   }
   if (jobs_.empty()) return pump_timer_.Cancel();
-  PumpSoon(kPumpInterval);
+  SchedulePump(kPumpInterval);
 }
 
 const Route* JobScheduler::RouteOf(const JobRecord& record) const {
@@ -366,7 +366,7 @@
   return route != nullptr && route->kind == RouteKind::kJobs ? route : nullptr;
 }
 
-void JobScheduler::NoteListed(const JobId& job, uint32_t index) {
+void JobScheduler::OnRecorded(const JobId& job, uint32_t index) {
   const JobRecord* record = state_.Find(job);
   if (record == nullptr || index >= record->spec.items.size()) return;
   const Duration age = environment_.WallNow() - record->submitted_at;
@@ -417,7 +417,7 @@
              record->spec.items[index].id, instance, work->progress.events, ItemRunEndName(end),
              reason);
   }
-  NoteRunEnd(*work, *record, engine, end);
+  ReportRunEnd(*work, *record, engine, end);
   const Route* route = RouteOf(*record);
   const uint32_t attempts = route == nullptr ? 1 : route->attempts;
   switch (end) {
@@ -428,63 +428,63 @@
     case ItemRunEnd::kWrongInstance:
     case ItemRunEnd::kUnreachable:
       work->avoid = instance;
-      Requeue(*work, kRefusedPause);
+      Requeue(*work, kRefusedRetryDelay);
       break;
     case ItemRunEnd::kServerError:
       ++work->server_errors;
       if (work->server_errors >= attempts) {
-        List(*work, ItemState::kFailed, "");
+        RecordOutcome(*work, ItemState::kFailed, "");
       } else {
         work->avoid = instance;
-        Requeue(*work, kFailedPause);
+        Requeue(*work, kFailedRetryDelay);
       }
       break;
     case ItemRunEnd::kImpossible:
-      List(*work, ItemState::kFailed, "");
+      RecordOutcome(*work, ItemState::kFailed, "");
       break;
     case ItemRunEnd::kWrongVersion:
-      BeginAnew(*work);
-      Requeue(*work, kRefusedPause);
+      DiscardProgress(*work);
+      Requeue(*work, kRefusedRetryDelay);
       break;
     case ItemRunEnd::kBroken:
       work->avoid = instance;
-      Requeue(*work, kFailedPause);
+      Requeue(*work, kFailedRetryDelay);
       break;
   }
-  PumpSoon(Duration(0));
+  SchedulePump(Duration(0));
 }
 
-void JobScheduler::BeginAnew(Work& work) {
+void JobScheduler::DiscardProgress(Work& work) {
   work.progress.Clear();
-  ForgetKept(work);
+  MarkUnsaved(work);
 }
 
 void JobScheduler::Requeue(Work& work, Duration pause) {
   const JobRecord* record = state_.Find(work.job);
   if (record == nullptr) return;
   work.not_before = environment_.Now() + pause;
-  Wait(work, *record);
+  Enqueue(work, *record);
 }
 
-void JobScheduler::GiveUpOld() {
+void JobScheduler::FailExpiredItems() {
   for (auto& [job, work] : jobs_) {
     const JobRecord* record = state_.Find(job);
     const Route* route = record == nullptr ? nullptr : RouteOf(*record);
     if (record == nullptr || route == nullptr || route->item_lifetime <= Duration(0)) continue;
     if (environment_.WallNow() - record->submitted_at <= route->item_lifetime) continue;
     for (const auto& item : work.items) {
-      if (item == nullptr || item->phase == Phase::kListing) continue;
+      if (item == nullptr || item->phase == Phase::kRecording) continue;
       waiting_.erase(RankOf(*item));
       CancelScoring(*item);
       ReturnTrial(*item);
       item->run.reset();
-      List(*item, ItemState::kFailed, "");
+      RecordOutcome(*item, ItemState::kFailed, "");
     }
   }
 }
 
-void JobScheduler::List(Work& work, ItemState state, std::string score) {
-  work.phase = Phase::kListing;
+void JobScheduler::RecordOutcome(Work& work, ItemState state, std::string score) {
+  work.phase = Phase::kRecording;
   work.result.item = work.index;
   work.result.state = state;
   work.result.score = std::move(score);
@@ -501,13 +501,13 @@
 void JobScheduler::Propose(const JobId& job, uint32_t index) {
   Work* work = FindWork(job, index);
   if (work == nullptr || !leading_) return;
-  RecordResult list{job, work->result};
-  if (work->kept_events > 0 && work->result.state == ItemState::kDone) {
-    list.after = work->kept_events;
-    list.term = term_;
-    list.result.text.erase(0, work->kept_bytes);
+  RecordResult record{job, work->result};
+  if (work->saved_events > 0 && work->result.state == ItemState::kDone) {
+    record.after = work->saved_events;
+    record.term = term_;
+    record.result.text.erase(0, work->saved_bytes);
   }
-  const JobCommand command{std::move(list), environment_.WallNow()};
+  const JobCommand command{std::move(record), environment_.WallNow()};
   group_.Propose(EncodeJobCommand(command),
                  alive_.Guard([this, job, index](const absl::StatusOr<std::string>& result) {
                    OnProposed(job, index, result);
@@ -516,16 +516,16 @@
 
 void JobScheduler::OnProposed(const JobId& job, uint32_t index,
                               const absl::StatusOr<std::string>& result) {
-  if (state_.IsRecorded(job, index)) return NoteListed(job, index);
+  if (state_.IsRecorded(job, index)) return OnRecorded(job, index);
   Work* work = FindWork(job, index);
   if (work == nullptr) return;
   // What was kept is not there as this leader believed: the whole text is listed.
   const auto code = result.ok() ? DecodeJobResultCode(*result) : result.status();
   if (code.ok() && *code == JobResultCode::kNotSaved) {
-    ForgetKept(*work);
+    MarkUnsaved(*work);
     return Propose(job, index);
   }
-  environment_.Schedule(kProposePause, alive_.Guard([this, job, index] {
+  environment_.Schedule(kProposeRetryDelay, alive_.Guard([this, job, index] {
     if (!state_.IsRecorded(job, index)) Propose(job, index);
   }));
 }
--- a/source/jobs/job_scheduler.h
+++ b/source/jobs/job_scheduler.h
@@ -30,7 +30,7 @@
 namespace millstair {
 
 /// How long a text grows before it is kept, and from then on before it is kept again.
-inline constexpr Duration kKeepAfter = std::chrono::milliseconds(750);
+inline constexpr Duration kMinSaveInterval = std::chrono::milliseconds(750);
 
 struct JobSchedulerOptions {
   /// Without a byte for this long a run is broken off and goes on elsewhere, at the latest; earlier
@@ -52,14 +52,14 @@
   /// is applied here: before that, listed items would be run again and kept texts be overwritten.
   void SetLeading(bool leading);
   /// May new work be given out: the configuration held is proven fresh.
-  void SetAllowed(std::function<bool()> allowed) { allowed_ = std::move(allowed); }
+  void SetMayStartWork(std::function<bool()> allowed) { may_start_work_ = std::move(allowed); }
   /// The state machine applied a change; work is done from a timer.
-  void NoteChange(JobChange change, const JobId& job);
+  void OnStateChange(JobChange change, const JobId& job);
   /// Back ends, routes or versions changed.
   void Pump();
 
  private:
-  enum class Phase : uint8_t { kWaiting, kRunning, kScoring, kListing };
+  enum class Phase : uint8_t { kWaiting, kRunning, kScoring, kRecording };
   struct Work {
     JobId job;
     uint32_t index = 0;
@@ -72,9 +72,9 @@
     Phase phase = Phase::kWaiting;
     ItemProgress progress;
     /// What of `progress` the group's log holds.
-    uint64_t kept_events = 0;
-    size_t kept_bytes = 0;
-    TimePoint keep_from;
+    uint64_t saved_events = 0;
+    size_t saved_bytes = 0;
+    TimePoint next_save_at;
     uint32_t server_errors = 0;
     uint32_t scoring_errors = 0;
     TimePoint not_before;
@@ -90,7 +90,7 @@
     std::optional<uint64_t> lost_after_events;
     /// The item is held, and the cluster is asked for a trial, or has granted one that no run has
     /// used yet.
-    bool trial_asked = false;
+    bool trial_requested = false;
     bool trial_granted = false;
     /// The present run is a trial.
     bool runs_on_trial = false;
@@ -119,45 +119,45 @@
   };
 
   void CatchUp();
-  void Begin();
+  void StartWork();
   void AddJob(const JobRecord& record);
   void DropJob(const JobId& job);
   Rank RankOf(const Work& work) const;
   /// Learns from items that come back by how many versions their clients have moved on.
-  void LearnReturn(const JobRecord& record);
+  void UpdateReturnLag(const JobRecord& record);
   /// The oldest weights with which `work` is worth beginning now. A group that its client does not
   /// wait for comes back in a later job, which can go on after its text only if that was made by
   /// weights new enough for that job.
-  WeightVersion UsefulVersion(const Work& work, const JobRecord& record) const;
+  WeightVersion MinUsefulVersion(const Work& work, const JobRecord& record) const;
   /// Puts `work` among the waiting items.
-  void Wait(Work& work, const JobRecord& record);
+  void Enqueue(Work& work, const JobRecord& record);
   /// When the results of the job are due.
   TimePoint DueAt(const JobRecord& record) const;
   /// Events that are expected to be missing of the item's text; one at least.
-  double MissingEvents(const Work& work, const JobRecord& record) const;
+  double RemainingEvents(const Work& work, const JobRecord& record) const;
   /// As the configuration tells of the engines of the job's service; 0 is unknown.
   uint64_t TokensPerEvent(const JobRecord& record) const;
   /// Notes how long the items of an ended job are, as far as is known.
-  void LearnLengths(const JobRecord& record);
+  void UpdateLengths(const JobRecord& record);
   /// Takes up the whole text that an earlier job lists of the same item, if its versions fit. An
   /// item is not run again without need: its earlier result may still be read, and is judged
   /// against what engines made of the item until then.
-  bool UseListedText(const JobRecord& record, Work& work);
+  bool ReuseRecordedText(const JobRecord& record, Work& work);
   /// Takes up text that an earlier job left of the same items.
-  void UseKeptText(const JobRecord& record, Work& work);
-  void KeepText(const JobRecord* record, Work& work);
+  void UseSavedText(const JobRecord& record, Work& work);
+  void CachePartialText(const JobRecord* record, Work& work);
   /// Text that ended jobs left in the group's log.
-  void LearnKeptTexts();
-  void KeepProgressSoon();
+  void LoadPartialTexts();
+  void ScheduleSave();
   /// Proposes what long texts grew by.
-  void KeepLongTexts();
+  void SaveLongTexts();
   std::vector<ProgressPart> CollectProgress();
   /// The next part replaces what the group's log holds.
-  static void ForgetKept(Work& work);
-  void ForgetKept(const std::vector<ProgressPart>& parts);
-  void DropListed(const JobId& job);
-  void TakeChanges();
-  void PumpSoon(Duration delay);
+  static void MarkUnsaved(Work& work);
+  void MarkUnsaved(const std::vector<ProgressPart>& parts);
+  void DropRecorded(const JobId& job);
+  void HandleChanges();
+  void SchedulePump(Duration delay);
   /// A run that could go on at a faster engine.
   struct MoveCandidate {
     double remaining_events = 0;
@@ -170,29 +170,29 @@
   /// Runs go on at faster engines that have room left, those first that are far from whole.
   void MoveToFasterEngines(EngineSnapshot& snapshot);
   /// Items of `route` wait and found no engine.
-  void OnNoFreeSlot(const Route& route);
+  void ReportNoFreeSlot(const Route& route);
   /// Those first that are far from whole.
   std::vector<MoveCandidate> MoveCandidates();
   bool Move(EngineSnapshot& snapshot, const MoveCandidate& candidate);
   /// False while the item is held because engines ended under it: then it waits on.
   bool MaySend(Work& work, const JobRecord& record);
-  void AskForTrial(Work& work, const RequestFingerprint& item);
+  void RequestTrial(Work& work, const RequestFingerprint& item);
   /// `work` goes and has not used the trial that it was granted, if any.
   void ReturnTrial(Work& work);
   const RequestFingerprint& FingerprintOf(Work& work, const JobRecord& record);
   /// Tells the guard how the run that just ended speaks for or against the item.
-  void NoteRunEnd(Work& work, const JobRecord& record, const BackendInstance& engine,
-                  ItemRunEnd end);
+  void ReportRunEnd(Work& work, const JobRecord& record, const BackendInstance& engine,
+                    ItemRunEnd end);
   bool Dispatch(EngineSnapshot& snapshot, Work& work, const JobRecord& record, const Route& route);
   void StartRun(Work& work, const JobRecord& record, const Route& route,
                 const BackendInstance& engine);
   BackendRequest RequestFor(const Work& work, const JobRecord& record, const Route& route,
                             const InstanceId& engine) const;
   /// Whether only engines of the version that made the text so far may go on with it.
-  static bool NeedsOneVersion(const Work& work, const Route& route);
-  bool AnyHolds(const Route& route, const ModelName& model, WeightVersion version) const;
+  static bool RequiresSameVersion(const Work& work, const Route& route);
+  bool AnyEngineHolds(const Route& route, const ModelName& model, WeightVersion version) const;
   /// Without a byte for this long a run at `engine` counts as broken.
-  Duration StallAt(const InstanceId& engine) const;
+  Duration StallTimeout(const InstanceId& engine) const;
   /// Engine that ran the latest item of the same group; empty if none did.
   InstanceId SiblingEngine(const Work& work, const JobRecord& record) const;
   /// Where the rest of `work` is expected to be whole first; null if no engine may begin it now.
@@ -200,25 +200,25 @@
                                     const Route& route);
   void OnRunEnd(const JobId& job, uint32_t index, ItemRunEnd end, const std::string& reason);
   void Requeue(Work& work, Duration pause);
-  void BeginAnew(Work& work);
+  void DiscardProgress(Work& work);
   /// Has the whole text judged once the scorers have a place for it.
   void Score(Work& work, const JobRecord& record);
   /// Begins scorings that wait, those first that have the least time to spare. No more run at once
   /// than the live scorers work on: a burst of whole texts would fill their queues, in which the
   /// requests of clients wait too, and be refused and repeated tens of times.
   void StartScoring();
-  void BeginScoring(Work& work, const JobRecord& record);
+  void SendScoringRequest(Work& work, const JobRecord& record);
   void EndScoring(Work& work);
   /// Whether it runs or waits.
   void CancelScoring(Work& work);
   /// Requests that the live back ends of the route work on at once.
-  uint32_t MostScorings(const std::string& route_name) const;
+  uint32_t MaxScorings(const std::string& route_name) const;
   void OnScored(const JobId& job, uint32_t index, const ForwardResult& result);
-  void GiveUpOld();
-  void List(Work& work, ItemState state, std::string score);
+  void FailExpiredItems();
+  void RecordOutcome(Work& work, ItemState state, std::string score);
   void Propose(const JobId& job, uint32_t index);
   void OnProposed(const JobId& job, uint32_t index, const absl::StatusOr<std::string>& result);
-  void NoteListed(const JobId& job, uint32_t index);
+  void OnRecorded(const JobId& job, uint32_t index);
   Work* FindWork(const JobId& job, uint32_t index);
   const Route* RouteOf(const JobRecord& record) const;
   /// The run's callbacks are still running: it goes a moment later.
@@ -232,7 +232,7 @@
   RaftGroup& group_;
   const JobSchedulerOptions options_;
   StatsRegistry* const stats_;
-  std::function<bool()> allowed_ = [] { return true; };
+  std::function<bool()> may_start_work_ = [] { return true; };
   bool wants_to_lead_ = false;
   /// Leads, and has applied all that earlier leaders committed.
   bool leading_ = false;
@@ -255,10 +255,10 @@
   TimePoint next_pump_at_;
   /// Jobs that changed since the last run of the timer.
   std::set<JobId> changed_;
-  bool restored_ = false;
+  bool was_restored_ = false;
   ScopedTimer pump_timer_;
   ScopedTimer change_timer_;
-  ScopedTimer keep_timer_;
+  ScopedTimer save_timer_;
   AliveFlag alive_;
 };
 
--- a/source/jobs/job_scoring.cc
+++ b/source/jobs/job_scoring.cc
@@ -9,17 +9,17 @@
 namespace millstair {
 namespace {
 
-constexpr Duration kFailedPause = std::chrono::milliseconds(50);
-constexpr Duration kLongestPause = std::chrono::seconds(1);
+constexpr Duration kFailedRetryDelay = std::chrono::milliseconds(50);
+constexpr Duration kMaxRetryDelay = std::chrono::seconds(1);
 /// Scorings at once that no route leads anywhere: each is tried again soon, in case a route comes.
-constexpr uint32_t kMostUnrouted = 8;
+constexpr uint32_t kMaxUnroutedScorings = 8;
 constexpr int kInternalServerError = 500;
 
 }  // namespace
 
 void JobScheduler::Score(Work& work, const JobRecord& record) {
   const auto& scoring = record.spec.items[work.index].scoring;
-  if (!scoring) return List(work, ItemState::kDone, "");
+  if (!scoring) return RecordOutcome(work, ItemState::kDone, "");
   const RouteTable* routes = ingress_.routes();
   const Route* route = routes == nullptr ? nullptr : routes->Find(scoring->host, scoring->path);
   work.phase = Phase::kScoring;
@@ -28,36 +28,37 @@
   StartScoring();
 }
 
-uint32_t JobScheduler::MostScorings(const std::string& route_name) const {
+uint32_t JobScheduler::MaxScorings(const std::string& route_name) const {
   const RouteTable* routes = ingress_.routes();
   const Route* route = routes == nullptr ? nullptr : routes->FindByName(route_name);
-  if (route == nullptr) return kMostUnrouted;
-  uint32_t places = 0;
+  if (route == nullptr) return kMaxUnroutedScorings;
+  uint32_t slots = 0;
   for (const ServiceShare& share : route->services) {
     for (const BackendInstance* scorer : ingress_.directory().Live(share.service)) {
-      places += std::max(1U, scorer->slots);
+      slots += std::max(1U, scorer->slots);
     }
   }
-  return std::max(1U, places);
+  return std::max(1U, slots);
 }
 
 void JobScheduler::StartScoring() {
   // The scorer is found by a route, which may have moved: like items, texts wait until the routes
   // are proven. Pump comes back to them.
-  if (!allowed_()) return;
+  if (!may_start_work_()) return;
   for (auto& [route, waiting] : scoring_waiting_) {
-    const uint32_t most = waiting.empty() ? 0 : MostScorings(route);
-    while (!waiting.empty() && scorings_[route] < most) {
+    const uint32_t max = waiting.empty() ? 0 : MaxScorings(route);
+    while (!waiting.empty() && scorings_[route] < max) {
       const Rank next = waiting.extract(waiting.begin()).value();
       Work* work = FindWork(next.job, next.index);
       const JobRecord* record = state_.Find(next.job);
-      if (work != nullptr && record != nullptr && !record->ended) BeginScoring(*work, *record);
+      if (work != nullptr && record != nullptr && !record->ended)
+        SendScoringRequest(*work, *record);
     }
   }
   std::erase_if(scoring_waiting_, [](const auto& entry) { return entry.second.empty(); });
 }
 
-void JobScheduler::BeginScoring(Work& work, const JobRecord& record) {
+void JobScheduler::SendScoringRequest(Work& work, const JobRecord& record) {
   const JobScoring& scoring = *record.spec.items[work.index].scoring;
   ++scorings_[work.scoring_route];
   ForwardRequest request{
@@ -91,7 +92,7 @@
   StartScoring();
   const bool answered = result.outcome == ForwardOutcome::kAnswered;
   if (answered && IsSuccess(result.head.status) && !result.signature.empty()) {
-    return List(*work, ItemState::kDone, result.signature);
+    return RecordOutcome(*work, ItemState::kDone, result.signature);
   }
   work->scoring_errors += result.server_errors;
   if (answered && result.head.status == kInternalServerError) {
@@ -102,10 +103,10 @@
                               : ingress_.routes()->Find(scoring.host, scoring.path);
     const uint32_t attempts =
         std::max(own == nullptr ? 1 : own->attempts, scorer == nullptr ? 1 : scorer->attempts);
-    if (work->scoring_errors >= attempts) return List(*work, ItemState::kFailed, "");
+    if (work->scoring_errors >= attempts) return RecordOutcome(*work, ItemState::kFailed, "");
   }
   // A call that is held is not worth asking for again at once.
-  const Duration pause = std::clamp(result.retry_after, kFailedPause, kLongestPause);
+  const Duration pause = std::clamp(result.retry_after, kFailedRetryDelay, kMaxRetryDelay);
   environment_.Schedule(pause, alive_.Guard([this, job, index] {
     Work* again = FindWork(job, index);
     const JobRecord* known = state_.Find(job);
--- a/source/jobs/job_service.cc
+++ b/source/jobs/job_service.cc
@@ -112,7 +112,7 @@
   });
 }
 
-void JobService::NoteChange(const JobId& job) {
+void JobService::OnStateChange(const JobId& job) {
   if (held_.empty()) return;
   changed_.insert(job);
   if (!change_timer_.armed()) change_timer_.Arm(Duration(0), [this] { AnswerChanged(); });
--- a/source/jobs/job_service.h
+++ b/source/jobs/job_service.h
@@ -33,7 +33,7 @@
   /// A message of kind kCommand for the group.
   void Receive(const NodeId& from, const PeerMessage& message);
   /// The state machine applied a change; held queries are answered from a timer.
-  void NoteChange(const JobId& job);
+  void OnStateChange(const JobId& job);
 
  private:
   using Callback = std::function<void(absl::StatusOr<std::string>)>;
--- a/source/jobs/storage_node.cc
+++ b/source/jobs/storage_node.cc
@@ -113,8 +113,8 @@
       if (change == JobChange::kOrderAnnounced)
         loads_.RecordAnnouncement(state_->announcements().back());
       if (change == JobChange::kRestored) RecordAnnouncements();
-      service_.NoteChange(job);
-      if (scheduler_ != nullptr) scheduler_->NoteChange(change, job);
+      service_.OnStateChange(job);
+      if (scheduler_ != nullptr) scheduler_->OnStateChange(change, job);
     });
     return machine;
   }
@@ -182,7 +182,7 @@
     if (leads && scheduler_ == nullptr) {
       scheduler_ = std::make_unique<JobScheduler>(environment_, http_, ingress_, loads_, *state_,
                                                   *group, options_.scheduler, options_.stats);
-      scheduler_->SetAllowed([this] { return configuration_client_->LeaseValid(); });
+      scheduler_->SetMayStartWork([this] { return configuration_client_->LeaseValid(); });
       loads_.OnReady([this] { scheduler_->Pump(); });
     }
     if (scheduler_ != nullptr) scheduler_->SetLeading(leads);
--- a/test/jobs/crashing_item_test.cc
+++ b/test/jobs/crashing_item_test.cc
@@ -85,7 +85,7 @@
         {ServiceName("engines"), "/healthz", 0, EngineProfile{2, 1, {ModelName("m")}}}};
     configuration.routing = {1, "content"};
     state.OnChange([this](JobChange change, const JobId& job) {
-      scheduler_under_test.NoteChange(change, job);
+      scheduler_under_test.OnStateChange(change, job);
     });
     for (int i = 1; i <= kEngines; ++i) {
       const std::string address = fmt::format("e:{}", i);
--- a/test/jobs/job_scheduler_test.cc
+++ b/test/jobs/job_scheduler_test.cc
@@ -44,7 +44,7 @@
     Add("e:1", "engines", [](const HttpRequest&) { return Text({"1||one\n\n", "2||two\n\n"}); });
     Add("p:1", "pages", [this](const HttpRequest&) { return score; });
     state.OnChange([this](JobChange change, const JobId& job) {
-      scheduler_under_test.NoteChange(change, job);
+      scheduler_under_test.OnStateChange(change, job);
     });
   }
 
@@ -138,7 +138,7 @@
 TEST_CASE("Nothing is sent while the configuration is not proven fresh") {
   Fixture fixture;
   bool fresh = false;
-  fixture.scheduler_under_test.SetAllowed([&] { return fresh; });
+  fixture.scheduler_under_test.SetMayStartWork([&] { return fresh; });
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
   fixture.scheduler.RunFor(seconds(1));
@@ -153,7 +153,7 @@
 TEST_CASE("A whole text is not scored while the configuration is not proven fresh") {
   Fixture fixture;
   bool fresh = true;
-  fixture.scheduler_under_test.SetAllowed([&] { return fresh; });
+  fixture.scheduler_under_test.SetMayStartWork([&] { return fresh; });
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
   const auto runs = [&] { return fixture.backends.CountAt("e:1") == 1; };
--- a/test/jobs/job_service_test.cc
+++ b/test/jobs/job_service_test.cc
@@ -51,8 +51,8 @@
     follower.leader = false;
     follower.leader_node = NodeId("s1");
     state.OnChange([this](JobChange, const JobId& job) {
-      first.NoteChange(job);
-      second.NoteChange(job);
+      first.OnStateChange(job);
+      second.OnStateChange(job);
     });
     first.Attach(&leader, &state);
     second.Attach(&follower, &state);
