--- a/source/jobs/ingress_node.cc
+++ b/source/jobs/ingress_node.cc
@@ -5,17 +5,17 @@
 
 #include "cluster/cluster_commands.h"
 #include "cluster/cluster_replica.h"
-#include "jobs/job_group_founder.h"
+#include "jobs/job_group_bootstrapper.h"
 #include "jobs/job_group_nodes.h"
 
 namespace millstair {
 namespace {
 
 /// A report that is not known to be committed by then is sent again under the same number.
-constexpr Duration kClusterPatience = std::chrono::seconds(5);
+constexpr Duration kClusterTimeout = std::chrono::seconds(5);
 /// An answer that comes later says little: the time between is not known.
-constexpr Duration kTimePatience = std::chrono::milliseconds(400);
-constexpr Duration kReadyPoll = std::chrono::milliseconds(50);
+constexpr Duration kTimeQueryTimeout = std::chrono::milliseconds(400);
+constexpr Duration kReadyPollInterval = std::chrono::milliseconds(50);
 
 }  // namespace
 
@@ -37,18 +37,18 @@
             SubmitUsage(report, std::move(done));
           },
           [this](WallTime own, std::function<void(std::optional<WallTime>)> done) {
-            AskTime(own, std::move(done));
+            QueryTime(own, std::move(done));
           }),
       ingress_(environment, http, protocol, reader, options.self.zone, options.stats),
       jobs_(
           environment, transport,
           [this] { return JobNodesForChanges(configuration(), kJobGroup, zone_); },
           [this] { return JobNodesForReads(configuration(), kJobGroup, zone_); }),
-      cold_turns_(environment, options.self.node, options.configuration_timing.lease),
+      cold_assignment_(environment, options.self.node, options.configuration_timing.lease),
       ready_timer_(environment) {
   ingress_.SetColdBound(options.cold_bound);
   ingress_.directory().SetColdTurn([this](const InstanceId& instance) {
-    return cold_turns_.IsOurs(instance.value(), configuration_->ProvenSince());
+    return cold_assignment_.IsOurs(instance.value(), configuration_->ProvenSince());
   });
   ingress_.SetSuspectRegister(suspects_);
   ingress_.SetFresh([this] { return LeaseValid(); });
@@ -88,18 +88,18 @@
 }
 
 void IngressNode::SubmitUsage(const UsageReport& report, std::function<void(bool)> done) {
-  SubmitOperation(cluster_, AddUsage{report}, kClusterPatience,
+  SubmitOperation(cluster_, AddUsage{report}, kClusterTimeout,
                   [done = std::move(done)](const absl::StatusOr<ClusterResult>& result) {
                     done(result.ok() && result->code == ClusterResultCode::kOk);
                   });
 }
 
-void IngressNode::AskTime(WallTime own, std::function<void(std::optional<WallTime>)> done) {
+void IngressNode::QueryTime(WallTime own, std::function<void(std::optional<WallTime>)> done) {
   ClusterQuery query;
   query.kind = ClusterQueryKind::kTime;
   query.node = self_;
   query.wall = own;
-  cluster_.Submit(CommandMode::kQuery, EncodeClusterQuery(query), kTimePatience,
+  cluster_.Submit(CommandMode::kQuery, EncodeClusterQuery(query), kTimeQueryTimeout,
                   [done = std::move(done)](const absl::StatusOr<std::string>& answer) {
                     const auto time = answer.ok() ? DecodeAgreedTime(*answer) : answer.status();
                     done(time.ok() ? std::optional(*time) : std::nullopt);
@@ -110,13 +110,13 @@
   for (const NodeRecord& record : changes.changed_nodes) {
     if (record.node != self_ && record.storage) transport_.SetAddress(record.node, record.address);
   }
-  if (TouchesNodes(changes)) cold_turns_.Update(configuration());
+  if (TouchesNodes(changes)) cold_assignment_.Update(configuration());
   ingress_.Apply(configuration(), changes);
 }
 
 void IngressNode::CheckReady() {
   ready_ = ingress_.routes() != nullptr && configuration_->LeaseValid();
-  if (!ready_) ready_timer_.Arm(kReadyPoll, [this] { CheckReady(); });
+  if (!ready_) ready_timer_.Arm(kReadyPollInterval, [this] { CheckReady(); });
 }
 
 Admission IngressNode::Admit(const Route* route, std::optional<std::string_view> key) const {
@@ -135,8 +135,8 @@
 }
 
 void IngressNode::WhenCurrent(std::function<void(Duration waited)> work) {
-  configuration_->WhenCurrent([this, came_at = environment_.Now(), work = std::move(work)] {
-    work(environment_.Now() - came_at);
+  configuration_->WhenCurrent([this, received_at = environment_.Now(), work = std::move(work)] {
+    work(environment_.Now() - received_at);
   });
 }
 
--- a/source/jobs/ingress_node.h
+++ b/source/jobs/ingress_node.h
@@ -85,7 +85,7 @@
   void CheckReady();
   std::vector<NodeId> ControlNodes() const;
   void SubmitUsage(const UsageReport& report, std::function<void(bool)> done);
-  void AskTime(WallTime own, std::function<void(std::optional<WallTime>)> done);
+  void QueryTime(WallTime own, std::function<void(std::optional<WallTime>)> done);
 
   Environment& environment_;
   PeerTransport& transport_;
@@ -100,7 +100,7 @@
   IngressService ingress_;
   JobClient jobs_;
   /// Which back ends that are slow after their start fall to this gateway.
-  GatewayTurns cold_turns_;
+  GatewayTurns cold_assignment_;
   bool ready_ = false;
   std::function<void(bool)> on_cut_off_;
   ScopedTimer ready_timer_;
--- a/source/jobs/job_client.cc
+++ b/source/jobs/job_client.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "jobs/job_group_founder.h"
+#include "jobs/job_group_bootstrapper.h"
 
 namespace millstair {
 
@@ -15,7 +15,7 @@
 
 void JobClient::Propose(JobCommand command,
                         std::function<void(absl::StatusOr<JobResultCode>)> done) {
-  changes_.Submit(CommandMode::kPropose, EncodeJobCommand(command), timing_.patience,
+  changes_.Submit(CommandMode::kPropose, EncodeJobCommand(command), timing_.timeout,
                   [done = std::move(done)](const absl::StatusOr<std::string>& result) {
                     if (!result.ok()) return done(result.status());
                     done(DecodeJobResultCode(*result));
@@ -32,7 +32,7 @@
 
 void JobClient::Query(const JobQuery& query,
                       std::function<void(absl::StatusOr<JobQueryAnswer>)> done) {
-  reads_.Submit(CommandMode::kQuery, EncodeJobQuery(query), timing_.patience,
+  reads_.Submit(CommandMode::kQuery, EncodeJobQuery(query), timing_.timeout,
                 [done = std::move(done)](const absl::StatusOr<std::string>& result) {
                   if (!result.ok()) return done(result.status());
                   done(DecodeJobQueryAnswer(*result));
--- a/source/jobs/job_client.h
+++ b/source/jobs/job_client.h
@@ -17,7 +17,7 @@
 
 struct JobClientTiming {
   /// Without an answer of the leader for this long a change or a query is given up.
-  Duration patience = std::chrono::milliseconds(2500);
+  Duration timeout = std::chrono::milliseconds(2500);
   /// When a client may come back whose call was given up.
   Duration retry_after = std::chrono::milliseconds(200);
 };
--- a/source/jobs/job_group_founder.cc
+++ b/source/jobs/job_group_bootstrapper.cc
@@ -1,4 +1,4 @@
-#include "jobs/job_group_founder.h"
+#include "jobs/job_group_bootstrapper.h"
 
 #include <utility>
 #include <vector>
@@ -9,10 +9,10 @@
 namespace millstair {
 namespace {
 
-class JobGroupFounder : public ClusterDuty {
+class JobGroupBootstrapper : public ClusterDuty {
  public:
-  JobGroupFounder(Environment& environment, JobGroupFounderOptions options,
-                  std::function<void(ClusterCommand)> propose)
+  JobGroupBootstrapper(Environment& environment, JobGroupBootstrapperOptions options,
+                       std::function<void(ClusterCommand)> propose)
       : environment_(environment), options_(options), propose_(std::move(propose)) {}
 
   void Run(const Configuration& configuration) override {
@@ -25,7 +25,7 @@
       present.push_back({record.replica, node, record.address, true});
       zones.push_back(record.zone);
     }
-    if (present.empty() || !IsTimeToFound(present.size())) return;
+    if (present.empty() || !IsTimeToBootstrap(present.size())) return;
     JobGroup group{kJobGroup, {}, {}};
     for (const size_t index : PickSpread(zones, options_.voters)) {
       group.founders.push_back(present[index]);
@@ -40,17 +40,17 @@
  private:
   /// Nodes are heard of over some time. Founders are picked once there are enough of them and no
   /// further one was heard of lately, so that every zone has been heard of.
-  bool IsTimeToFound(size_t present) {
+  bool IsTimeToBootstrap(size_t present) {
     const TimePoint now = environment_.Now();
     if (!first_seen_) first_seen_ = now;
     if (present != present_) last_joined_ = now;
     present_ = present;
-    if (now - *first_seen_ >= options_.patience) return true;
-    return present >= options_.voters && now - last_joined_ >= options_.settled_for;
+    if (now - *first_seen_ >= options_.max_wait) return true;
+    return present >= options_.voters && now - last_joined_ >= options_.settle_time;
   }
 
   Environment& environment_;
-  const JobGroupFounderOptions options_;
+  const JobGroupBootstrapperOptions options_;
   const std::function<void(ClusterCommand)> propose_;
   std::optional<TimePoint> first_seen_;
   size_t present_ = 0;
@@ -59,10 +59,10 @@
 
 }  // namespace
 
-std::unique_ptr<ClusterDuty> MakeJobGroupFounder(Environment& environment,
-                                                 JobGroupFounderOptions options,
-                                                 std::function<void(ClusterCommand)> propose) {
-  return std::make_unique<JobGroupFounder>(environment, options, std::move(propose));
+std::unique_ptr<ClusterDuty> MakeJobGroupBootstrapper(Environment& environment,
+                                                      JobGroupBootstrapperOptions options,
+                                                      std::function<void(ClusterCommand)> propose) {
+  return std::make_unique<JobGroupBootstrapper>(environment, options, std::move(propose));
 }
 
 }  // namespace millstair
--- a/source/jobs/job_group_founder.h
+++ b/source/jobs/job_group_bootstrapper.h
@@ -13,18 +13,18 @@
 
 inline const GroupId kJobGroup("jobs/0");
 
-struct JobGroupFounderOptions {
+struct JobGroupBootstrapperOptions {
   size_t voters = 3;
   /// The group is founded after this long with the storage nodes that are there.
-  Duration patience = std::chrono::seconds(3);
+  Duration max_wait = std::chrono::seconds(3);
   /// With enough of them it is founded once no further one was heard of for this long. All nodes of
   /// a fleet that starts as a whole are heard of within a heartbeat and a digest, some 0.8 s.
-  Duration settled_for = std::chrono::seconds(1);
+  Duration settle_time = std::chrono::seconds(1);
 };
 
 /// A duty of the cluster leader; proposes through `propose`.
-std::unique_ptr<ClusterDuty> MakeJobGroupFounder(Environment& environment,
-                                                 JobGroupFounderOptions options,
-                                                 std::function<void(ClusterCommand)> propose);
+std::unique_ptr<ClusterDuty> MakeJobGroupBootstrapper(Environment& environment,
+                                                      JobGroupBootstrapperOptions options,
+                                                      std::function<void(ClusterCommand)> propose);
 
 }  // namespace millstair
--- a/source/jobs/job_replica_manager.cc
+++ b/source/jobs/job_replica_manager.cc
@@ -38,10 +38,10 @@
   if (group_ == nullptr || !group_->IsLeader() || busy_) return;
   const auto members = group_->Members();
   ReportRetired(members);
-  if (PromoteWhereShort(members)) return;
-  if (RemoveOne(members)) return;
+  if (PromoteIfTooFew(members)) return;
+  if (RemoveUnhealthy(members)) return;
   if (RemoveSurplus(members)) return;
-  if (AddStranger(members)) return;
+  if (AddNewLearner(members)) return;
   PromoteToSpread(members);
 }
 
@@ -56,13 +56,13 @@
   return zones;
 }
 
-std::vector<GroupMember> JobReplicaManager::SoundVoters(
+std::vector<GroupMember> JobReplicaManager::HealthyVoters(
     const std::vector<GroupMember>& members) const {
-  std::vector<GroupMember> sound;
+  std::vector<GroupMember> healthy;
   for (const GroupMember& member : members) {
-    if (member.voter && IsSound(member)) sound.push_back(member);
+    if (member.voter && IsHealthy(member)) healthy.push_back(member);
   }
-  return sound;
+  return healthy;
 }
 
 bool JobReplicaManager::IsLost(const GroupMember& member) const {
@@ -83,8 +83,8 @@
   return alive_.Guard([this](const absl::Status&) { busy_ = false; });
 }
 
-bool JobReplicaManager::PromoteWhereShort(const std::vector<GroupMember>& members) {
-  if (SoundVoters(members).size() >= options_.voters) return false;
+bool JobReplicaManager::PromoteIfTooFew(const std::vector<GroupMember>& members) {
+  if (HealthyVoters(members).size() >= options_.voters) return false;
   const auto learner = BestLearner(members);
   if (!learner) return false;
   Promote(*learner);
@@ -95,15 +95,15 @@
     const std::vector<GroupMember>& members) const {
   std::vector<GroupMember> learners;
   for (const GroupMember& member : members) {
-    if (!member.voter && IsSound(member)) learners.push_back(member);
+    if (!member.voter && IsHealthy(member)) learners.push_back(member);
   }
-  const auto best = LeastCrowded(ZonesOf(learners), ZonesOf(SoundVoters(members)));
+  const auto best = LeastCrowded(ZonesOf(learners), ZonesOf(HealthyVoters(members)));
   if (!best) return std::nullopt;
   return learners[*best];
 }
 
 bool JobReplicaManager::PromoteToSpread(const std::vector<GroupMember>& members) {
-  const std::vector<GroupMember> voters = SoundVoters(members);
+  const std::vector<GroupMember> voters = HealthyVoters(members);
   // Only a group that is whole is rearranged.
   if (voters.size() != options_.voters) return false;
   const auto learner = BestLearner(members);
@@ -113,7 +113,7 @@
 }
 
 bool JobReplicaManager::RemoveSurplus(const std::vector<GroupMember>& members) {
-  const std::vector<GroupMember> voters = SoundVoters(members);
+  const std::vector<GroupMember> voters = HealthyVoters(members);
   if (voters.size() <= options_.voters) return false;
   const auto surplus = PickSurplus(ZonesOf(voters), IndexOf(voters, self_));
   if (!surplus) return false;
@@ -138,12 +138,12 @@
   }));
 }
 
-bool JobReplicaManager::RemoveOne(const std::vector<GroupMember>& members) {
-  const size_t sound = SoundVoters(members).size();
+bool JobReplicaManager::RemoveUnhealthy(const std::vector<GroupMember>& members) {
+  const size_t healthy = HealthyVoters(members).size();
   for (const GroupMember& member : members) {
-    if (IsSound(member)) continue;
+    if (IsHealthy(member)) continue;
     // A voter stays until another has taken its place: the quorum must not shrink.
-    if (member.voter && sound < options_.voters) continue;
+    if (member.voter && healthy < options_.voters) continue;
     // A learner that is away may come back with its log.
     const auto node = configuration_.nodes.find(member.node);
     const bool replaced = node != configuration_.nodes.end() &&
@@ -160,40 +160,40 @@
   return false;
 }
 
-bool JobReplicaManager::MissesZone(const std::vector<GroupMember>& members) const {
-  const std::vector<Zone> occupied = ZonesOf(SoundVoters(members));
+bool JobReplicaManager::NeedsOtherZone(const std::vector<GroupMember>& members) const {
+  const std::vector<Zone> occupied = ZonesOf(HealthyVoters(members));
   const auto learner = BestLearner(members);
   return !learner || !SpreadsBetter(ZoneOf(learner->node), occupied);
 }
 
-bool JobReplicaManager::AddStranger(const std::vector<GroupMember>& members) {
-  size_t sound = 0;
+bool JobReplicaManager::AddNewLearner(const std::vector<GroupMember>& members) {
+  size_t healthy = 0;
   std::vector<Zone> occupied;
   for (const GroupMember& member : members) {
-    if (!IsSound(member)) continue;
-    ++sound;
+    if (!IsHealthy(member)) continue;
+    ++healthy;
     occupied.push_back(ZoneOf(member.node));
   }
-  std::vector<GroupMember> strangers;
+  std::vector<GroupMember> candidates;
   std::vector<Zone> zones;
   for (const auto& [node, record] : configuration_.nodes) {
     if (!record.storage || record.state != MemberState::kLive) continue;
     if (record.replica == ReplicaId() || IsRetired(node)) continue;
     if (HasReplica(members, record.replica)) continue;
-    strangers.push_back({record.replica, node, record.address, false});
+    candidates.push_back({record.replica, node, record.address, false});
     zones.push_back(record.zone);
   }
   const auto best = LeastCrowded(zones, occupied);
   if (!best) return false;
   const size_t wanted = options_.voters + options_.spare_learners;
   // One learner more than usual where it is to relieve a crowded zone.
-  const bool relieves = sound == wanted && MissesZone(members) &&
-                        SpreadsBetter(zones[*best], ZonesOf(SoundVoters(members)));
-  if (sound >= wanted && !relieves) return false;
-  const GroupMember& stranger = strangers[*best];
-  LogEvent(EventId::kReplicaJoined, "group={} node={} replica={}", group_->id(), stranger.node,
-           stranger.replica);
-  group_->AddLearner(stranger, ChangeDone());
+  const bool relieves = healthy == wanted && NeedsOtherZone(members) &&
+                        SpreadsBetter(zones[*best], ZonesOf(HealthyVoters(members)));
+  if (healthy >= wanted && !relieves) return false;
+  const GroupMember& candidate = candidates[*best];
+  LogEvent(EventId::kReplicaJoined, "group={} node={} replica={}", group_->id(), candidate.node,
+           candidate.replica);
+  group_->AddLearner(candidate, ChangeDone());
   return true;
 }
 
--- a/source/jobs/job_replica_manager.h
+++ b/source/jobs/job_replica_manager.h
@@ -37,7 +37,7 @@
  private:
   void Tick();
   void Promote(const GroupMember& member);
-  bool PromoteWhereShort(const std::vector<GroupMember>& members);
+  bool PromoteIfTooFew(const std::vector<GroupMember>& members);
   /// A learner in a zone with fewer voters becomes one: a voter of the most crowded zone goes next.
   bool PromoteToSpread(const std::vector<GroupMember>& members);
   /// The learner in the zone with the fewest sound voters.
@@ -46,16 +46,16 @@
   bool RemoveSurplus(const std::vector<GroupMember>& members);
   void Remove(const GroupMember& member);
   /// Whether a learner of another zone than those there are would spread the voters better.
-  bool MissesZone(const std::vector<GroupMember>& members) const;
+  bool NeedsOtherZone(const std::vector<GroupMember>& members) const;
   Zone ZoneOf(const NodeId& node) const;
   std::vector<Zone> ZonesOf(const std::vector<GroupMember>& members) const;
-  std::vector<GroupMember> SoundVoters(const std::vector<GroupMember>& members) const;
-  bool RemoveOne(const std::vector<GroupMember>& members);
-  bool AddStranger(const std::vector<GroupMember>& members);
+  std::vector<GroupMember> HealthyVoters(const std::vector<GroupMember>& members) const;
+  bool RemoveUnhealthy(const std::vector<GroupMember>& members);
+  bool AddNewLearner(const std::vector<GroupMember>& members);
   void ReportRetired(const std::vector<GroupMember>& members);
   bool IsLost(const GroupMember& member) const;
   bool IsRetired(const NodeId& node) const;
-  bool IsSound(const GroupMember& member) const {
+  bool IsHealthy(const GroupMember& member) const {
     return !IsLost(member) && !IsRetired(member.node);
   }
   std::function<void(absl::Status)> ChangeDone();
--- a/source/jobs/job_service.cc
+++ b/source/jobs/job_service.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// The longest that a query is held: less than the time after which its sender asks elsewhere.
-constexpr Duration kLongestHold = std::chrono::milliseconds(500);
+constexpr Duration kMaxHold = std::chrono::milliseconds(500);
 
 JobQueryAnswer ResultsOf(const JobRecord& record, const JobQuery& query) {
   JobQueryAnswer answer;
@@ -53,7 +53,7 @@
     return Reply(from, id, absl::UnavailableError("no leader is known here"));
   }
   // A resend of a command that is under way is answered with it.
-  const Running key{from, id};
+  const CommandKey key{from, id};
   if (!running_.insert(key).second) return;
   auto done = alive_.Guard([this, key](const absl::StatusOr<std::string>& result) {
     running_.erase(key);
@@ -96,19 +96,19 @@
 
 void JobService::AnswerOrHold(const JobQuery& query, Callback done) {
   const JobQueryAnswer answer = AnswerOf(query);
-  const bool all_listed = query.after + answer.results.size() >= answer.total;
+  const bool all_recorded = query.after + answer.results.size() >= answer.total;
   const bool wait = query.kind == JobQueryKind::kResults && query.wait > Duration(0) &&
-                    answer.found && answer.results.empty() && !all_listed;
+                    answer.found && answer.results.empty() && !all_recorded;
   if (!wait) return done(EncodeJobQueryAnswer(answer));
-  Held& held = held_.emplace_back(environment_);
+  HeldQuery& held = held_.emplace_back(environment_);
   held.query = query;
   held.done = std::move(done);
   const auto position = std::prev(held_.end());
-  held.limit.Arm(std::min(query.wait, kLongestHold), [this, position] {
+  held.limit.Arm(std::min(query.wait, kMaxHold), [this, position] {
     const Callback answer_now = std::move(position->done);
-    const JobQuery asked = position->query;
+    const JobQuery query = position->query;
     held_.erase(position);
-    answer_now(EncodeJobQueryAnswer(AnswerOf(asked)));
+    answer_now(EncodeJobQueryAnswer(AnswerOf(query)));
   });
 }
 
--- a/source/jobs/job_service.h
+++ b/source/jobs/job_service.h
@@ -38,14 +38,14 @@
  private:
   using Callback = std::function<void(absl::StatusOr<std::string>)>;
   /// A command under way, told from its resends.
-  struct Running {
+  struct CommandKey {
     NodeId from;
     uint64_t id = 0;
-    friend auto operator<=>(const Running&, const Running&) = default;  // NOLINT
+    friend auto operator<=>(const CommandKey&, const CommandKey&) = default;  // NOLINT
   };
   /// A query that waits for a result.
-  struct Held {
-    explicit Held(Environment& environment) : limit(environment) {}
+  struct HeldQuery {
+    explicit HeldQuery(Environment& environment) : limit(environment) {}
     JobQuery query;
     Callback done;
     ScopedTimer limit;
@@ -65,8 +65,8 @@
   const std::function<NodeId()> placed_leader_;
   RaftGroup* group_ = nullptr;
   const JobStateMachine* state_ = nullptr;
-  std::set<Running> running_;
-  std::list<Held> held_;
+  std::set<CommandKey> running_;
+  std::list<HeldQuery> held_;
   std::set<JobId> changed_;
   ScopedTimer change_timer_;
   AliveFlag alive_;
--- a/source/jobs/storage_node.cc
+++ b/source/jobs/storage_node.cc
@@ -7,7 +7,7 @@
 #include "cluster/group_client.h"
 #include "cluster/suspect_client.h"
 #include "common/event_log.h"
-#include "jobs/job_group_founder.h"
+#include "jobs/job_group_bootstrapper.h"
 #include "jobs/job_group_nodes.h"
 #include "jobs/job_placement_reporter.h"
 #include "jobs/job_service.h"
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr Duration kCommandTimeout = std::chrono::seconds(5);
-constexpr Duration kDrainPoll = std::chrono::milliseconds(50);
+constexpr Duration kDrainPollInterval = std::chrono::milliseconds(50);
 constexpr Duration kDrainTimeout = std::chrono::seconds(3);
 
 class ReplicatedStorageNode : public StorageNode {
@@ -56,7 +56,7 @@
     groups_ = MakeGroupHost(environment_, transport_, files_, *std::move(identity),
                             options_.consensus_timing, options_.consensus_limits,
                             [this](const GroupId& group) { return MakeStateMachine(group); });
-    groups_->OnLeadershipChange([this](const GroupId&) { Refresh(); });
+    groups_->OnLeadershipChange([this](const GroupId&) { UpdateLeadership(); });
     if (absl::Status status = groups_->Start(); !status.ok()) return status;
     configuration_client_ = MakeConfigurationClient(
         environment_, transport_, self, options_.control_nodes, options_.configuration_timing);
@@ -70,7 +70,7 @@
     configuration_client_->OnChange(
         [this](const ConfigurationDelta& changes) { ConfigurationChanged(changes); });
     configuration_client_->Start();
-    Refresh();
+    UpdateLeadership();
     return absl::OkStatus();
   }
 
@@ -137,20 +137,21 @@
       if (record.node != options_.self.node) transport_.SetAddress(record.node, record.address);
     }
     ingress_.Apply(configuration(), changes);
-    OpenFoundedGroup();
-    Refresh();
+    OpenBootstrappedGroup();
+    UpdateLeadership();
     if (!TouchesBackEnds(changes)) return;
     loads_.Update(configuration(), ingress_.routes());
     if (scheduler_ != nullptr) scheduler_->Pump();
   }
 
   /// A founder opens the group; any other node gets it from its leader once it has joined.
-  void OpenFoundedGroup() {
-    const auto founded = configuration().job_groups.find(kJobGroup);
-    if (founded == configuration().job_groups.end() || groups_->Find(kJobGroup) != nullptr) return;
-    for (const GroupMember& founder : founded->second.founders) {
+  void OpenBootstrappedGroup() {
+    const auto bootstrapped = configuration().job_groups.find(kJobGroup);
+    if (bootstrapped == configuration().job_groups.end() || groups_->Find(kJobGroup) != nullptr)
+      return;
+    for (const GroupMember& founder : bootstrapped->second.founders) {
       if (founder.replica != replica_) continue;
-      const auto opened = groups_->OpenGroup(kJobGroup, founded->second.founders);
+      const auto opened = groups_->OpenGroup(kJobGroup, bootstrapped->second.founders);
       if (opened.ok()) continue;
       LogEvent(EventId::kReplicaHalted, "group={} error=\"{}\"", kJobGroup,
                std::string(opened.status().message()));
@@ -167,7 +168,7 @@
   }
 
   /// Takes up or lays down the work of the leader.
-  void Refresh() {
+  void UpdateLeadership() {
     RaftGroup* group = groups_->Find(kJobGroup);
     service_.Attach(group, group == nullptr ? nullptr : state_);
     const bool leads = group != nullptr && group->IsLeader();
@@ -207,7 +208,7 @@
     const bool leads = group != nullptr && group->IsLeader() && group->Members().size() > 1;
     if (!leads || environment_.Now() >= drain_until_) return done();
     group->TransferLeadership([](const absl::Status&) {});
-    drain_timer_.Arm(kDrainPoll, [this, done = std::move(done)] { HandOver(done); });
+    drain_timer_.Arm(kDrainPollInterval, [this, done = std::move(done)] { HandOver(done); });
   }
 
   Environment& environment_;
--- a/source/server/node_options.cc
+++ b/source/server/node_options.cc
@@ -135,8 +135,8 @@
   return options;
 }
 
-JobGroupFounderOptions JobFounderOptionsOf(const ServerSettings& settings) {
-  JobGroupFounderOptions options;
+JobGroupBootstrapperOptions JobFounderOptionsOf(const ServerSettings& settings) {
+  JobGroupBootstrapperOptions options;
   options.voters = VotersOf(settings);
   return options;
 }
--- a/source/server/node_options.h
+++ b/source/server/node_options.h
@@ -7,7 +7,7 @@
 #include "http/beast_http_caller.h"
 #include "http/http_server.h"
 #include "jobs/ingress_node.h"
-#include "jobs/job_group_founder.h"
+#include "jobs/job_group_bootstrapper.h"
 #include "jobs/storage_node.h"
 #include "settings/settings.h"
 #include "transport/tcp_peer_transport.h"
@@ -20,7 +20,7 @@
 IngressNodeOptions IngressOptionsOf(const ServerSettings& settings, const NodeRecord& self);
 UsageDutyOptions UsageOptionsOf(const ServerSettings& settings);
 StorageNodeOptions StorageOptionsOf(const ServerSettings& settings, const NodeRecord& self);
-JobGroupFounderOptions JobFounderOptionsOf(const ServerSettings& settings);
+JobGroupBootstrapperOptions JobFounderOptionsOf(const ServerSettings& settings);
 PeerTransportOptions TransportOptionsOf(const ServerSettings& settings, Incarnation incarnation);
 HttpServerOptions HttpServerOptionsOf(const ServerSettings& settings);
 HttpCallerOptions HttpCallerOptionsOf(const ServerSettings& settings);
--- a/source/server/server_node.cc
+++ b/source/server/server_node.cc
@@ -6,7 +6,7 @@
 
 #include "common/event_log.h"
 #include "duties/usage_duty.h"
-#include "jobs/job_group_founder.h"
+#include "jobs/job_group_bootstrapper.h"
 #include "platform/platform.h"
 #include "rollout/stream_factory.h"
 #include "server/metrics_page.h"
@@ -105,7 +105,7 @@
     control_->Propose(std::move(command), [](const absl::StatusOr<ClusterResult>&) {});
   }));
   if (ServesPlatform()) {
-    control_->AddDuty(MakeJobGroupFounder(
+    control_->AddDuty(MakeJobGroupBootstrapper(
         *environment_, JobFounderOptionsOf(settings_), [this](ClusterCommand command) {
           control_->Propose(std::move(command), [](const absl::StatusOr<ClusterResult>&) {});
         }));
--- a/test/jobs/job_group_founder_test.cc
+++ b/test/jobs/job_group_bootstrapper_test.cc
@@ -1,4 +1,4 @@
-#include "jobs/job_group_founder.h"
+#include "jobs/job_group_bootstrapper.h"
 
 #include <catch2/catch.hpp>
 #include <set>
@@ -41,8 +41,8 @@
   VirtualEnvironment environment{scheduler, 2};
   Configuration configuration;
   std::optional<JobGroup> founded;
-  std::unique_ptr<ClusterDuty> duty =
-      MakeJobGroupFounder(environment, JobGroupFounderOptions{5}, [this](ClusterCommand command) {
+  std::unique_ptr<ClusterDuty> duty = MakeJobGroupBootstrapper(
+      environment, JobGroupBootstrapperOptions{5}, [this](ClusterCommand command) {
         founded = std::get<FoundJobGroup>(command.operation).group;
       });
 };
