--- a/source/jobs/job_scheduler.cc
+++ b/source/jobs/job_scheduler.cc
@@ -8,21 +8,19 @@
 namespace millstair {
 namespace {
 
-/// Waiting items are looked at this often even if nothing is heard.
+/// Interval between scheduling passes when nothing triggers one.
 constexpr Duration kPumpInterval = std::chrono::milliseconds(100);
-/// And no more often than this, whatever is heard: each look costs time for every job and engine,
-/// and in a busy step some hundred runs end in a second. An event of a text takes longer.
+/// Minimum time between passes: each one iterates over all jobs and engines.
 constexpr Duration kMinPumpInterval = std::chrono::milliseconds(10);
 constexpr Duration kRefusedRetryDelay = std::chrono::milliseconds(20);
 constexpr Duration kFailedRetryDelay = std::chrono::milliseconds(50);
-/// Items of spare groups wait for newer weights at most this long after a version was named. With
-/// steps each four seconds the next version comes after four to five; the platform's rule on items
-/// that lie idle counts from six seconds after a version.
+/// Maximum time after a version was named that items of spare groups wait for the next one. Below
+/// the 6 s after which the platform counts items as idle.
 constexpr Duration kMaxSpareWait = std::chrono::milliseconds(5500);
-/// Between two tries to have the leadership confirmed.
+/// Delay between attempts to confirm the leadership.
 constexpr Duration kCatchUpRetryDelay = std::chrono::milliseconds(20);
 constexpr Duration kProposeRetryDelay = std::chrono::milliseconds(50);
-/// How often long texts are looked at.
+/// How often running items are checked for text to save.
 constexpr Duration kSaveInterval = std::chrono::milliseconds(250);
 }  // namespace
 
@@ -87,7 +85,7 @@
 
 void JobScheduler::OnStateChange(JobChange change, const JobId& job) {
   if (!leading_) return;
-  if (change == JobChange::kOrderAnnounced) return;
+  if (change == JobChange::kAnnounced) return;
   if (change == JobChange::kRestored) was_restored_ = true;
   changed_.insert(job);
   if (!change_timer_.armed()) change_timer_.Arm(Duration(0), [this] { HandleChanges(); });
@@ -237,7 +235,7 @@
 void JobScheduler::UseSavedText(const JobRecord& record, Work& work) {
   const auto own = record.progress.find(work.index);
   if (own != record.progress.end()) {
-    // An earlier leader kept it: this one keeps it anew with what it adds.
+    // Saved by an earlier leader; the next save replaces it under this leader's term.
     work.progress = own->second;
     return;
   }
@@ -382,7 +380,7 @@
 JobScheduler::Work* JobScheduler::FindWork(const JobId& job, uint32_t index) {
   const auto found = jobs_.find(job);
   if (found == jobs_.end() || index >= found->second.items.size()) return nullptr;
-  // What is listed has no content any more.
+  // The content of a recorded item is cleared.
   if (state_.IsRecorded(job, index)) return nullptr;
   return found->second.items[index].get();
 }
@@ -519,7 +517,7 @@
   if (state_.IsRecorded(job, index)) return OnRecorded(job, index);
   Work* work = FindWork(job, index);
   if (work == nullptr) return;
-  // What was kept is not there as this leader believed: the whole text is listed.
+  // The saved part is not in the log as expected: propose the complete text.
   const auto code = result.ok() ? DecodeJobResultCode(*result) : result.status();
   if (code.ok() && *code == JobResultCode::kNotSaved) {
     MarkUnsaved(*work);
--- a/source/jobs/job_scheduler.h
+++ b/source/jobs/job_scheduler.h
@@ -1,7 +1,7 @@
-/// Runs the items of batch jobs on the leader of their group: which item goes to which engine, what
-/// follows when a run breaks, the scoring of whole texts, and the proposals that list results.
-/// Long texts are kept in the group's log now and then; the next leader goes on after what was
-/// kept. Whatever else is held here is lost with the leadership.
+/// Runs the items of batch jobs on the leader of their group: assigns items to engines, handles
+/// failed runs, has complete texts scored and proposes the results. The progress of long texts is
+/// saved to the group's log periodically, and a new leader resumes from it. All other state here is
+/// lost with the leadership.
 #pragma once
 
 #include <map>
@@ -29,14 +29,14 @@
 
 namespace millstair {
 
-/// How long a text grows before it is kept, and from then on before it is kept again.
+/// Minimum time from the start of a run to the first save of its text, and between saves.
 inline constexpr Duration kMinSaveInterval = std::chrono::milliseconds(750);
 
 struct JobSchedulerOptions {
-  /// Without a byte for this long a run is broken off and goes on elsewhere, at the latest; earlier
-  /// where the engine's pace says that its next event should long have come.
+  /// A run that receives no byte for this long is aborted and resumed at another engine. The
+  /// timeout is shorter for engines whose events are known to arrive faster.
   Duration stall_timeout = std::chrono::milliseconds(2500);
-  /// An item whose route states none is given up after this long.
+  /// Lifetime of an item whose route sets none.
   Duration item_lifetime = std::chrono::minutes(10);
 };
 
@@ -48,14 +48,15 @@
                JobSchedulerOptions options, StatsRegistry* stats = nullptr);
   ~JobScheduler();
 
-  /// Ends all work. With `leading`, it begins anew once everything that earlier leaders committed
-  /// is applied here: before that, listed items would be run again and kept texts be overwritten.
+  /// Stops all work. With `leading`, restarts it once everything that earlier leaders committed is
+  /// applied here: before that, recorded items would be run again and saved texts be overwritten.
   void SetLeading(bool leading);
-  /// May new work be given out: the configuration held is proven fresh.
+  /// Whether new work may start: the configuration held is confirmed current.
   void SetMayStartWork(std::function<bool()> allowed) { may_start_work_ = std::move(allowed); }
-  /// The state machine applied a change; work is done from a timer.
+  /// The state machine applied a change. It is handled from a timer.
   void OnStateChange(JobChange change, const JobId& job);
-  /// Back ends, routes or versions changed.
+  /// Runs a scheduling pass, or schedules one if the last was too recent. Call it when back ends,
+  /// routes or versions changed.
   void Pump();
 
  private:
@@ -63,38 +64,39 @@
   struct Work {
     JobId job;
     uint32_t index = 0;
-    /// Place among the items of its job.
+    /// Position among the items of its job.
     uint64_t order = 0;
-    /// Its client is not expected to wait for its group.
+    /// The client is not expected to wait for the item's group.
     bool spare = false;
-    /// When it has to begin so that it can be whole when its job is due; set while it waits.
+    /// Latest start at which the item is expected to complete by its job's deadline; set while it
+    /// waits.
     TimePoint latest_start;
     Phase phase = Phase::kWaiting;
     ItemProgress progress;
-    /// What of `progress` the group's log holds.
+    /// The part of `progress` that is saved in the group's log.
     uint64_t saved_events = 0;
     size_t saved_bytes = 0;
     TimePoint next_save_at;
     uint32_t server_errors = 0;
     uint32_t scoring_errors = 0;
     TimePoint not_before;
-    /// The engine that failed it last.
+    /// The engine at which its last run failed.
     InstanceId avoid;
     std::unique_ptr<ItemRun> run;
     std::optional<IngressService::FlowId> scoring;
-    /// Name of the route by which it is scored; empty if there was none.
+    /// Name of the route to its scorer; empty if no route matched.
     std::string scoring_route;
-    /// Tells the item's content from others; made when it is first needed.
+    /// Identifies the item's content; computed on first use.
     std::optional<RequestFingerprint> fingerprint;
-    /// Events of the text when the latest of its runs lost its engine.
+    /// Events of the text when its latest run lost the engine.
     std::optional<uint64_t> lost_after_events;
-    /// The item is held, and the cluster is asked for a trial, or has granted one that no run has
-    /// used yet.
+    /// The item is held, and a trial was requested from the cluster, or was granted and is not used
+    /// yet.
     bool trial_requested = false;
     bool trial_granted = false;
     /// The present run is a trial.
     bool runs_on_trial = false;
-    /// How often it was moved to a faster engine.
+    /// Number of times that it was moved to a faster engine.
     uint32_t moves = 0;
     JobResult result;
   };
@@ -102,11 +104,11 @@
     uint64_t order = 0;
     uint32_t priority = 0;
     std::vector<std::unique_ptr<Work>> items;
-    /// Engine that ran the latest item of a group.
+    /// By group: the engine that ran its latest item.
     std::map<std::string, InstanceId> group_engines;
   };
-  /// Urgent jobs first, items of spare groups last; of the others, over all jobs, those first that
-  /// have the least time to spare.
+  /// Order of the queue: by the priority of the job, then items of spare groups last, then by the
+  /// latest start.
   struct Rank {
     uint32_t priority = 0;
     bool spare = false;
@@ -123,42 +125,39 @@
   void AddJob(const JobRecord& record);
   void DropJob(const JobId& job);
   Rank RankOf(const Work& work) const;
-  /// Learns from items that come back by how many versions their clients have moved on.
+  /// Updates the version lag of the model from items that an earlier job contained.
   void UpdateReturnLag(const JobRecord& record);
-  /// The oldest weights with which `work` is worth beginning now. A group that its client does not
-  /// wait for comes back in a later job, which can go on after its text only if that was made by
-  /// weights new enough for that job.
+  /// The oldest weights with which to start `work` now. The client submits a spare group again in a
+  /// later job, which can resume the text only if its weights are new enough for that job.
   WeightVersion MinUsefulVersion(const Work& work, const JobRecord& record) const;
-  /// Puts `work` among the waiting items.
   void Enqueue(Work& work, const JobRecord& record);
-  /// When the results of the job are due.
   TimePoint DueAt(const JobRecord& record) const;
-  /// Events that are expected to be missing of the item's text; one at least.
+  /// Number of events expected until the text is complete; at least one.
   double RemainingEvents(const Work& work, const JobRecord& record) const;
-  /// As the configuration tells of the engines of the job's service; 0 is unknown.
+  /// According to the configuration of the job's service; 0 if unknown.
   uint64_t TokensPerEvent(const JobRecord& record) const;
-  /// Notes how long the items of an ended job are, as far as is known.
+  /// Records the known text lengths of an ended job.
   void UpdateLengths(const JobRecord& record);
-  /// Takes up the whole text that an earlier job lists of the same item, if its versions fit. An
-  /// item is not run again without need: its earlier result may still be read, and is judged
-  /// against what engines made of the item until then.
+  /// Reuses the complete text that an earlier job recorded for the same item, if its versions are
+  /// allowed, so that the item is not run again without need: the earlier result may still be read
+  /// and is checked against what engines made of the item until then.
   bool ReuseRecordedText(const JobRecord& record, Work& work);
-  /// Takes up text that an earlier job left of the same items.
+  /// Resumes from text saved for the item by this job or an earlier one.
   void UseSavedText(const JobRecord& record, Work& work);
   void CachePartialText(const JobRecord* record, Work& work);
-  /// Text that ended jobs left in the group's log.
+  /// Caches the partial texts that ended jobs left in the group's log.
   void LoadPartialTexts();
   void ScheduleSave();
-  /// Proposes what long texts grew by.
+  /// Proposes the unsaved parts of long texts.
   void SaveLongTexts();
   std::vector<ProgressPart> CollectProgress();
-  /// The next part replaces what the group's log holds.
+  /// Makes the next save replace what the group's log holds.
   static void MarkUnsaved(Work& work);
   void MarkUnsaved(const std::vector<ProgressPart>& parts);
   void DropRecorded(const JobId& job);
   void HandleChanges();
   void SchedulePump(Duration delay);
-  /// A run that could go on at a faster engine.
+  /// A run that could continue at a faster engine.
   struct MoveCandidate {
     double remaining_events = 0;
     Work* work = nullptr;
@@ -167,20 +166,20 @@
   };
 
   void DispatchWaiting(EngineSnapshot& snapshot);
-  /// Runs go on at faster engines that have room left, those first that are far from whole.
+  /// Moves runs to faster engines with free slots, those with the most remaining events first.
   void MoveToFasterEngines(EngineSnapshot& snapshot);
-  /// Items of `route` wait and found no engine.
+  /// Items of `route` wait, and no engine has a free slot.
   void ReportNoFreeSlot(const Route& route);
-  /// Those first that are far from whole.
+  /// The runs with the most remaining events first.
   std::vector<MoveCandidate> MoveCandidates();
   bool Move(EngineSnapshot& snapshot, const MoveCandidate& candidate);
-  /// False while the item is held because engines ended under it: then it waits on.
+  /// False while the item is held because engines crashed while they ran it.
   bool MaySend(Work& work, const JobRecord& record);
   void RequestTrial(Work& work, const RequestFingerprint& item);
-  /// `work` goes and has not used the trial that it was granted, if any.
+  /// Returns the unused trial of `work`, if any, before it is removed.
   void ReturnTrial(Work& work);
   const RequestFingerprint& FingerprintOf(Work& work, const JobRecord& record);
-  /// Tells the guard how the run that just ended speaks for or against the item.
+  /// Reports to the guard whether the run that ended counts for or against the item.
   void ReportRunEnd(Work& work, const JobRecord& record, const BackendInstance& engine,
                     ItemRunEnd end);
   bool Dispatch(EngineSnapshot& snapshot, Work& work, const JobRecord& record, const Route& route);
@@ -188,30 +187,29 @@
                 const BackendInstance& engine);
   BackendRequest RequestFor(const Work& work, const JobRecord& record, const Route& route,
                             const InstanceId& engine) const;
-  /// Whether only engines of the version that made the text so far may go on with it.
+  /// Whether only engines with the version that made the existing text may resume it.
   static bool RequiresSameVersion(const Work& work, const Route& route);
   bool AnyEngineHolds(const Route& route, const ModelName& model, WeightVersion version) const;
-  /// Without a byte for this long a run at `engine` counts as broken.
+  /// A run at `engine` that receives no byte for this long counts as broken.
   Duration StallTimeout(const InstanceId& engine) const;
-  /// Engine that ran the latest item of the same group; empty if none did.
+  /// The engine that ran the latest item of the same group; empty if none.
   InstanceId SiblingEngine(const Work& work, const JobRecord& record) const;
-  /// Where the rest of `work` is expected to be whole first; null if no engine may begin it now.
+  /// The engine with the lowest cost to complete `work`; null if none may start it now.
   const BackendInstance* PickEngine(EngineSnapshot& snapshot, Work& work, const JobRecord& record,
                                     const Route& route);
   void OnRunEnd(const JobId& job, uint32_t index, ItemRunEnd end, const std::string& reason);
   void Requeue(Work& work, Duration pause);
   void DiscardProgress(Work& work);
-  /// Has the whole text judged once the scorers have a place for it.
+  /// Queues the complete text for scoring, or records the result if the item needs none.
   void Score(Work& work, const JobRecord& record);
-  /// Begins scorings that wait, those first that have the least time to spare. No more run at once
-  /// than the live scorers work on: a burst of whole texts would fill their queues, in which the
-  /// requests of clients wait too, and be refused and repeated tens of times.
+  /// Starts waiting scorings in rank order, up to the capacity of the live scorers: more would fill
+  /// their queues, which requests of clients share, and be refused.
   void StartScoring();
-  void SendScoringRequest(Work& work, const JobRecord& record);
+  void SendScoring(Work& work, const JobRecord& record);
   void EndScoring(Work& work);
-  /// Whether it runs or waits.
+  /// Cancels the scoring whether it runs or waits.
   void CancelScoring(Work& work);
-  /// Requests that the live back ends of the route work on at once.
+  /// Number of concurrent scorings: the slots of the live back ends of the route.
   uint32_t MaxScorings(const std::string& route_name) const;
   void OnScored(const JobId& job, uint32_t index, const ForwardResult& result);
   void FailExpiredItems();
@@ -221,7 +219,7 @@
   void OnRecorded(const JobId& job, uint32_t index);
   Work* FindWork(const JobId& job, uint32_t index);
   const Route* RouteOf(const JobRecord& record) const;
-  /// The run's callbacks are still running: it goes a moment later.
+  /// Destroys the run from a timer, since one of its callbacks may be on the stack.
   void DropRunLater(Work& work);
 
   Environment& environment_;
@@ -234,26 +232,26 @@
   StatsRegistry* const stats_;
   std::function<bool()> may_start_work_ = [] { return true; };
   bool wants_to_lead_ = false;
-  /// Leads, and has applied all that earlier leaders committed.
+  /// This replica leads and has applied everything that earlier leaders committed.
   bool leading_ = false;
-  /// In which this replica leads; what it keeps and lists is marked with it.
+  /// Term of this leadership; saved progress and results carry it.
   Term term_;
   uint64_t next_order_ = 1;
   std::map<JobId, JobWork> jobs_;
   std::set<Rank> waiting_;
-  /// Whole texts that wait for a scorer, by the name of their route: one whose scorers are full or
-  /// gone holds up no other.
+  /// Complete texts that wait for a scorer, by route name, so that a route without free scorers
+  /// does not block the others.
   std::map<std::string, std::set<Rank>> scoring_waiting_;
-  /// Scorings under way, by the name of their route.
+  /// Number of running scorings by route name.
   std::map<std::string, uint32_t> scorings_;
   PartialTextCache partial_texts_;
   ItemLengths lengths_;
-  /// Of each model: how far the oldest allowed weights move on until items come back.
+  /// By model: how much the minimum version rises until a client submits an item again.
   std::map<ModelName, uint64_t> versions_until_return_;
   EngineSpeedTracker speeds_;
   TimePoint next_moves_at_;
   TimePoint next_pump_at_;
-  /// Jobs that changed since the last run of the timer.
+  /// Jobs that changed since the timer last fired.
   std::set<JobId> changed_;
   bool was_restored_ = false;
   ScopedTimer pump_timer_;
