--- a/source/jobs/job_dispatch.cc
+++ b/source/jobs/job_dispatch.cc
@@ -1,4 +1,4 @@
-/// Which item goes to which engine: the part of JobScheduler that begins runs and moves them.
+/// The part of JobScheduler that assigns items to engines, starts runs and moves them.
 #include <algorithm>
 
 #include "common/event_log.h"
@@ -8,14 +8,13 @@
 namespace millstair {
 namespace {
 
-/// So many times the usual time between two events is too long; and the least that is, which leaves
-/// room for a dozen prompts read before the first event and for a run that is preempted.
+/// Stall timeout as a multiple of the engine's usual time between two events.
 constexpr double kStallIntervals = 25;
+/// Leaves time for the prompts read before the first event and for preempted runs.
 constexpr Duration kMinStallTimeout = std::chrono::milliseconds(1000);
-/// How often runs are looked at for a move: as often as waiting items are in quiet times.
+/// How often runs are considered for a move.
 constexpr Duration kMoveInterval = std::chrono::milliseconds(100);
-/// Times that one item is moved, and items that are moved at once.
-constexpr uint32_t kMaxMovesPerItem = 2;
+constexpr uint32_t kMaxMoves = 2;
 constexpr size_t kMaxMovesPerPass = 4;
 
 }  // namespace
@@ -23,7 +22,7 @@
 void JobScheduler::DispatchWaiting(EngineSnapshot& snapshot) {
   const TimePoint now = environment_.Now();
   std::vector<Rank> sent;
-  /// Jobs for which no engine has room: their further items need not be looked at.
+  // Jobs for which no engine has a free slot; their other items are skipped.
   std::set<JobId> stuck;
   std::set<const Route*> full;
   for (const Rank& rank : waiting_) {
@@ -34,7 +33,7 @@
       stuck.insert(rank.job);
       continue;
     }
-    // Listed a moment ago: its body is gone, and it goes with the next changes.
+    // Already recorded: its body is cleared, and HandleChanges removes it.
     if (state_.IsRecorded(rank.job, rank.index)) continue;
     Work& work = *jobs_.at(rank.job).items.at(rank.index);
     if (now < work.not_before || !MaySend(work, *record)) continue;
@@ -62,8 +61,7 @@
     const Route* route = record == nullptr ? nullptr : RouteOf(*record);
     if (route == nullptr || record->ended) continue;
     for (const auto& work : job_work.items) {
-      if (work == nullptr || work->phase != Phase::kRunning || work->moves >= kMaxMovesPerItem)
-        continue;
+      if (work == nullptr || work->phase != Phase::kRunning || work->moves >= kMaxMoves) continue;
       if (state_.IsRecorded(job, work->index)) continue;
       const double remaining = RemainingEvents(*work, *record);
       const double here = speeds_.SecondsPerEvent(work->run->instance());
