--- a/source/jobs/job_guard.cc
+++ b/source/jobs/job_guard.cc
@@ -1,6 +1,6 @@
-/// The part of JobScheduler that keeps an item from engines after engine that it crashes. All that
-/// runs at an engine when it ends is cut off; an item that crashes engines is the one whose text is
-/// not an event longer the next time.
+/// The part of JobScheduler that limits how many engines an item can crash. A crash interrupts
+/// every run at the engine; an item is cleared of suspicion once a later run gets further or
+/// completes.
 
 #include <utility>
 
@@ -12,8 +12,8 @@
 namespace millstair {
 namespace {
 
-/// A held item is looked at again this often: another one of the same content may get further
-/// meanwhile, which clears both.
+/// How often a held item is checked again: another item of the same content may get further, which
+/// clears both.
 constexpr Duration kRecheckInterval = std::chrono::milliseconds(250);
 constexpr char kItemMethod[] = "POST";
 
@@ -64,7 +64,7 @@
       item, alive_.Guard([this, job = work.job, index = work.index, item](bool granted) {
         Work* requester = FindWork(job, index);
         if (requester == nullptr) {
-          // Another item of the same content may still use it.
+          // Another item of the same content may use the trial.
           if (granted) ingress_.guard().ReturnTrial(item);
           return;
         }
