--- a/source/jobs/job_scoring.cc
+++ b/source/jobs/job_scoring.cc
@@ -1,5 +1,4 @@
-/// The scoring of whole texts: the part of JobScheduler that has them judged, no more at once than
-/// the scorers have places.
+/// The part of JobScheduler that has complete texts scored, within the capacity of the scorers.
 #include <algorithm>
 #include <utility>
 
@@ -11,7 +10,7 @@
 
 constexpr Duration kFailedRetryDelay = std::chrono::milliseconds(50);
 constexpr Duration kMaxRetryDelay = std::chrono::seconds(1);
-/// Scorings at once that no route leads anywhere: each is tried again soon, in case a route comes.
+/// Concurrent scorings without a matching route. They fail and are retried in case a route appears.
 constexpr uint32_t kMaxUnroutedScorings = 8;
 constexpr int kInternalServerError = 500;
 
@@ -42,23 +41,22 @@
 }
 
 void JobScheduler::StartScoring() {
-  // The scorer is found by a route, which may have moved: like items, texts wait until the routes
-  // are proven. Pump comes back to them.
+  // The route to the scorer may have changed: texts wait until the configuration is confirmed
+  // current. Pump calls this again.
   if (!may_start_work_()) return;
   for (auto& [route, waiting] : scoring_waiting_) {
-    const uint32_t max = waiting.empty() ? 0 : MaxScorings(route);
-    while (!waiting.empty() && scorings_[route] < max) {
+    const uint32_t max_scorings = waiting.empty() ? 0 : MaxScorings(route);
+    while (!waiting.empty() && scorings_[route] < max_scorings) {
       const Rank next = waiting.extract(waiting.begin()).value();
       Work* work = FindWork(next.job, next.index);
       const JobRecord* record = state_.Find(next.job);
-      if (work != nullptr && record != nullptr && !record->ended)
-        SendScoringRequest(*work, *record);
+      if (work != nullptr && record != nullptr && !record->ended) SendScoring(*work, *record);
     }
   }
   std::erase_if(scoring_waiting_, [](const auto& entry) { return entry.second.empty(); });
 }
 
-void JobScheduler::SendScoringRequest(Work& work, const JobRecord& record) {
+void JobScheduler::SendScoring(Work& work, const JobRecord& record) {
   const JobScoring& scoring = *record.spec.items[work.index].scoring;
   ++scorings_[work.scoring_route];
   ForwardRequest request{
@@ -105,7 +103,7 @@
         std::max(own == nullptr ? 1 : own->attempts, scorer == nullptr ? 1 : scorer->attempts);
     if (work->scoring_errors >= attempts) return RecordOutcome(*work, ItemState::kFailed, "");
   }
-  // A call that is held is not worth asking for again at once.
+  // A held request states when to retry.
   const Duration pause = std::clamp(result.retry_after, kFailedRetryDelay, kMaxRetryDelay);
   environment_.Schedule(pause, alive_.Guard([this, job, index] {
     Work* again = FindWork(job, index);
