--- a/source/jobs/load_scheduler.cc
+++ b/source/jobs/load_scheduler.cc
@@ -14,20 +14,18 @@
 constexpr uint32_t kEnginesPerLoad = 5;
 constexpr double kWorkSmoothing = 0.5;
 constexpr Duration kTick = std::chrono::milliseconds(50);
-/// Between two looks at which engines there are: 520 servers that register in a second would each
-/// be followed by one.
+/// Batches the refreshes when many servers register at once.
 constexpr Duration kMinRefreshInterval = std::chrono::milliseconds(50);
-/// Assumed until a load was seen, and the least that is believed.
+/// Assumed duration of a load until one was observed.
 constexpr Duration kInitialLoadTime = std::chrono::seconds(1);
 constexpr Duration kMinLoadTime = std::chrono::milliseconds(50);
-/// How often an engine is asked whether its load is done once it should be.
+/// Interval between polls for the completion of a load.
 constexpr Duration kPollInterval = std::chrono::milliseconds(50);
-/// A load that is not done by then was not taken, or its engine is stuck.
+/// A load that takes longer was not accepted, or the engine is stuck.
 constexpr Duration kMaxLoadTime = std::chrono::seconds(8);
-/// An exchange without an answer for this long is given up.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(1500);
-/// A request that was sent to an engine has begun after this time: a dozen prompts of a thousand
-/// tokens are read in some forty milliseconds. An order refuses what has not begun.
+/// Time after which a request sent to an engine is assumed to have started. An engine refuses
+/// requests that have not started when it receives an order.
 constexpr Duration kRequestStartTime = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -86,7 +84,7 @@
     }
   }
   if (group_ == nullptr) return;
-  // No load is begun by models that are not trained any more.
+  // Engines of models that are no longer trained are reassigned before loads start.
   AssignModels();
   ScheduleEngineRefresh();
 }
@@ -157,7 +155,7 @@
   };
   const std::set<ModelName> models = TrainedModels();
   for (const ModelName& model : models) total += work_of(model);
-  // Each gets what its share rounds down to, at least one; the rest goes to those that miss most.
+  // Each model gets its share rounded down, at least one; the rest goes to the largest remainders.
   size_t given = 0;
   std::multimap<double, ModelName, std::greater<>> missing;
   for (const ModelName& model : models) {
@@ -188,8 +186,8 @@
                           });
 }
 
-/// Each engine serves one of the models that are trained, so that a new version of one costs only
-/// the loads of its own engines. Assignments change as little as possible.
+/// Assigns one trained model to each engine, so that a new version of a model is loaded by its own
+/// engines only. Changes as few assignments as possible.
 void LoadScheduler::AssignModels() {
   std::map<ModelName, EngineGroup> by_model;
   for (const ModelName& model : TrainedModels()) by_model[model];
@@ -265,8 +263,8 @@
   const uint64_t newest = target->second.value();
   if (version >= newest) return std::nullopt;
   const NamedVersion wanted{engine.assigned, target->second};
-  // Jobs that allow older weights let only a part of the engines load each version: an engine may
-  // serve until its version is too old. So fewer load, and not all are out of date at once.
+  // Where jobs allow older weights, an engine can serve until its version is too old. Only a part
+  // of the engines loads each version, so that not all of them go out of date at once.
   const auto demand = demand_.find(engine.assigned);
   const uint64_t lag = demand == demand_.end() ? 0 : demand->second.allowed_lag;
   if (version + lag < newest) return wanted;
@@ -301,7 +299,8 @@
     if (!Wanted(instance)) continue;
     behind.push_back(instance);
   }
-  // The oldest first; of these, those with the least work: the rest finish what they run meanwhile.
+  // Engines with the oldest version first, then those with the fewest runs; the others finish runs
+  // meanwhile.
   std::stable_sort(behind.begin(), behind.end(), [this](const auto& a, const auto& b) {
     const uint64_t a_behind = VersionsBehind(a);
     const uint64_t b_behind = VersionsBehind(b);
@@ -310,7 +309,7 @@
   });
   for (const InstanceId& instance : behind) {
     if (LoadsInProgress() >= MaxLoads()) return;
-    // What is under way by now may be enough.
+    // The loads started meanwhile may suffice.
     if (Wanted(instance)) Reserve(instance);
   }
 }
@@ -341,7 +340,7 @@
         engine.next_poll_at = environment_.Now() + kPollInterval;
         constexpr int kOk = 200;
         const auto report = status == kOk ? protocol_.ReadReport(body)
-                                          : absl::UnavailableError("the engine gave no report");
+                                          : absl::UnavailableError("no report from the engine");
         if (report.ok()) HandleReport(instance, *report);
         Release(instance);
       }));
@@ -351,7 +350,7 @@
 }
 
 void LoadScheduler::HandleReport(const InstanceId& instance, const ReportedEngine& report) {
-  // Another life of the server answers: what it says is not about this one, which is over.
+  // Another incarnation of the server replied, so this one has ended.
   const bool other_incarnation = report.born != BirthTime() && report.born != BirthOf(instance);
   if (other_incarnation) return directory_.NoteOver(instance);
   EngineLoadState& engine = engines_.at(instance);
@@ -359,7 +358,7 @@
     engine.versions[held.model] = std::max(engine.versions[held.model], held.version);
   }
   if (report.busy) {
-    // Its own load, or one of an earlier holder.
+    // Its own load, or one that an earlier lease holder ordered.
     if (!engine.loading) {
       engine.loading = NamedVersion{engine.assigned, WeightVersion()};
       engine.loading_since = environment_.Now();
@@ -385,8 +384,8 @@
   LogEvent(EventId::kLoadAnswered, "instance={} model={} version={} done={} took_ms={}", instance,
            engine.loading->model, engine.loading->version, done, took.count() / 1000);
   if (done && engine.loading->version != WeightVersion()) {
-    // Engines are asked before the expected end, so that a shorter time shows; one long load among
-    // others counts for a part only.
+    // Engines are polled before the expected end, so that shorter loads are detected. A longer load
+    // counts by a quarter only.
     const Duration next = took < load_time_ ? took : load_time_ + (took - load_time_) / 4;
     load_time_ = std::clamp(next, kMinLoadTime, kMaxLoadTime);
   }
@@ -404,7 +403,7 @@
   const TimePoint now = environment_.Now();
   if (group_ == nullptr || !caught_up_ || !MayOrder(instance)) return;
   EngineLoadState& engine = engines_.at(instance);
-  // New items are kept away while the order is under way.
+  // Keeps new items away while the order is in progress.
   engine.loading = wanted;
   engine.loading_since = now;
   engine.next_poll_at = now + FirstPollDelay();
@@ -424,7 +423,7 @@
   const BackendInstance* target = directory_.FindLive(instance);
   const auto found = engines_.find(instance);
   if (found == engines_.end()) return;
-  // By now every earlier announcement is applied here.
+  // Every earlier announcement is applied here by now.
   const bool leads = group_ != nullptr && group_->IsLeader();
   const bool may_order =
       leads && leases_.MayStillAct(LeaseSubject(instance), group_->CurrentTerm(), announced_at);
@@ -468,7 +467,8 @@
     case LoadAnswer::kRefused:
       break;
     case LoadAnswer::kUnknown:
-      // Its report tells; an order that is carried out late meets another count of orders.
+      // The next report shows the outcome. An order that arrives late is refused by its order
+      // count.
       engine.next_poll_at = now + kPollInterval;
       LogEvent(EventId::kLoadAnswered, "instance={} model={} version={} answer=none", instance,
                engine.loading->model, engine.loading->version);
--- a/source/jobs/load_scheduler.h
+++ b/source/jobs/load_scheduler.h
@@ -1,8 +1,8 @@
-/// Brings engines to the newest named version of their model, a few at a time. Runs on the leader
-/// of a job group alone, which is the one holder of orders: it announces each order in the group's
-/// log before it gives it, and a new leader leaves each engine alone until the lease of its last
-/// holder is over. Nothing is announced before everything that earlier leaders committed is
-/// applied, so the last announcement for an engine alone says who may still hold its lease.
+/// Loads the newest named version of their model into engines, a few at a time. Runs only on the
+/// leader of a job group. The leader announces each load order in the group's log before it sends
+/// it, and a new leader sends no order to an engine until the lease of the previous lease holder
+/// has expired. Nothing is announced before everything that earlier leaders committed is applied,
+/// so the last announcement for an engine identifies the only node that may still hold its lease.
 #pragma once
 
 #include <functional>
@@ -28,35 +28,36 @@
 namespace millstair {
 
 struct LoadOptions {
-  /// Engines that load at once, over all models; 0 is a fifth of them, and two at least.
+  /// Maximum number of concurrent loads over all models; 0 is a fifth of the engines, at least two.
   uint32_t concurrent_loads = 0;
-  /// No order to an engine within this time of another holder's.
+  /// Lease on the orders to an engine; other nodes send it none until the lease has expired.
   Duration order_lease = std::chrono::seconds(3);
 };
 
-/// What the jobs of a model ask for.
+/// Demand of the jobs for a model.
 struct ModelDemand {
-  /// Smoothed work of a job, in tokens that come out.
+  /// Smoothed number of output tokens per job.
   double work = 0;
-  /// How many versions behind the newest a job's weights may be.
+  /// How many versions the weights of a job may lag behind the newest.
   uint64_t allowed_lag = 0;
 };
 
-/// What an engine is known to hold, and what it was told.
+/// The known versions of an engine, its assigned model and its current load.
 struct EngineLoadState {
   std::map<ModelName, WeightVersion> versions;
-  /// The model that it is to serve; others stay as they are.
+  /// The model that it is to serve. Its other models are not updated.
   ModelName assigned;
-  /// Chosen for the next load: it gets no new runs, and its order once those it has have begun.
+  /// Chosen for the next load: it gets no new runs, and the order follows once its runs have
+  /// started.
   bool reserved = false;
-  /// A load is under way, or may be.
+  /// The load that is in progress, or may be.
   std::optional<NamedVersion> loading;
   TimePoint loading_since;
   TimePoint next_poll_at;
 
-  /// 0 is unknown.
+  /// 0 if unknown.
   WeightVersion HeldVersion(const ModelName& model) const;
-  /// Whether it loads `model` or is about to, so that new runs would be refused.
+  /// Whether it loads `model` or is reserved to, so that it would refuse new runs.
   bool IsLoading(const ModelName& model) const;
 };
 
@@ -67,65 +68,66 @@
                 const BackendProtocol& protocol, NodeId self, LoadOptions options);
   ~LoadScheduler();
 
-  /// Orders are given from now on, under `group`'s leadership; null ends it.
+  /// Sends orders from now on as the leader of `group`; null stops it.
   void SetLeading(RaftGroup* group);
-  /// An announcement was applied here, in the order of the log.
+  /// Called for each applied announcement, in log order.
   void RecordAnnouncement(const AnnounceOrder& announcement) {
     leases_.NoteAnnouncement({announcement.holder, LeaseSubject(announcement.instance),
                               announcement.term, announcement.announced_at});
   }
   void Update(const Configuration& configuration, const RouteTable* routes);
-  /// A job of `model` came; `work` is in tokens that come out.
+  /// A job of `model` was submitted; `work` is its expected number of output tokens.
   void OnJobSubmitted(const ModelName& model, double work, WeightVersion min_version);
-  /// The engines of `service` that items go to. Pointers are valid until the directory is next
-  /// updated.
+  /// The engines of `service` that run items. Pointers are valid until the next update of the
+  /// directory.
   std::vector<const BackendInstance*> EnginesOf(const ServiceName& service) const {
     return active_engines_.Engines(service);
   }
-  /// Items wait and no engine of `service` has room.
+  /// Items wait and no engine of `service` has a free slot.
   void OnNoFreeSlot(const ServiceName& service);
-  /// Called whenever an engine became able to take items.
+  /// `callback` is called whenever an engine becomes available for items.
   void OnReady(std::function<void()> callback) { on_ready_ = std::move(callback); }
 
-  /// When this node learned of the newest version of `model`; the epoch if none was named.
+  /// When this node received the newest version of `model`; the epoch if none was named.
   TimePoint NamedAt(const ModelName& model) const;
-  /// The version of `model` at `instance`, as far as is known; 0 is unknown.
+  /// The last known version of `model` at `instance`; 0 if unknown.
   WeightVersion VersionOf(const InstanceId& instance, const ModelName& model) const;
-  /// Null if `instance` is not known. Valid until engines are next learned.
+  /// Null if `instance` is unknown. Valid until the engines are next refreshed.
   const EngineLoadState* StateOf(const InstanceId& instance) const;
-  /// True while `instance` loads any model: what runs there may pause.
+  /// True while `instance` loads any model; its runs may pause meanwhile.
   bool LoadingAny(const InstanceId& instance) const;
-  /// A run was made by older weights than `instance` was believed to hold.
+  /// A run showed that `instance` holds an older version than recorded.
   void CorrectVersion(const InstanceId& instance, const ModelName& model, WeightVersion version);
-  /// An answer showed that `instance` holds `version`, or a later one by now.
+  /// A response showed that `instance` holds at least `version`.
   void RecordVersion(const InstanceId& instance, const ModelName& model, WeightVersion version);
 
  private:
-  /// The subject of the lease on a server's orders: the same for all its lives, so that two holders
-  /// never take turns at one server.
+  /// Subject of the lease on the orders to a server: the same for all its incarnations, so that two
+  /// lease holders never alternate at one server.
   static std::string LeaseSubject(const InstanceId& instance) { return ServerOf(instance).value(); }
 
   using EngineGroup = std::vector<EngineLoadState*>;
 
   void CatchUp();
   void Tick();
-  /// Learns which engines there are, soon: many changes of a moment cost as much as one.
+  /// Refreshes the engines now or after kMinRefreshInterval, so that bursts of changes are batched.
   void ScheduleEngineRefresh();
   void RefreshEngines();
   uint64_t VersionsBehind(const InstanceId& instance) const;
   void AssignModels();
-  /// The one that holds the newest weights of `model`; `engines` is not empty.
+  /// The engine with the newest weights of `model`; `engines` is not empty.
   static EngineGroup::iterator NewestOf(EngineGroup& engines, const ModelName& model);
-  /// Models that have jobs or a named version; a version may be named after the first jobs.
+  /// Models with jobs or a named version; the first jobs may precede the first version.
   std::set<ModelName> TrainedModels() const;
-  /// From an order until its engine is asked whether it is done.
+  /// Delay from an order to the first poll for its completion.
   Duration FirstPollDelay() const;
-  /// Engines that each trained model is to have, by its share of the work.
+  /// Number of engines for each trained model, by its share of the work.
   std::map<ModelName, size_t> WantedCounts() const;
   uint32_t LoadsInProgress() const;
   uint32_t MaxLoads() const;
   void StartLoads();
-  /// Whether what was sent to `instance` has begun there by now, so that an order refuses none.
+  /// Whether all requests sent to `instance` have started there: a load order makes the engine
+  /// refuse those that have not.
   bool HasStartedAll(const InstanceId& instance) const;
   void Reserve(const InstanceId& instance);
   void Release(const InstanceId& instance);
@@ -133,14 +135,14 @@
   void HandleReport(const InstanceId& instance, const ReportedEngine& report);
   bool MayOrder(const InstanceId& instance) const;
   void ProposeOrder(const InstanceId& instance, const NamedVersion& wanted, uint64_t orders);
-  /// The announcement is committed: gives the order if there is still time for it.
+  /// Sends the order if its committed announcement still allows it.
   void SendOrder(const InstanceId& instance, const NamedVersion& wanted, uint64_t orders,
                  TimePoint announced_at);
   void EndLoad(const InstanceId& instance, bool done);
   void HandleOrderAnswer(const InstanceId& instance, LoadAnswer answer);
   std::optional<NamedVersion> Wanted(const InstanceId& instance) const;
-  /// Engines assigned to `model`, and those of them but `asking` that hold the newest version, load
-  /// it or are about to; `asking` counts only if it holds or loads it.
+  /// Number of engines assigned to `model`, and of those that hold the newest version, load it or
+  /// are reserved for it; a reservation of `candidate` itself does not count.
   struct Progress {
     uint64_t engines = 0;
     uint64_t newest = 0;
@@ -156,14 +158,13 @@
   const LoadOptions options_;
   RaftGroup* group_ = nullptr;
   HolderLeases leases_;
-  /// Everything that earlier leaders committed is applied here.
   bool caught_up_ = false;
-  /// How long loads take, by those seen lately.
+  /// Smoothed duration of recent loads.
   Duration load_time_;
   std::map<ModelName, WeightVersion> targets_;
   std::map<ModelName, TimePoint> named_at_;
   std::map<ModelName, ModelDemand> demand_;
-  /// Services whose engines hold models.
+  /// Models by service, for the services whose engines hold models.
   std::map<ServiceName, std::vector<ModelName>> services_;
   ActiveEngineSet active_engines_;
   TimePoint refreshed_at_;
