--- a/source/jobs/placement.cc
+++ b/source/jobs/placement.cc
@@ -3,18 +3,16 @@
 namespace millstair {
 namespace {
 
-/// By this share an event takes longer for each other run at its engine. The bench's sheets give
-/// 0.005 of a step for each place in use; runs that begin there and read their prompts add to it.
+/// Relative slowdown of events for each other run at the engine, including the reading of prompts.
 constexpr double kSlowdownPerRun = 0.01;
-/// A prompt of some thousand tokens is read in about this time.
+/// Time to read a prompt of about a thousand tokens.
 constexpr double kPromptSeconds = 0.005;
-/// Makes any other engine with room the better choice.
+/// Makes any other engine with a free slot the better choice.
 constexpr double kSlowEnginePenaltySeconds = 1000;
-/// A move has to gain this much: it costs a connection and reading prompt and text again, some ten
-/// milliseconds, and what is expected of the length is often wrong by half.
+/// Minimum gain of a move, above its cost because the expected length is uncertain.
 constexpr double kMinGainSeconds = 0.25;
-/// Engines whose pace differs by less than this share count as equally fast: the smoothed times
-/// between events differ by some hundredths by chance.
+/// Engines whose speed differs by less than this share count as equally fast, since the smoothed
+/// times vary by chance.
 constexpr double kMinGainShare = 0.1;
 
 }  // namespace
--- a/source/jobs/placement.h
+++ b/source/jobs/placement.h
@@ -1,4 +1,4 @@
-/// What it costs to run the rest of an item at an engine: the base of each choice of an engine.
+/// Cost of running the rest of an item at an engine, by which engines are chosen.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +9,20 @@
 struct EngineOffer {
   /// Expected time between two events there.
   double seconds_per_event = 0;
-  /// Runs under way there.
+  /// Number of running requests.
   uint32_t running = 0;
-  /// Its events come far slower than those of most engines.
+  /// Its events arrive far slower than those of most engines.
   bool slow = false;
-  /// It ran the latest item of the same group, so that it keeps their prompt.
+  /// It ran the latest item of the same group, so that the common prompt is cached there.
   bool has_prompt_cached = false;
 };
 
-/// In seconds, until the item is whole there; the least is the best. `remaining_events` of its text
-/// are expected.
+/// Expected seconds until the item is complete there, with a penalty for slow engines; lower is
+/// better.
 double PlacementCost(double remaining_events, const EngineOffer& offer);
 
-/// Whether a run is to go on where an event takes `there` seconds instead of `here`: what it gains
-/// is worth a new connection and reading prompt and text again.
+/// Whether a run gains enough from a move to an engine with `target_seconds` per event instead of
+/// `current_seconds`: a move costs a new connection and reading prompt and text again.
 bool WorthMoving(double remaining_events, double current_seconds, double target_seconds);
 
 }  // namespace millstair
