--- a/source/jobs/item_run.cc
+++ b/source/jobs/item_run.cc
@@ -80,16 +80,17 @@
 }
 
 void ItemRun::WatchForStall() {
-  stall_timer_.Arm(options_.stall_timeout,
-                   [this] { End(ItemRunEnd::kBroken, "no byte for too long"); });
+  stall_timer_.Arm(options_.stall_timeout, [this] {
+    End(ItemRunEnd::kBroken, "stalled: no byte received within the stall timeout");
+  });
 }
 
 void ItemRun::OnHead(const HttpResponseHead& head) {
   if (ended_) return;
   const BackendAnswer answer = protocol_.ReadAnswer(head, request_id_);
-  if (!answer.own) return End(ItemRunEnd::kBroken, "the answer belongs to another request");
-  if (answer.wrong_instance) return End(ItemRunEnd::kWrongInstance, "another back end answered");
-  if (answer.not_run) return End(ItemRunEnd::kRefused, "the engine refused");
+  if (!answer.own) return End(ItemRunEnd::kBroken, "response belongs to another request");
+  if (answer.wrong_instance) return End(ItemRunEnd::kWrongInstance, "another instance responded");
+  if (answer.not_run) return End(ItemRunEnd::kRefused, "refused by the engine");
   if (head.status == kUnprocessableEntity) return End(ItemRunEnd::kImpossible, "status 422");
   if (head.status == kInternalServerError) return End(ItemRunEnd::kServerError, "status 500");
   if (head.status != kOk) return End(ItemRunEnd::kBroken, fmt::format("status {}", head.status));
@@ -116,11 +117,12 @@
   if ((*event)->version) version_ = *(*event)->version;
   if ((*event)->id != progress_.events + 1) {
     End(ItemRunEnd::kBroken,
-        fmt::format("event {} came after event {}", (*event)->id, progress_.events));
+        fmt::format("received event {} after event {}", (*event)->id, progress_.events));
     return false;
   }
   if (!VersionAllowed(version_)) {
-    End(ItemRunEnd::kWrongVersion, fmt::format("made by version {}", version_));
+    End(ItemRunEnd::kWrongVersion,
+        fmt::format("made by version {}, which is not allowed", version_));
     return false;
   }
   progress_.version = version_;
@@ -139,7 +141,7 @@
 void ItemRun::OnFinished() {
   if (ended_) return;
   if (!streaming_ || splitter_.HasPartialEvent() || progress_.events == 0) {
-    return End(ItemRunEnd::kBroken, "the stream ended inside an event");
+    return End(ItemRunEnd::kBroken, "stream ended without a complete event");
   }
   End(ItemRunEnd::kComplete, "");
 }
--- a/source/jobs/item_run.h
+++ b/source/jobs/item_run.h
@@ -17,40 +17,40 @@
 namespace millstair {
 
 enum class ItemRunEnd : uint8_t {
-  kComplete,       ///< the stream ended as it should
+  kComplete,       ///< the stream ended normally
   kRefused,        ///< the engine did not run it
-  kWrongInstance,  ///< another life of the engine has the address
-  kUnreachable,    ///< nothing could be sent
-  kBroken,         ///< the stream broke off or stood still
+  kWrongInstance,  ///< another incarnation of the engine has the address
+  kUnreachable,    ///< the request could not be sent
+  kBroken,         ///< the stream broke or stalled
   kServerError,    ///< the engine ran it and failed
-  kImpossible,     ///< the engine says that it can never be done
+  kImpossible,     ///< the engine reports that it can never be done
   kWrongVersion,   ///< made by weights that the job does not allow
 };
 
-/// "whole", "refused" and so on, for logs and metrics.
+/// Name for logs and metrics, such as "whole" or "refused".
 std::string_view ItemRunEndName(ItemRunEnd end);
 
-/// Which weights may make the text.
+/// Constraints on the weights that may make the text.
 struct VersionRule {
   WeightVersion min_version;
   bool single_version = false;
 };
 
 struct ItemRunOptions {
-  /// Without a byte for this long the run counts as broken.
+  /// A run that receives no byte for this long counts as broken.
   Duration stall_timeout{0};
   VersionRule versions;
 };
 
-/// Lives on the node's serial executor. Dropping it closes the connection to the engine.
+/// Lives on the node's serial executor. The destructor closes the connection to the engine.
 class ItemRun : public HttpCallObserver {
  public:
   using Callback = std::function<void(ItemRunEnd end, const std::string& reason)>;
-  /// Time between two events of the run.
+  /// Receives the time between two events of the run.
   using GapListener = std::function<void(const InstanceId& instance, Duration gap)>;
 
-  /// `progress` outlives the run and grows with it. `done` is called once and may destroy the run
-  /// only after it has returned.
+  /// `progress` must outlive the run, which appends to it. `done` is called once and must not
+  /// destroy the run before it returns.
   ItemRun(Environment& environment, BackendDirectory& directory, const BackendProtocol& protocol,
           ItemProgress& progress, ItemRunOptions options, Callback done);
   ~ItemRun() override;
@@ -59,8 +59,8 @@
   void SetGapListener(GapListener listener) { on_gap_ = std::move(listener); }
   const BackendInstance& target() const { return target_; }
   const InstanceId& instance() const { return target_.id; }
-  /// The weights that the engine itself named in this run; 0 if it named none. The text may have
-  /// parts that other engines made.
+  /// The version that the engine reported in this run; 0 if none. Other engines may have made parts
+  /// of the text.
   WeightVersion named_version() const { return version_; }
 
   void OnHead(const HttpResponseHead& head) override;
@@ -69,7 +69,7 @@
   void OnFailed(CallFailure failure, const std::string& reason) override;
 
  private:
-  /// False if the run has ended by it.
+  /// False if the event ended the run.
   bool HandleEvent(const std::string& lines);
   bool VersionAllowed(WeightVersion version) const;
   void WatchForStall();
@@ -84,7 +84,6 @@
   BackendInstance target_;
   std::string request_id_;
   TimePoint started_at_;
-  /// When the latest event came; none before the first.
   std::optional<TimePoint> last_event_at_;
   GapListener on_gap_;
   std::unique_ptr<CallHandle> handle_;
