--- a/source/jobs/job_state_machine.cc
+++ b/source/jobs/job_state_machine.cc
@@ -6,7 +6,7 @@
 namespace millstair {
 namespace {
 
-/// Of so many engines the latest announcement is kept: more than get orders within any lease.
+/// More than the engines that get orders within a lease.
 constexpr size_t kMaxAnnouncements = 4096;
 
 std::vector<bool> RecordedItems(const JobRecord& record) {
@@ -24,13 +24,13 @@
   return results && progress;
 }
 
-/// Whether text that the leader of `term` has after `after` events goes on where `kept` ends. Two
-/// leaders may have had an item run anew, so equal counts of events alone do not say so.
+/// Whether text that the leader of `term` made after `after` events continues `saved`. Two leaders
+/// may have run an item from its start, so equal event counts are not sufficient.
 bool Continues(const SavedProgress& saved, uint64_t after, Term term) {
   return saved.events == after && saved.term == term;
 }
 
-/// Frees what nobody may ask for any more; the identifier stays for reads of the result.
+/// Frees the content that is no longer needed; the identifier stays for reads of the result.
 void ClearContent(JobItem& item) {
   item.body = std::string();
   item.headers = HttpHeaders();
@@ -75,13 +75,13 @@
   std::vector<bool>& recorded = recorded_[record.job];
   if (record.result.item >= recorded.size()) return JobResultCode::kInvalid;
   if (recorded[record.result.item]) return JobResultCode::kOk;
-  // Nobody waits for it, and its client may already run the item again in another job.
+  // Nobody waits for the result, and the client may have submitted the item again in another job.
   if (found->second.ended) return JobResultCode::kOk;
   JobResult result = record.result;
   if (record.after > 0) {
     const auto saved = found->second.progress.find(record.result.item);
-    const bool found_saved = saved != found->second.progress.end();
-    if (!found_saved || !Continues(saved->second, record.after, record.term))
+    const bool exists = saved != found->second.progress.end();
+    if (!exists || !Continues(saved->second, record.after, record.term))
       return JobResultCode::kNotSaved;
     result.text = saved->second.text + record.result.text;
   }
@@ -111,7 +111,7 @@
   });
   announcements_.push_back(announce);
   if (announcements_.size() > kMaxAnnouncements) announcements_.erase(announcements_.begin());
-  Notify(JobChange::kOrderAnnounced, JobId());
+  Notify(JobChange::kAnnounced, JobId());
   return JobResultCode::kOk;
 }
 
@@ -125,7 +125,7 @@
       progress[part.item] = part.added;
       continue;
     }
-    // A part that does not follow what is kept is passed over.
+    // Skips a part that does not continue the saved text.
     const auto held = progress.find(part.item);
     if (held == progress.end()) continue;
     if (!Continues(held->second, part.after, part.added.term)) continue;
@@ -175,7 +175,7 @@
   const bool valid = std::all_of(snapshot->jobs.begin(), snapshot->jobs.end(),
                                  [](const SnapshotJob& job) { return IsValid(job.record); });
   if (!valid) {
-    return absl::DataLossError("the snapshot lists a result of no item");
+    return absl::DataLossError("job snapshot holds a result or progress of an unknown item");
   }
   clock_ = snapshot->clock;
   announcements_ = std::move(snapshot->announcements);
--- a/source/jobs/job_state_machine.h
+++ b/source/jobs/job_state_machine.h
@@ -1,5 +1,5 @@
-/// State machine of a group that keeps batch jobs: which jobs there are and the listed results of
-/// each, in an order that never changes.
+/// State machine of a group that stores batch jobs: the jobs and the recorded results of each, in
+/// an order that never changes.
 #pragma once
 
 #include <functional>
@@ -15,28 +15,20 @@
 namespace millstair {
 
 struct JobLimits {
-  /// An ended job is remembered for this long after it was submitted, so that a resend of it is
-  /// answered and its results can be read again.
+  /// An ended job is retained for this long after its submission, so that resends find it and its
+  /// results can be read again.
   std::chrono::milliseconds retention = std::chrono::minutes(2);
-  /// The clock moves at most this far with one command.
+  /// Maximum advance of the clock by one command.
   std::chrono::milliseconds max_clock_step = std::chrono::minutes(1);
 };
 
-/// What the application of a command changed.
-enum class JobChange : uint8_t {
-  kSubmitted,
-  kRecorded,
-  kEnded,
-  kRemoved,
-  kRestored,
-  kOrderAnnounced
-};
+enum class JobChange : uint8_t { kSubmitted, kRecorded, kEnded, kRemoved, kRestored, kAnnounced };
 
 /// Deterministic. Its clock is the largest proposal time seen.
 class JobStateMachine : public StateMachine {
  public:
-  /// Called while an entry is applied: only notes and arms timers. `job` is empty for kRestored and
-  /// kOrderAnnounced.
+  /// Called while an entry is applied: it must only record the change and arm timers. `job` is
+  /// empty for kRestored and kAnnounced.
   using Listener = std::function<void(JobChange change, const JobId& job)>;
 
   explicit JobStateMachine(JobLimits limits = {}) : limits_(limits) {}
@@ -47,10 +39,9 @@
   absl::Status Restore(LogIndex index, std::string_view snapshot) override;
 
   const std::map<JobId, JobRecord>& jobs() const { return jobs_; }
-  /// Null if there is no such job.
   const JobRecord* Find(const JobId& job) const;
   bool IsRecorded(const JobId& job, uint32_t item) const;
-  /// The latest announcement of an order to each engine, the oldest first.
+  /// The latest order announcement for each engine, oldest first.
   const std::vector<AnnounceOrder>& announcements() const { return announcements_; }
   void OnChange(Listener listener) { listener_ = std::move(listener); }
 
@@ -67,10 +58,10 @@
   JobLimits limits_;
   WallTime clock_;
   std::map<JobId, JobRecord> jobs_;
-  /// Of each ended job, how it stands in a snapshot.
+  /// Snapshot encoding of each ended job.
   std::map<JobId, std::shared_ptr<const std::string>> ended_encoded_;
   std::vector<AnnounceOrder> announcements_;
-  /// By job, whether the item of that index is listed.
+  /// By job: whether the item of each index is recorded.
   std::map<JobId, std::vector<bool>> recorded_;
   Listener listener_;
 };
