--- a/source/jobs/job_types.h
+++ b/source/jobs/job_types.h
@@ -1,4 +1,4 @@
-/// Batch jobs: sets of generations that a client hands in together and collects later.
+/// Batch jobs: sets of generations that a client submits together and collects later.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +14,8 @@
 
 namespace millstair {
 
-/// A request that judges an item's whole text; its answer's signature is the item's score.
+/// A request that scores an item's complete text; the signature of its response is the score.
 struct JobScoring {
-  /// Identifier of the request.
   std::string id;
   std::string host;
   std::string path;
@@ -29,11 +28,11 @@
   std::string path;
   HttpHeaders headers;
   std::string body;
-  /// Prompt tokens and the most that come out, summed.
+  /// Prompt tokens plus the maximum of output tokens.
   uint64_t tokens = 0;
-  /// The client's guess of the tokens that come out; 0 is none.
+  /// The client's estimate of the output tokens; 0 if none.
   uint64_t expected_tokens = 0;
-  /// Items of one group share their prompt and count only together; empty is none.
+  /// Items of one group share their prompt and are useful only together; empty if none.
   std::string group;
   std::optional<JobScoring> scoring;
   friend bool operator==(const JobItem&, const JobItem&) = default;
@@ -41,18 +40,18 @@
 
 struct JobSpec {
   JobId id;
-  /// Who handed it in, and who alone may read or end it; empty where the configuration holds no
-  /// tenants.
+  /// The tenant that submitted it and that alone may read or end it; empty where the configuration
+  /// has no tenants.
   TenantName tenant;
-  /// Host and path under which it came; they choose its route.
+  /// Host and path of the submission, which select the route.
   std::string host;
   std::string path;
-  /// Training step that it is for; none if it is for no trainer.
+  /// Training step that it belongs to; none if it is not from a trainer.
   std::optional<uint64_t> step;
   ModelName model;
-  /// Oldest weights that may make its tokens; 0 is any.
+  /// Oldest version that may make its tokens; 0 allows any.
   WeightVersion min_version;
-  /// Whole groups that the client waits for; 0 is all.
+  /// Number of complete groups that the client waits for; 0 is all.
   uint64_t wanted_groups = 0;
   std::vector<JobItem> items;
   friend bool operator==(const JobSpec&, const JobSpec&) = default;
@@ -60,50 +59,50 @@
 
 enum class ItemState : uint8_t {
   kDone = 1,
-  kFailed = 2,  ///< given up: it can't be done, or not in time
+  kFailed = 2,  ///< impossible, or not done in time
 };
 
-/// Texts that one answer holds at most, in bytes.
+/// Limit on the texts in one reply, in bytes.
 inline constexpr uint64_t kMaxResultBytes = 900'000;
 
-/// What became of an item. Its position among the results of its job never changes.
+/// Outcome of an item. Its position among the results of its job never changes.
 struct JobResult {
   /// Index of the item in its job.
   uint32_t item = 0;
   ItemState state = ItemState::kDone;
   std::string text;
-  /// Every version that made a part of the text.
+  /// All versions that made parts of the text.
   std::vector<WeightVersion> versions;
-  /// Signature of the scoring answer; empty without scoring.
+  /// Signature of the scoring response; empty without scoring.
   std::string score;
   friend bool operator==(const JobResult&, const JobResult&) = default;
 };
 
-/// Text that the group's log keeps of an item that is not listed.
+/// Text of an unfinished item as saved in the group's log.
 struct SavedProgress : ItemProgress {
-  /// Of the leader that kept it: no other leader's text goes on after it.
+  /// Term of the leader that saved it; only that leader may append to it.
   Term term;
   friend bool operator==(const SavedProgress&, const SavedProgress&) = default;
 };
 
 struct JobRecord {
   JobSpec spec;
-  /// Wall time of the leader that took it.
+  /// The group's clock when the job was submitted; see JobStateMachine.
   WallTime submitted_at;
   bool ended = false;
-  /// In listed order.
+  /// In the order in which they were recorded.
   std::vector<JobResult> results;
-  /// Text that was kept of items that are not listed, by index.
+  /// Saved text of unfinished items, by index.
   std::map<uint32_t, SavedProgress> progress;
 };
 
-/// Whether `caller` may read and end the job. One that nobody owns was handed in when the
-/// configuration held no tenants, and stays open to all.
+/// Whether `caller` may read and end the job. A job without a tenant was submitted when the
+/// configuration had no tenants, and stays open to all.
 inline bool MayAccessJob(const JobRecord& record, const TenantName& caller) {
   return record.spec.tenant.value().empty() || record.spec.tenant == caller;
 }
 
-/// An item and the tenant whose job carries it: two tenants may use one identifier.
+/// An item and the tenant of its job: two tenants may use the same identifier.
 struct OwnedItem {
   TenantName tenant;
   ItemId item;
@@ -111,52 +110,53 @@
   friend bool operator==(const OwnedItem&, const OwnedItem&) = default;
 };
 
-/// Takes a job. A job that is known already stays as it is.
+/// Adds a job. A known job stays unchanged.
 struct SubmitJob {
   JobSpec job;
 };
 
-/// Lists the result of an item; the first one stays.
+/// Records the result of an item; the first one wins.
 struct RecordResult {
   JobId job;
   JobResult result;
-  /// Events whose text the group's log keeps already; the result's text holds what follows them.
+  /// Events whose text is saved in the group's log; the result's text holds only what follows them.
   uint64_t after = 0;
-  /// Of the leader that lists it and kept the text before.
+  /// Term of the leader that records it and saved the preceding text.
   Term term;
 };
 
-/// The client wants no more of a job.
+/// Ends a job: its client needs no more results.
 struct EndJob {
   JobId job;
   TenantName tenant;
 };
 
-/// The holder is about to give an order to an engine, within a bounded time. Other holders give
-/// none to that engine until its lease is over.
+/// The lease holder is about to send an order to an engine, within a bounded time. Other nodes send
+/// none to that engine until the lease has expired.
 struct AnnounceOrder {
   NodeId holder;
   InstanceId instance;
-  /// Under which the holder leads the group.
+  /// Term in which the lease holder leads the group.
   Term term;
-  /// Steady time of the holder; comparable with its other announcements of the same term only.
+  /// Steady time of the lease holder; comparable only with its announcements of the same term.
   Duration announced_at{0};
   friend bool operator==(const AnnounceOrder&, const AnnounceOrder&) = default;
 };
 
-/// What an item's text grew by since the last time it was kept.
+/// The part of an item's text that was added since the last save.
 struct ProgressPart {
   JobId job;
   /// Index of the item in its job.
   uint32_t item = 0;
-  /// Events that were kept before; 0 replaces what was.
+  /// Events that were saved before; 0 replaces the saved text.
   uint64_t after = 0;
-  /// `text` holds the new part alone, the rest counts all events. Its term is the proposer's.
+  /// `text` holds only the new part; the other members cover all events. The term is the
+  /// proposer's.
   SavedProgress added;
   friend bool operator==(const ProgressPart&, const ProgressPart&) = default;
 };
 
-/// Keeps what was made of long texts, so that another leader goes on after it.
+/// Saves the progress of long texts, so that another leader can resume them.
 struct SaveProgress {
   std::vector<ProgressPart> parts;
 };
@@ -165,24 +165,24 @@
   kOk = 1,
   kNotFound = 2,    ///< no such job
   kInvalid = 3,     ///< malformed command
-  kNotSaved = 4,    ///< the result goes on after a text that is not kept: it has to be listed whole
+  kNotSaved = 4,    ///< the text that the result continues is not saved: send it complete
   kOtherOwner = 5,  ///< another tenant's job has the identifier
 };
 
 enum class JobQueryKind : uint8_t {
-  kResults = 1,  ///< results from a position on; held until there are some, if asked to
-  kBody = 2,     ///< body of an item that is not listed, of a job that was not ended
+  kResults = 1,  ///< results from a position; may wait until there are some
+  kBody = 2,     ///< body of an unfinished item of a job that has not ended
 };
 
 struct JobQuery {
   JobQueryKind kind = JobQueryKind::kResults;
   JobId job;
-  /// Who asks; a job of another tenant is not found.
+  /// The calling tenant; jobs of other tenants are not found.
   TenantName tenant;
   ItemId item;
   uint64_t after = 0;
   Duration wait{0};
-  /// Bound on the texts of one answer; at least one result is given if there is one.
+  /// Limit on the texts in one reply; at least one result is returned if there is one.
   uint64_t max_bytes = kMaxResultBytes;
 };
 
