--- a/source/jobs/job_service.cc
+++ b/source/jobs/job_service.cc
@@ -8,7 +8,7 @@
 namespace millstair {
 namespace {
 
-/// The longest that a query is held: less than the time after which its sender asks elsewhere.
+/// Maximum time that a query is held, below the time after which its sender tries another node.
 constexpr Duration kMaxHold = std::chrono::milliseconds(500);
 
 JobQueryAnswer ResultsOf(const JobRecord& record, const JobQuery& query) {
@@ -49,10 +49,10 @@
   }
   if (group_ == nullptr) return Reply(from, id, absl::FailedPreconditionError("no replica here"));
   if (!group_->IsLeader() && !group_->Leader()) {
-    // It would learn of a leader too late for the reader, who may ask another replica.
+    // The caller can query another replica sooner than this one would find a leader.
     return Reply(from, id, absl::UnavailableError("no leader is known here"));
   }
-  // A resend of a command that is under way is answered with it.
+  // The reply to the command in progress also answers its resend.
   const CommandKey key{from, id};
   if (!running_.insert(key).second) return;
   auto done = alive_.Guard([this, key](const absl::StatusOr<std::string>& result) {
@@ -106,9 +106,9 @@
   const auto position = std::prev(held_.end());
   held.limit.Arm(std::min(query.wait, kMaxHold), [this, position] {
     const Callback answer_now = std::move(position->done);
-    const JobQuery query = position->query;
+    const JobQuery held_query = position->query;
     held_.erase(position);
-    answer_now(EncodeJobQueryAnswer(AnswerOf(query)));
+    answer_now(EncodeJobQueryAnswer(AnswerOf(held_query)));
   });
 }
 
@@ -142,7 +142,7 @@
   if (result.ok()) {
     reply.result = *result;
   } else {
-    // Whether a proposal ran is not known then; commands bear being repeated.
+    // Whether a proposal was applied is unknown then; commands are idempotent.
     const bool try_again =
         absl::IsUnavailable(result.status()) || absl::IsDeadlineExceeded(result.status());
     reply.status = try_again ? absl::StatusCode::kUnavailable : result.status().code();
--- a/source/jobs/job_service.h
+++ b/source/jobs/job_service.h
@@ -1,6 +1,6 @@
-/// Commands and queries of other nodes for a job group, on a node that holds a replica of it.
-/// Served by the leader; others name the leader, and so does a node without a replica that has
-/// heard who leads.
+/// Serves commands and queries of other nodes for a job group. The leader executes commands, every
+/// replica answers queries. A node that can't serve a call replies with the leader, if it knows
+/// one.
 #pragma once
 
 #include <functional>
@@ -23,27 +23,26 @@
 /// Lives on the node's serial executor.
 class JobService {
  public:
-  /// `placed_leader` tells who leads the group as far as the configuration tells; may be empty.
+  /// `placed_leader` returns the leader of the group according to the configuration; may be empty.
   JobService(
       Environment& environment, PeerTransport& transport,
       std::function<NodeId()> placed_leader = [] { return NodeId(); });
 
-  /// The group's replica here; null if there is none.
+  /// Sets the group's replica on this node; null if there is none.
   void Attach(RaftGroup* group, const JobStateMachine* state);
-  /// A message of kind kCommand for the group.
+  /// Handles a message of kind kCommand for the group.
   void Receive(const NodeId& from, const PeerMessage& message);
   /// The state machine applied a change; held queries are answered from a timer.
   void OnStateChange(const JobId& job);
 
  private:
   using Callback = std::function<void(absl::StatusOr<std::string>)>;
-  /// A command under way, told from its resends.
+  /// Identifies a command in progress, to recognize its resends.
   struct CommandKey {
     NodeId from;
     uint64_t id = 0;
     friend auto operator<=>(const CommandKey&, const CommandKey&) = default;  // NOLINT
   };
-  /// A query that waits for a result.
   struct HeldQuery {
     explicit HeldQuery(Environment& environment) : limit(environment) {}
     JobQuery query;
@@ -56,7 +55,7 @@
   void AnswerOrHold(const JobQuery& query, Callback done);
   JobQueryAnswer AnswerOf(const JobQuery& query) const;
   void AnswerChanged();
-  /// As the replica here knows, or as the configuration tells; empty if none is known.
+  /// According to the replica on this node or else the configuration; empty if unknown.
   NodeId KnownLeader() const;
   void Reply(const NodeId& to, uint64_t id, const absl::StatusOr<std::string>& result);
 
