--- a/source/jobs/active_engine_set.cc
+++ b/source/jobs/active_engine_set.cc
@@ -9,9 +9,10 @@
 namespace millstair {
 namespace {
 
-/// What was taken in gets its weights and its first runs before more is.
+/// Added engines get time to load weights and start runs before more are added.
 constexpr Duration kGrowInterval = std::chrono::milliseconds(500);
 constexpr size_t kGrowDivisor = 4;
+/// Part of the ranking hash: a change of the text reorders the engines.
 const NodeId kRankingKey("engine roster");
 
 struct Ranked {
--- a/source/jobs/active_engine_set.h
+++ b/source/jobs/active_engine_set.h
@@ -1,9 +1,9 @@
-/// The engines that the leader of the batch jobs works with: all of a small service, of a large one
-/// as many as the work needs. What each look at the waiting items costs grows with them, and so do
-/// the loads of each version.
+/// The engines that the leader of a job group uses: all engines of a small service, as many as the
+/// work needs of a large one, since the cost of a scheduling pass and the number of loads per
+/// version grow with them.
 ///
-/// Every leader chooses by the same order, so the next one finds the weights where the last one had
-/// them loaded. An engine that leaves gives way to the next in that order.
+/// Every leader ranks the engines in the same order, so a new leader uses those into which its
+/// predecessor loaded weights. An engine that leaves is replaced by the next in that order.
 #pragma once
 
 #include <map>
@@ -14,8 +14,7 @@
 
 namespace millstair {
 
-/// So many engines are worked with at the least. With six places each they hold some 570 runs, four
-/// times what eight trainers of 120 texts each four seconds keep under way.
+/// Initial number of engines used for each service.
 inline constexpr size_t kMinActiveEngines = 96;
 
 /// Lives on the node's serial executor.
@@ -24,13 +23,13 @@
   ActiveEngineSet(const BackendDirectory& directory, Environment& environment)
       : directory_(directory), environment_(environment) {}
 
-  /// Chooses anew among the live engines of `service`.
+  /// Selects again among the live engines of `service`.
   void Refresh(const ServiceName& service);
-  /// Work for engines of `service` waits and none of them has room: more are taken in, a quarter at
-  /// a time. Whether there were any.
+  /// Adds a quarter more engines of `service` when work waits and none has a free slot. False if
+  /// there are no more or the last growth was too recent.
   bool Grow(const ServiceName& service);
-  /// Those that are still live, in the order of their identifiers. Pointers are valid until the
-  /// directory is next updated.
+  /// The selected engines that are still live, ordered by identifier. Pointers are valid until the
+  /// next update of the directory.
   std::vector<const BackendInstance*> Engines(const ServiceName& service) const;
 
  private:
--- a/source/jobs/engine_snapshot.cc
+++ b/source/jobs/engine_snapshot.cc
@@ -5,9 +5,8 @@
 namespace millstair {
 namespace {
 
-/// Between two runs at an engine that failed lately, one at a time: it is back within seconds, and
-/// each try opens a connection.
-constexpr Duration kProbeInterval = std::chrono::milliseconds(200);
+/// Minimum time between two runs that probe an engine that failed lately.
+constexpr Duration kProbeDelay = std::chrono::milliseconds(200);
 
 }  // namespace
 
@@ -22,8 +21,7 @@
     SnapshotEngine engine;
     engine.record = record;
     engine.failed_lately = directory_.Ejected(record->id);
-    if (engine.failed_lately && now_ - directory_.LatestBegin(record->id) < kProbeInterval)
-      continue;
+    if (engine.failed_lately && now_ - directory_.LatestBegin(record->id) < kProbeDelay) continue;
     engine.offer.seconds_per_event = speeds_.SecondsPerEvent(record->id);
     engine.offer.running = directory_.Running(record->id);
     engine.slots = UsableSlots(*record, engine.offer.running);
@@ -37,7 +35,7 @@
 uint32_t EngineSnapshot::UsableSlots(const BackendInstance& engine, uint32_t running) {
   const uint32_t slots = directory_.Ejected(engine.id) ? 1 : std::max(1U, engine.slots);
   const uint32_t free_slots = slots > running ? slots - running : 0;
-  // One that is slow after its start may get less than it has room for.
+  // A cold engine may be allowed fewer runs than it has free slots.
   const uint32_t allowed = std::min(free_slots, directory_.ColdAllowance(engine.id));
   return allowed < free_slots ? running + allowed : slots;
 }
@@ -49,7 +47,7 @@
   std::vector<EngineCandidate> failed_lately;
   for (const size_t index : EnginesOf(service)) {
     const EngineLoadState* state = loads_.StateOf(engines_[index].record->id);
-    // An engine that is not known to the load scheduler holds no version that is known.
+    // The version of an engine that the load scheduler does not know is unknown.
     if (state != nullptr && state->IsLoading(model)) continue;
     const WeightVersion version = state == nullptr ? WeightVersion() : state->HeldVersion(model);
     auto& candidates = engines_[index].failed_lately ? failed_lately : known->second;
--- a/source/jobs/engine_snapshot.h
+++ b/source/jobs/engine_snapshot.h
@@ -1,6 +1,5 @@
-/// The engines as they stand at one look at the waiting items. Each look chooses an engine for many
-/// items, and each choice considers every engine that holds the item's model: what is known of an
-/// engine is gathered once a look, not once an item.
+/// State of the engines during one scheduling pass. A pass chooses engines for many items, and each
+/// choice considers every engine with the item's model, so the state is collected once per pass.
 #pragma once
 
 #include <cstddef>
@@ -17,51 +16,50 @@
 
 namespace millstair {
 
-/// One engine as of the look.
+/// One engine as of the scheduling pass.
 struct SnapshotEngine {
-  /// Valid until the directory is next updated.
+  /// Valid until the next update of the directory.
   const BackendInstance* record = nullptr;
-  /// Requests that it works on at once.
+  /// Maximum number of concurrent runs.
   uint32_t slots = 1;
   bool failed_lately = false;
-  /// Without the prompt, which depends on the item.
+  /// `has_prompt_cached` is not set, since it depends on the item.
   EngineOffer offer;
 
   bool HasFreeSlot() const { return offer.running < slots; }
 };
 
-/// An engine that may begin runs of a model.
+/// An engine that may start runs of a model.
 struct EngineCandidate {
-  /// Index of the engine on its board.
+  /// Index of the engine in its snapshot.
   size_t engine = 0;
-  /// The weights that it is believed to hold.
+  /// Its last known version; 0 if unknown.
   WeightVersion version;
 };
 
-/// Lives on the node's serial executor, for the length of one look.
+/// Lives on the node's serial executor, for one scheduling pass.
 class EngineSnapshot {
  public:
   EngineSnapshot(BackendDirectory& directory, const LoadScheduler& loads,
                  const EngineSpeedTracker& speeds, TimePoint now);
 
-  /// Engines of `service` that neither load `model` nor are about to, with the version that each
-  /// holds (0 is unknown); in the order of their identifiers. Those that failed lately are taken
-  /// only if there is nothing else: after an outage of all of them each was passed over for 30 s
-  /// more.
+  /// Engines of `service` that neither load `model` nor are reserved to, ordered by identifier.
+  /// Engines that failed lately are included only if there are no others, so that items don't wait
+  /// for the end of the ejection after an outage of all engines.
   const std::vector<EngineCandidate>& CandidatesFor(const ServiceName& service,
                                                     const ModelName& model);
   const SnapshotEngine& engine(size_t index) const { return engines_[index]; }
 
-  /// A run was begun at an engine of this board, or ended by this node.
+  /// This node started or ended a run at an engine of this snapshot.
   void OnRunStarted(const InstanceId& instance);
   void OnRunEnded(const InstanceId& instance);
 
  private:
   using Key = std::pair<ServiceName, ModelName>;
 
-  /// Indexes of the engines of `service`, which are gathered at first use.
+  /// Indexes of the engines of `service`, collected on first use.
   const std::vector<size_t>& EnginesOf(const ServiceName& service);
-  /// Places of `engine` that may be taken now, those of what runs there included.
+  /// Slots of `engine` that may be used now, including those in use.
   uint32_t UsableSlots(const BackendInstance& engine, uint32_t running);
   SnapshotEngine* Find(const InstanceId& instance);
 
--- a/source/jobs/engine_speed_tracker.cc
+++ b/source/jobs/engine_speed_tracker.cc
@@ -9,9 +9,9 @@
 constexpr double kSmoothing = 0.1;
 /// An engine whose events take this much longer than the median is slow.
 constexpr double kSlowFactor = 2.0;
-/// With fewer engines there is no telling which one is out of line.
+/// With fewer engines the median does not identify the slow one.
 constexpr size_t kMinComparedEngines = 3;
-/// Engines that are known; beyond it all are learned anew.
+/// The tracker is cleared when it reaches this number of engines.
 constexpr size_t kMaxTrackedEngines = 10'000;
 
 }  // namespace
