--- a/source/jobs/item_lengths.cc
+++ b/source/jobs/item_lengths.cc
@@ -6,15 +6,12 @@
 namespace millstair {
 namespace {
 
-/// Items that are remembered: those of some steps of the largest jobs served so far.
 constexpr size_t kMaxItems = 4000;
-/// Assumed of an item whose client guesses nothing.
+/// Default for an item without an estimate by its client.
 constexpr uint64_t kDefaultTokens = 256;
-/// Assumed where the configuration does not tell.
+/// Default where the configuration states none.
 constexpr uint64_t kDefaultTokensPerEvent = 16;
-/// A text that outgrew its guess is expected to become this much longer than it is: lengths have
-/// long tails. On a quiet day of lsipm-quotes the texts that outgrew their guess ended, in the
-/// mean, at 1.26 to 1.47 times the length at which they were looked at (20 to 120 events).
+/// Expected final length of a text that exceeds its estimate, relative to its present length.
 constexpr double kGrowthFactor = 1.3;
 
 }  // namespace
@@ -62,7 +59,7 @@
       static_cast<double>(tokens_per_event > 0 ? tokens_per_event : kDefaultTokensPerEvent);
   const uint64_t tokens = item.expected_tokens > 0 ? item.expected_tokens : kDefaultTokens;
   double events = std::max(1.0, static_cast<double>(tokens) / per_event);
-  // The prompt's tokens are in the bound too: it is a little too high.
+  // The bound includes the prompt tokens, so it is slightly too high.
   if (item.tokens > 0) events = std::min(events, static_cast<double>(item.tokens) / per_event);
   const auto known = known_.find(item.id);
   const bool seen = known != known_.end();
--- a/source/jobs/item_lengths.h
+++ b/source/jobs/item_lengths.h
@@ -1,6 +1,6 @@
-/// What earlier jobs tell of items that come back: how many events the text of an item is expected
-/// to have (also by its client's guess and what has been made of it), and by how many versions the
-/// weights have moved on when it comes back.
+/// Estimates how many events the text of an item will have, from earlier jobs with the same item,
+/// the client's estimate and the existing text. Also stores the minimum version and the recorded
+/// text of those jobs.
 #pragma once
 
 #include <cstdint>
@@ -12,29 +12,30 @@
 
 namespace millstair {
 
-/// Where an ended job lists the whole text of an item.
+/// Where an ended job recorded the complete text of an item.
 struct RecordedTextLocation {
   JobId job;
   size_t position = 0;
 };
 
-/// Lives on the node's serial executor. Bounded in number; the oldest items are forgotten first.
+/// Lives on the node's serial executor. Bounded in number; the oldest items are evicted first.
 class ItemLengths {
  public:
-  /// The text of `item` had `events` events in a job that allowed `min_version` and newer; `whole`
-  /// if those were all.
+  /// Records that the text of `item` had `events` events in a job with `min_version`; `complete` if
+  /// those were all.
   void RecordLength(const ItemId& item, uint64_t events, bool complete, WeightVersion min_version);
-  /// An ended job lists the whole text of `item`.
+  /// Has no effect for an unknown item.
   void RecordTextLocation(const ItemId& item, RecordedTextLocation location);
-  /// The latest such text; none if there is none.
+  /// Location of the latest complete text of `item`.
   std::optional<RecordedTextLocation> RecordedTextOf(const ItemId& item) const;
-  /// The oldest weights that the earlier job of the item allowed; none if no job held it.
+  /// The highest minimum version among earlier jobs with the item; none if no job had it.
   std::optional<WeightVersion> EarlierMinVersion(const ItemId& item) const;
-  /// Whether an earlier job held the item.
+  /// Whether an earlier job had the item.
   bool Contains(const ItemId& item) const { return known_.contains(item); }
   void Clear();
 
-  /// Events of the whole text of `item`, of which `made` exist. `tokens_per_event` of 0 is unknown.
+  /// Expected events of the complete text of `item`, of which `made` exist. `tokens_per_event` is 0
+  /// if unknown.
   double ExpectedEvents(const JobItem& item, uint64_t made, uint64_t tokens_per_event) const;
 
  private:
@@ -49,7 +50,7 @@
   std::deque<ItemId> order_;
 };
 
-/// Events of a text as job results hold it: one line is one event.
+/// Number of events of a text in a job result: each line is one event.
 uint64_t EventsOfText(const std::string& text);
 
 }  // namespace millstair
--- a/source/jobs/item_order.cc
+++ b/source/jobs/item_order.cc
@@ -9,7 +9,7 @@
 namespace {
 
 struct Group {
-  /// Of its longest item.
+  /// Events of its longest item.
   double expected_events = 0;
   bool carried = false;
   std::vector<uint32_t> items;
@@ -20,7 +20,7 @@
   std::vector<Group> groups;
   for (uint32_t index = 0; index < job.items.size(); ++index) {
     const JobItem& item = job.items[index];
-    // An item without a group counts by itself.
+    // An item without a group forms its own.
     const std::string name = item.group.empty() ? "/" + item.id.value() : item.group;
     const auto [found, added] = by_name.try_emplace(name, groups.size());
     if (added) groups.emplace_back();
--- a/source/jobs/item_order.h
+++ b/source/jobs/item_order.h
@@ -1,6 +1,6 @@
-/// In which order the items of a job are run: its client goes on once enough groups are whole, so
-/// the groups that are expected to be whole first are run before the others, and the longest of
-/// their items first.
+/// Order in which the items of a job are run. Its client continues once enough groups are complete,
+/// so the groups expected to complete first precede the others, and among their items the longest
+/// come first.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,18 @@
 namespace millstair {
 
 struct ItemEstimate {
-  /// Events that the whole text is expected to have.
+  /// Expected number of events of the complete text.
   double events = 0;
-  /// It came in an earlier job: the client waits for its group in any case.
+  /// An earlier job had the item: the client waits for its group in any case.
   bool carried = false;
 };
 
 struct ItemOrder {
-  /// By index of the item: its place, the first is 0.
+  /// By index of the item: its position, starting at 0.
   std::vector<uint64_t> positions;
-  /// By index of the item: its group is not among those that the client is expected to wait for.
+  /// By index of the item: whether the client is not expected to wait for its group.
   std::vector<bool> spare;
-  /// Of all items together.
+  /// Sum over all items.
   double expected_events = 0;
 };
 
--- a/source/jobs/item_progress.h
+++ b/source/jobs/item_progress.h
@@ -1,4 +1,4 @@
-/// The part of an item's text that engines have made.
+/// The text that engines have made of an item so far.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 struct ItemProgress {
   std::string text;
   uint64_t events = 0;
-  /// Every version that made a part, each once.
+  /// All versions that made parts of the text, without duplicates.
   std::vector<WeightVersion> versions;
   /// Version of the latest event.
   WeightVersion version;
--- a/source/jobs/partial_text_cache.h
+++ b/source/jobs/partial_text_cache.h
@@ -1,5 +1,5 @@
-/// Text of items that were not whole when their jobs ended, for later jobs that carry the same
-/// items. Bounded in number; the oldest go first.
+/// Texts of items that were incomplete when their jobs ended, for later jobs with the same items.
+/// Bounded in number; the oldest are evicted first.
 #pragma once
 
 #include <deque>
@@ -15,8 +15,8 @@
 class PartialTextCache {
  public:
   void Store(const OwnedItem& item, ItemProgress progress);
-  /// Gives the text away; nothing if there is none, or if a part of it was made by weights older
-  /// than `min_version`.
+  /// Removes and returns the text; nothing if there is none, or if a part of it was made by weights
+  /// older than `min_version`.
   std::optional<ItemProgress> Take(const OwnedItem& item, WeightVersion min_version);
   void Clear();
 
