--- a/source/jobs/job_codec.cc
+++ b/source/jobs/job_codec.cc
@@ -202,7 +202,7 @@
 
 namespace {
 
-/// Fills the operation of a wire command; one overload an operation.
+/// Fills the operation of a wire command, with one overload for each operation.
 struct JobOperationWriter {
   WireArena& arena;
   millstair_JobCommand& wire;
@@ -286,7 +286,7 @@
   JobCommand command;
   command.proposed_at = FromMilliseconds((*decoded)->proposed_at_milliseconds);
   if (!OperationFromWire(**decoded, command.operation)) {
-    return absl::InvalidArgumentError("job command without a valid operation");
+    return absl::InvalidArgumentError("job command has no valid operation");
   }
   return command;
 }
@@ -304,7 +304,7 @@
   const uint32_t code = (*decoded)->code;
   if (code < static_cast<uint32_t>(JobResultCode::kOk) ||
       code > static_cast<uint32_t>(JobResultCode::kOtherOwner)) {
-    return absl::InvalidArgumentError("job result with an unknown code");
+    return absl::InvalidArgumentError("job command result has an unknown code");
   }
   return static_cast<JobResultCode>(code);
 }
@@ -329,7 +329,7 @@
   const millstair_JobQuery& wire = **decoded;
   if (wire.kind != static_cast<uint32_t>(JobQueryKind::kResults) &&
       wire.kind != static_cast<uint32_t>(JobQueryKind::kBody)) {
-    return absl::InvalidArgumentError("job query of an unknown kind");
+    return absl::InvalidArgumentError("job query has an unknown kind");
   }
   JobQuery query;
   query.kind = static_cast<JobQueryKind>(wire.kind);
@@ -362,7 +362,7 @@
   answer.total = wire.total;
   answer.body = JoinBytes(wire.body, wire.body_count);
   if (!FromWireArray(wire.results, wire.results_count, answer.results)) {
-    return absl::InvalidArgumentError("job answer with a faulty result");
+    return absl::InvalidArgumentError("job query reply has an invalid result");
   }
   return answer;
 }
@@ -382,7 +382,7 @@
   millstair_JobSnapshot wire = millstair_JobSnapshot_init_zero;
   wire.jobs = arena.NewArray<millstair_JobRecord>(1);
   wire.jobs[wire.jobs_count++] = ToWire(arena, record);
-  // Messages that follow one another are read as one, with all elements of repeated fields.
+  // Concatenated messages decode as one message with the elements of all their repeated fields.
   return EncodeNanopb(millstair_JobSnapshot_fields, &wire);
 }
 
@@ -393,13 +393,13 @@
   SnapshotJob& job = jobs.emplace_back();
   job.encoded = std::string(field.whole);
   if (FromWire(**wire, job.record)) return absl::OkStatus();
-  return absl::InvalidArgumentError("a job of the snapshot does not decode");
+  return absl::InvalidArgumentError("job snapshot has an invalid job record");
 }
 
 absl::StatusOr<JobSnapshot> DecodeJobSnapshot(std::string_view bytes) {
   JobSnapshot snapshot;
   std::string head;
-  // Job by job, so that there is never more than one decoded twice.
+  // Decodes the jobs one at a time, so that at most one wire message is in memory.
   const absl::Status read =
       ForEachWireField(bytes, [&snapshot, &head](const WireField& field) -> absl::Status {
         const bool is_job = field.tag == millstair_JobSnapshot_jobs_tag;
@@ -415,7 +415,7 @@
   const bool valid =
       wire.format == kSnapshotFormat &&
       FromWireArray(wire.announcements, wire.announcements_count, snapshot.announcements);
-  if (!valid) return absl::DataLossError("the snapshot of a job group does not decode");
+  if (!valid) return absl::DataLossError("job snapshot has an invalid format or announcement");
   return snapshot;
 }
 
--- a/source/jobs/job_codec.h
+++ b/source/jobs/job_codec.h
@@ -1,4 +1,4 @@
-/// Codecs of api/jobs.proto: commands, queries, answers and snapshots of a job group.
+/// Codecs of api/jobs.proto: commands, queries, replies and snapshots of a job group.
 #pragma once
 
 #include <string>
@@ -20,14 +20,14 @@
 
 struct SnapshotJob {
   JobRecord record;
-  /// As it stands in the snapshot; see EncodeSnapshotJob.
+  /// Its encoding in the snapshot; see EncodeSnapshotJob.
   std::string encoded;
 };
 
 struct JobSnapshot {
   WallTime clock;
   std::vector<SnapshotJob> jobs;
-  /// The latest for each engine, the oldest first.
+  /// The latest for each engine, oldest first.
   std::vector<AnnounceOrder> announcements;
 };
 
@@ -39,8 +39,8 @@
 absl::StatusOr<JobQuery> DecodeJobQuery(std::string_view bytes);
 std::string EncodeJobQueryAnswer(const JobQueryAnswer& answer);
 absl::StatusOr<JobQueryAnswer> DecodeJobQueryAnswer(std::string_view bytes);
-/// A snapshot is a head followed by its jobs, each encoded by itself: an ended job never changes,
-/// so that it is encoded once and not for each snapshot anew.
+/// A snapshot is a head followed by separately encoded jobs: an ended job never changes, so its
+/// encoding is reused in later snapshots.
 std::string EncodeSnapshotHead(WallTime clock, const std::vector<AnnounceOrder>& announcements);
 std::string EncodeSnapshotJob(const JobRecord& record);
 absl::StatusOr<JobSnapshot> DecodeJobSnapshot(std::string_view bytes);
