--- a/source/jobs/ingress_node.cc
+++ b/source/jobs/ingress_node.cc
@@ -11,9 +11,9 @@
 namespace millstair {
 namespace {
 
-/// A report that is not known to be committed by then is sent again under the same number.
+/// A usage report that is not confirmed by then is sent again with the same number.
 constexpr Duration kClusterTimeout = std::chrono::seconds(5);
-/// An answer that comes later says little: the time between is not known.
+/// A later reply is too imprecise, since the delay in each direction is unknown.
 constexpr Duration kTimeQueryTimeout = std::chrono::milliseconds(400);
 constexpr Duration kReadyPollInterval = std::chrono::milliseconds(50);
 
@@ -78,7 +78,7 @@
 std::vector<NodeId> IngressNode::ControlNodes() const {
   std::vector<NodeId> nodes = LiveControlNodes(configuration());
   if (!nodes.empty()) {
-    // Any of them passes a command on to the leader: each gateway turns to another one first.
+    // Any control node relays commands to the leader, so the gateways spread over them.
     const size_t first = std::hash<NodeId>()(self_) % nodes.size();
     std::rotate(nodes.begin(), nodes.begin() + static_cast<std::ptrdiff_t>(first), nodes.end());
     return nodes;
--- a/source/jobs/ingress_node.h
+++ b/source/jobs/ingress_node.h
@@ -1,5 +1,5 @@
-/// The gateway role of a node whose back ends register themselves: requests of clients go by the
-/// routes of the operator's whole configuration, batch jobs to the leader of their group.
+/// The gateway role of a node: forwards client requests to registered back ends by the routes of
+/// the configuration, and batch jobs to the leader of their group.
 #pragma once
 
 #include <memory>
@@ -23,27 +23,26 @@
   ConfigurationTiming configuration_timing;
   /// Outlives the node; may be null.
   StatsRegistry* stats = nullptr;
-  /// Length of the windows in which requests are metered; 0 meters none.
+  /// Length of the metering windows; 0 disables metering.
   Duration usage_window{0};
   ColdBound cold_bound;
 };
 
 enum class AdmissionVerdict : uint8_t {
   kAllowed,
-  kUnknownKey,  ///< no tenant holds the key, by a configuration that is proven fresh
-  kUnsure,      ///< the configuration held may be too old to tell; not run
+  kUnknownKey,  ///< no tenant has the key, according to a configuration confirmed current
+  kUnsure,      ///< the configuration held may be too old to decide; the request is not run
 };
 
-/// What this node says to a caller.
 struct Admission {
   AdmissionVerdict verdict = AdmissionVerdict::kAllowed;
-  /// Who calls; empty where nobody is known and none is needed.
+  /// The calling tenant; empty if none is known and none is required.
   TenantName tenant;
-  /// When a caller may come back whom this node could not judge.
+  /// Delay before a caller with verdict kUnsure may retry.
   Duration retry_after{0};
 };
 
-/// Lives on the node's serial executor. Keeps no state that has to survive.
+/// Lives on the node's serial executor. Has no persistent state.
 class IngressNode : public PeerReceiver {
  public:
   IngressNode(Environment& environment, PeerTransport& transport, HttpCaller& http,
@@ -51,33 +50,34 @@
               IngressNodeOptions options);
 
   void Start();
-  /// The routes are known, were proven fresh in this life, and control nodes are heard. A gateway
-  /// that hears none forwards what still comes by the routes it has, but others serve callers by
-  /// routes that they can prove; where the cluster has no majority all stay ready.
+  /// Whether the routes are known, were confirmed current since the start, and this node is not
+  /// isolated from the control nodes. An isolated gateway still forwards requests by the routes it
+  /// has. Where the cluster has no majority all gateways stay ready.
   bool Ready() const { return ready_ && !configuration_->CutOff(); }
-  /// Hears when control nodes fall silent for this node alone, and when they are heard again.
+  /// `callback` is called when this node becomes isolated from the control nodes, and when it no
+  /// longer is.
   void OnCutOff(std::function<void(bool cut_off)> callback) { on_cut_off_ = std::move(callback); }
   void SetLeaving();
   void Receive(const NodeId& from, const PeerMessage& message) override;
 
-  /// Whether whoever holds `key` may call `route`; a null route is a call about a batch job, which
-  /// needs a key wherever tenants are configured. A node that has just started may have been handed
-  /// an old configuration, in which a key that was taken away still stands: it admits nobody by key
-  /// before its configuration was proven fresh once. One that is out of touch refuses no key for
-  /// good, since the key may be newer than its configuration.
+  /// Whether a caller with `key` may call `route`; a null route is a call about a batch job, which
+  /// needs a key wherever tenants are configured. A node that has just started may have an old
+  /// configuration with a revoked key, so it admits nobody by key until its configuration was
+  /// confirmed current once. Without a current configuration it rejects no key permanently, since
+  /// the key may be newer.
   Admission Admit(const Route* route, std::optional<std::string_view> key) const;
 
-  /// Whether the configuration held is proven fresh, so that WhenCurrent would not wait.
+  /// Whether the configuration held is confirmed current, so that WhenCurrent would not wait.
   bool IsCurrent() const { return LeaseValid(); }
-  /// Runs `work` once the configuration is proven fresh, or known not to be provable now; see
-  /// ConfigurationClient. `waited`: since the call.
+  /// Runs `work` once the configuration is confirmed current, or known not to be confirmable now;
+  /// see ConfigurationClient. `waited` is the time since the call.
   void WhenCurrent(std::function<void(Duration waited)> work);
 
   IngressService& ingress() { return ingress_; }
   JobClient& jobs() { return jobs_; }
   const Configuration& configuration() const { return configuration_->configuration(); }
   bool LeaseValid() const { return configuration_->LeaseValid(); }
-  /// How long ago the routes held were last known to be the newest; nothing if they never were.
+  /// Time since the configuration held was last confirmed current; nothing if it never was.
   std::optional<Duration> ProofAge() const { return configuration_->ProofAge(); }
 
  private:
@@ -95,11 +95,11 @@
   std::unique_ptr<ConfigurationClient> configuration_;
   GroupClient cluster_;
   SuspectClient suspects_;
-  /// Outlives the requests, which are metered also when they are dropped.
+  /// Declared before `ingress_`, whose requests are metered even when dropped.
   UsageCounter usage_;
   IngressService ingress_;
   JobClient jobs_;
-  /// Which back ends that are slow after their start fall to this gateway.
+  /// Assigns each cold back end to one gateway.
   GatewayTurns cold_assignment_;
   bool ready_ = false;
   std::function<void(bool)> on_cut_off_;
--- a/source/jobs/job_client.h
+++ b/source/jobs/job_client.h
@@ -1,6 +1,6 @@
-/// Batch jobs as a node without a replica of their group sees them: typed calls, changes to the
-/// leader and reads to the nearest replica, which confirms with the leader that it is up to date.
-/// So texts that are read do not cross zones again where the own zone has a replica.
+/// Client of a job group for nodes without a replica of it. Changes go to the leader, reads to the
+/// nearest replica, which confirms with the leader that it is up to date. So texts that are read
+/// don't cross zones again where the own zone has a replica.
 #pragma once
 
 #include <functional>
@@ -16,17 +16,17 @@
 namespace millstair {
 
 struct JobClientTiming {
-  /// Without an answer of the leader for this long a change or a query is given up.
+  /// Timeout of a change or a query.
   Duration timeout = std::chrono::milliseconds(2500);
-  /// When a client may come back whose call was given up.
+  /// Delay before a client may retry a call that timed out.
   Duration retry_after = std::chrono::milliseconds(200);
 };
 
-/// Lives on the node's serial executor. DeadlineExceeded leaves it unknown whether a change was
-/// made; all calls bear being repeated.
+/// Lives on the node's serial executor. After DeadlineExceeded the outcome of a change is unknown;
+/// all calls are idempotent.
 class JobClient {
  public:
-  /// `for_changes` and `for_reads` give the nodes to ask, the best first.
+  /// `for_changes` and `for_reads` return the nodes to call, in order of preference.
   JobClient(Environment& environment, PeerTransport& transport, GroupClient::Candidates for_changes,
             GroupClient::Candidates for_reads, JobClientTiming timing = {});
 
@@ -35,7 +35,7 @@
   void Submit(JobSpec job, std::function<void(absl::StatusOr<JobResultCode>)> done);
   void End(EndJob end, std::function<void(absl::StatusOr<JobResultCode>)> done);
   void Query(const JobQuery& query, std::function<void(absl::StatusOr<JobQueryAnswer>)> done);
-  /// Messages of kind kCommandReply.
+  /// Handles a message of kind kCommandReply.
   void Receive(const NodeId& from, const PeerMessage& message) {
     if (!changes_.Receive(from, message)) reads_.Receive(from, message);
   }
