--- a/source/jobs/job_group_bootstrapper.cc
+++ b/source/jobs/job_group_bootstrapper.cc
@@ -38,8 +38,8 @@
   void Observe(const NodeId&, const EngineObservation&) override {}
 
  private:
-  /// Nodes are heard of over some time. Founders are picked once there are enough of them and no
-  /// further one was heard of lately, so that every zone has been heard of.
+  /// Nodes appear over some time. Initial members are picked once there are enough nodes and no
+  /// other has joined recently, so that every zone is represented.
   bool IsTimeToBootstrap(size_t present) {
     const TimePoint now = environment_.Now();
     if (!first_seen_) first_seen_ = now;
--- a/source/jobs/job_group_bootstrapper.h
+++ b/source/jobs/job_group_bootstrapper.h
@@ -1,4 +1,4 @@
-/// Fixes the founders of the group of batch jobs once enough storage nodes are there, spread over
+/// Selects the initial members of the job group once enough storage nodes have joined, spread over
 /// their zones.
 #pragma once
 
@@ -15,14 +15,14 @@
 
 struct JobGroupBootstrapperOptions {
   size_t voters = 3;
-  /// The group is founded after this long with the storage nodes that are there.
+  /// The group is bootstrapped after this time even with fewer storage nodes.
   Duration max_wait = std::chrono::seconds(3);
-  /// With enough of them it is founded once no further one was heard of for this long. All nodes of
-  /// a fleet that starts as a whole are heard of within a heartbeat and a digest, some 0.8 s.
+  /// With enough storage nodes, the group is bootstrapped once no further one has joined for this
+  /// time. Longer than the 0.8 s in which all nodes of a fleet that starts at once appear.
   Duration settle_time = std::chrono::seconds(1);
 };
 
-/// A duty of the cluster leader; proposes through `propose`.
+/// A leader task of the cluster group; proposes through `propose`.
 std::unique_ptr<ClusterDuty> MakeJobGroupBootstrapper(Environment& environment,
                                                       JobGroupBootstrapperOptions options,
                                                       std::function<void(ClusterCommand)> propose);
--- a/source/jobs/job_group_nodes.cc
+++ b/source/jobs/job_group_nodes.cc
@@ -5,7 +5,7 @@
 namespace millstair {
 namespace {
 
-/// What counts for the order in which nodes are asked.
+/// Properties of a node that determine its rank.
 struct JobNode {
   NodeId node;
   bool near = false;
--- a/source/jobs/job_group_nodes.h
+++ b/source/jobs/job_group_nodes.h
@@ -1,4 +1,4 @@
-/// Which nodes a node without a replica of a job group turns to, and in which order.
+/// Nodes that a node without a replica of a job group calls, in order of preference.
 #pragma once
 
 #include <vector>
@@ -8,17 +8,17 @@
 
 namespace millstair {
 
-/// For changes: the leader, then the other replicas, then every other storage node, which tells who
-/// leads if it knows better. Empty while the group is not founded.
+/// For changes: the leader, then the other replicas, then every other storage node, which replies
+/// with the leader if it knows one. Empty until the group is bootstrapped.
 std::vector<NodeId> JobNodesForChanges(const Configuration& configuration, const GroupId& group,
                                        const Zone& own);
 
 /// For reads: the replicas of the own zone, then the others with the leader last, since it has the
-/// most to do, then every other storage node. Empty while the group is not founded.
+/// most load, then every other storage node. Empty until the group is bootstrapped.
 std::vector<NodeId> JobNodesForReads(const Configuration& configuration, const GroupId& group,
                                      const Zone& own);
 
-/// The leader as the configuration tells; empty if it tells of none.
+/// The leader according to the configuration; empty if unknown.
 NodeId PlacedLeader(const Configuration& configuration, const GroupId& group);
 
 }  // namespace millstair
--- a/source/jobs/job_placement_reporter.cc
+++ b/source/jobs/job_placement_reporter.cc
@@ -7,8 +7,7 @@
 namespace millstair {
 namespace {
 
-/// How often the members are looked at: a change of them takes a few commits, some ten
-/// milliseconds, and a gateway that follows an old list is told better by the replicas.
+/// Polling interval of the members. A gateway with an old list is redirected by the replicas.
 constexpr Duration kTick = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -38,7 +37,7 @@
   auto done = alive_.Guard([this, placement](const absl::Status& status) {
     busy_ = false;
     if (!status.ok()) {
-      // Tried again at the next tick.
+      // Retried at the next tick.
       LogEvent(EventId::kJobPlacementUnreported, "term={} reason=\"{}\"", placement.term,
                std::string(status.message()));
       return;
--- a/source/jobs/job_placement_reporter.h
+++ b/source/jobs/job_placement_reporter.h
@@ -1,5 +1,5 @@
-/// Tells the cluster group where the replicas of a job group are and who leads it, on the leader of
-/// the group: every node hears of it with the configuration, and none has to search.
+/// Reports the replicas and the leader of a job group to the cluster group, so that every node
+/// receives them with the configuration. Runs on the leader of the job group.
 #pragma once
 
 #include <functional>
@@ -31,10 +31,10 @@
   const NodeId self_;
   const Propose propose_;
   RaftGroup* group_ = nullptr;
-  /// What the cluster group has acknowledged of this leadership.
+  /// The last placement of this leadership that the cluster group acknowledged.
   JobGroupPlacement reported_;
   uint64_t sequence_ = 0;
-  /// A proposal is under way.
+  /// A proposal is in progress.
   bool busy_ = false;
   ScopedTimer timer_;
   AliveFlag alive_;
