--- a/source/jobs/job_replica_manager.cc
+++ b/source/jobs/job_replica_manager.cc
@@ -70,7 +70,7 @@
   const auto node = configuration_.nodes.find(member.node);
   if (node == configuration_.nodes.end()) return true;
   const NodeRecord& record = node->second;
-  // A node that came back with another disk is not this replica any more.
+  // A node that restarted with another disk no longer holds this replica.
   return record.state == MemberState::kGone || record.replica != member.replica;
 }
 
@@ -104,7 +104,7 @@
 
 bool JobReplicaManager::PromoteToSpread(const std::vector<GroupMember>& members) {
   const std::vector<GroupMember> voters = HealthyVoters(members);
-  // Only a group that is whole is rearranged.
+  // Only a group with all its voters is rebalanced.
   if (voters.size() != options_.voters) return false;
   const auto learner = BestLearner(members);
   if (!learner || !SpreadsBetter(ZoneOf(learner->node), ZonesOf(voters))) return false;
@@ -131,7 +131,7 @@
   busy_ = true;
   group_->Promote(member.replica, alive_.Guard([this, member](const absl::Status& status) {
     busy_ = false;
-    // One that has not caught up yet is tried again.
+    // A learner that has not caught up yet is retried.
     if (!status.ok() || group_ == nullptr) return;
     LogEvent(EventId::kReplicaPromoted, "group={} node={} replica={}", group_->id(), member.node,
              member.replica);
@@ -142,9 +142,9 @@
   const size_t healthy = HealthyVoters(members).size();
   for (const GroupMember& member : members) {
     if (IsHealthy(member)) continue;
-    // A voter stays until another has taken its place: the quorum must not shrink.
+    // A voter stays until it is replaced: the quorum must not shrink.
     if (member.voter && healthy < options_.voters) continue;
-    // A learner that is away may come back with its log.
+    // An absent learner may return with its log.
     const auto node = configuration_.nodes.find(member.node);
     const bool replaced = node != configuration_.nodes.end() &&
                           node->second.state != MemberState::kGone &&
@@ -186,7 +186,7 @@
   const auto best = LeastCrowded(zones, occupied);
   if (!best) return false;
   const size_t wanted = options_.voters + options_.spare_learners;
-  // One learner more than usual where it is to relieve a crowded zone.
+  // One additional learner is allowed to relieve a crowded zone.
   const bool relieves = healthy == wanted && NeedsOtherZone(members) &&
                         SpreadsBetter(zones[*best], ZonesOf(HealthyVoters(members)));
   if (healthy >= wanted && !relieves) return false;
--- a/source/jobs/job_replica_manager.h
+++ b/source/jobs/job_replica_manager.h
@@ -1,6 +1,6 @@
-/// Keeps a job group at its number of voters, spread over zones, on the leader of the group:
-/// storage nodes join as learners, caught-up learners take the place of voters that are lost, to be
-/// emptied or in a crowded zone.
+/// Keeps a job group at its number of voters, spread over zones. Runs on the leader of the group:
+/// storage nodes join as learners, and caught-up learners replace voters that are lost, retired or
+/// in a crowded zone.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,7 @@
 
 struct JobReplicaOptions {
   size_t voters = 3;
-  /// Learners kept warm beside them.
+  /// Learners in addition to the voters, ready to replace one.
   size_t spare_learners = 1;
 };
 
@@ -26,8 +26,8 @@
  public:
   using ReportEmptied = std::function<void(const NodeId&)>;
 
-  /// `configuration` is read at each step. `emptied` is called, perhaps more than once, for a
-  /// retired node that holds no replica any more.
+  /// `configuration` is read at each tick. `emptied` is called, possibly repeatedly, for a retired
+  /// node that no longer holds a replica.
   JobReplicaManager(Environment& environment, const Configuration& configuration, NodeId self,
                     JobReplicaOptions options, ReportEmptied emptied);
 
@@ -38,14 +38,15 @@
   void Tick();
   void Promote(const GroupMember& member);
   bool PromoteIfTooFew(const std::vector<GroupMember>& members);
-  /// A learner in a zone with fewer voters becomes one: a voter of the most crowded zone goes next.
+  /// Promotes a learner in a zone with fewer voters; RemoveSurplus then removes a voter of the most
+  /// crowded zone.
   bool PromoteToSpread(const std::vector<GroupMember>& members);
-  /// The learner in the zone with the fewest sound voters.
+  /// The healthy learner in the zone with the fewest healthy voters.
   std::optional<GroupMember> BestLearner(const std::vector<GroupMember>& members) const;
-  /// Removes one sound voter if there are too many.
+  /// Removes one healthy voter if there are too many.
   bool RemoveSurplus(const std::vector<GroupMember>& members);
   void Remove(const GroupMember& member);
-  /// Whether a learner of another zone than those there are would spread the voters better.
+  /// Whether no existing learner would spread the voters better.
   bool NeedsOtherZone(const std::vector<GroupMember>& members) const;
   Zone ZoneOf(const NodeId& node) const;
   std::vector<Zone> ZonesOf(const std::vector<GroupMember>& members) const;
@@ -65,7 +66,7 @@
   const JobReplicaOptions options_;
   const ReportEmptied emptied_;
   RaftGroup* group_ = nullptr;
-  /// A membership change is under way.
+  /// A membership change is in progress.
   bool busy_ = false;
   ScopedTimer timer_;
   AliveFlag alive_;
--- a/source/jobs/storage_node.cc
+++ b/source/jobs/storage_node.cc
@@ -110,7 +110,7 @@
     auto machine = std::make_unique<JobStateMachine>(options_.jobs);
     state_ = machine.get();
     machine->OnChange([this](JobChange change, const JobId& job) {
-      if (change == JobChange::kOrderAnnounced)
+      if (change == JobChange::kAnnounced)
         loads_.RecordAnnouncement(state_->announcements().back());
       if (change == JobChange::kRestored) RecordAnnouncements();
       service_.OnStateChange(job);
@@ -144,22 +144,21 @@
     if (scheduler_ != nullptr) scheduler_->Pump();
   }
 
-  /// A founder opens the group; any other node gets it from its leader once it has joined.
+  /// Opens the group on its initial members; other nodes receive it from the leader when they join.
   void OpenBootstrappedGroup() {
-    const auto bootstrapped = configuration().job_groups.find(kJobGroup);
-    if (bootstrapped == configuration().job_groups.end() || groups_->Find(kJobGroup) != nullptr)
-      return;
-    for (const GroupMember& founder : bootstrapped->second.founders) {
+    const auto group = configuration().job_groups.find(kJobGroup);
+    if (group == configuration().job_groups.end() || groups_->Find(kJobGroup) != nullptr) return;
+    for (const GroupMember& founder : group->second.founders) {
       if (founder.replica != replica_) continue;
-      const auto opened = groups_->OpenGroup(kJobGroup, bootstrapped->second.founders);
+      const auto opened = groups_->OpenGroup(kJobGroup, group->second.founders);
       if (opened.ok()) continue;
       LogEvent(EventId::kReplicaHalted, "group={} error=\"{}\"", kJobGroup,
                std::string(opened.status().message()));
     }
   }
 
-  /// Whether back ends that are slow after their start may get requests of this node: the leader
-  /// before it has stopped once its lease is over, and so does this one.
+  /// Whether this node may send requests to cold back ends: it leads with a valid lease, and the
+  /// lease of the previous leader has expired.
   bool IsColdSender() const {
     const bool leads = leading_term_ != Term();
     const Duration lease = options_.configuration_timing.lease;
@@ -167,7 +166,7 @@
            environment_.Now() - leading_since_ >= lease;
   }
 
-  /// Takes up or lays down the work of the leader.
+  /// Starts or stops the work of the leader when leadership changed.
   void UpdateLeadership() {
     RaftGroup* group = groups_->Find(kJobGroup);
     service_.Attach(group, group == nullptr ? nullptr : state_);
--- a/source/jobs/storage_node.h
+++ b/source/jobs/storage_node.h
@@ -1,5 +1,5 @@
-/// The storage role of a node: replicas of the groups that keep batch jobs, and on the leader of a
-/// group all work on its jobs.
+/// The storage role of a node: holds replicas of the job groups and, as the leader of a group, runs
+/// its jobs.
 #pragma once
 
 #include <memory>
@@ -40,7 +40,7 @@
   virtual absl::Status Start() = 0;
   virtual const Configuration& configuration() const = 0;
   virtual GroupHost& groups() = 0;
-  /// Hands over all leaderships, then calls `done`. For a planned stop.
+  /// Transfers all leaderships before a planned stop, then calls `done`.
   virtual void Drain(std::function<void()> done) = 0;
 };
 
