--- a/test/jobs/engine_speed_tracker_test.cc
+++ b/test/jobs/engine_speed_tracker_test.cc
@@ -10,7 +10,7 @@
 
 InstanceId Engine(int number) { return InstanceId("e" + std::to_string(number)); }
 
-TEST_CASE("An engine far behind the others is slow, and no longer once it keeps up again") {
+TEST_CASE("An engine far slower than the others is slow until it recovers") {
   EngineSpeedTracker tracker;
   for (int round = 0; round < 40; ++round) {
     for (int engine = 0; engine < 5; ++engine) {
@@ -25,7 +25,7 @@
   CHECK_FALSE(tracker.IsSlow(Engine(3)));
 }
 
-TEST_CASE("Of two engines none is called slow") {
+TEST_CASE("Of two engines neither is slow") {
   EngineSpeedTracker tracker;
   for (int round = 0; round < 40; ++round) {
     tracker.RecordInterval(Engine(0), milliseconds(30));
--- a/test/jobs/item_lengths_test.cc
+++ b/test/jobs/item_lengths_test.cc
@@ -16,7 +16,7 @@
   return item;
 }
 
-TEST_CASE("The client's guess counts until the text outgrows it") {
+TEST_CASE("The client's estimate is used until the text exceeds it") {
   const ItemLengths lengths;
   const JobItem item = Item(400, 2000);
   CHECK(lengths.ExpectedEvents(item, 0, kTokensPerEvent) == Approx(40));
@@ -24,14 +24,14 @@
   CHECK(lengths.ExpectedEvents(item, 100, kTokensPerEvent) > 110);
 }
 
-TEST_CASE("No text is expected to become longer than its bound") {
+TEST_CASE("No expected length exceeds the bound of the item") {
   const ItemLengths lengths;
   CHECK(lengths.ExpectedEvents(Item(9000, 2000), 0, kTokensPerEvent) == Approx(200));
   CHECK(lengths.ExpectedEvents(Item(400, 2000), 190, kTokensPerEvent) == Approx(200));
   CHECK(lengths.ExpectedEvents(Item(400, 2000), 210, kTokensPerEvent) == Approx(210));
 }
 
-TEST_CASE("What an earlier job made of an item is the least that is expected") {
+TEST_CASE("The expected length is at least that of an earlier job") {
   ItemLengths lengths;
   const JobItem item = Item(400, 2000);
   CHECK_FALSE(lengths.Contains(item.id));
@@ -40,7 +40,7 @@
   CHECK(lengths.ExpectedEvents(item, 0, kTokensPerEvent) > 110);
   lengths.RecordLength(item.id, 120, true, WeightVersion(5));
   CHECK(lengths.ExpectedEvents(item, 0, kTokensPerEvent) == Approx(120));
-  // A later part does not hide the whole.
+  // A later partial text does not replace the length of the complete one.
   lengths.RecordLength(item.id, 5, false, WeightVersion(4));
   CHECK(lengths.ExpectedEvents(item, 0, kTokensPerEvent) == Approx(120));
   CHECK(lengths.EarlierMinVersion(item.id) == WeightVersion(5));
@@ -49,7 +49,7 @@
   CHECK_FALSE(lengths.Contains(item.id));
 }
 
-TEST_CASE("The oldest items are forgotten first") {
+TEST_CASE("The oldest items are evicted first") {
   ItemLengths lengths;
   for (int number = 0; number < 5000; ++number) {
     lengths.RecordLength(ItemId(std::to_string(number)), 1, true, WeightVersion(1));
@@ -58,7 +58,7 @@
   CHECK(lengths.Contains(ItemId("4999")));
 }
 
-TEST_CASE("A text has an event in each line") {
+TEST_CASE("Each line of a text is an event") {
   CHECK(EventsOfText("") == 0);
   CHECK(EventsOfText("one") == 1);
   CHECK(EventsOfText("one\n\nthree") == 3);
--- a/test/jobs/item_order_test.cc
+++ b/test/jobs/item_order_test.cc
@@ -17,7 +17,7 @@
   return {static_cast<double>(item.expected_tokens), false};
 }
 
-TEST_CASE("The groups that are wanted come first, and of these the longest items") {
+TEST_CASE("Wanted groups come first, and the longest items among them") {
   JobSpec job;
   job.wanted_groups = 2;
   job.items = {Item("a1", "a", 10), Item("a2", "a", 900), Item("b1", "b", 20),
@@ -27,7 +27,7 @@
   CHECK(order.expected_events == 1080);
 }
 
-TEST_CASE("Groups of an earlier job are wanted in any case") {
+TEST_CASE("Groups of an earlier job always count as wanted") {
   JobSpec job;
   job.wanted_groups = 1;
   job.items = {Item("a1", "a", 900), Item("b1", "b", 20)};
@@ -38,7 +38,7 @@
   CHECK(order.spare == std::vector<bool>{false, true});
 }
 
-TEST_CASE("Without groups and guesses the order is that of the job") {
+TEST_CASE("Without groups and estimates the order is that of the job") {
   JobSpec job;
   job.items = {Item("a", "", 0), Item("b", "", 0), Item("c", "", 0)};
   CHECK(OrderItems(job, Guess).positions == std::vector<uint64_t>{0, 1, 2});
--- a/test/jobs/item_run_test.cc
+++ b/test/jobs/item_run_test.cc
@@ -47,7 +47,7 @@
   return {kind, 200, {{"version", "4"}}, std::move(pieces)};
 }
 
-TEST_CASE("Events cut anywhere by the network make the same text") {
+TEST_CASE("Events split anywhere by the network give the same text") {
   Fixture fixture;
   fixture.Run(Stream({"1|", "|one\n", "\n2||two\r\n\r\n3|5|thr", "ee\n\n"}));
   CHECK(fixture.end == ItemRunEnd::kComplete);
@@ -56,7 +56,7 @@
         std::vector<WeightVersion>{WeightVersion(4), WeightVersion(5)});
 }
 
-TEST_CASE("A run that breaks goes on after its last whole event") {
+TEST_CASE("A broken run is resumed after its last complete event") {
   Fixture fixture;
   fixture.Run(Stream({"1||one\n\n2||tw"}, Kind::kCutBody));
   CHECK(fixture.end == ItemRunEnd::kBroken);
@@ -68,14 +68,14 @@
   CHECK(fixture.progress.text == "one\ntwo");
 }
 
-TEST_CASE("A stream that ends inside an event is not whole") {
+TEST_CASE("A stream that ends inside an event is not complete") {
   Fixture fixture;
   fixture.Run(Stream({"1||one\n\n2||tw"}));
   CHECK(fixture.end == ItemRunEnd::kBroken);
   CHECK(fixture.progress.text == "one");
 }
 
-TEST_CASE("A piece that is missing or doubled ends the run, and the text stays sound") {
+TEST_CASE("A missing or duplicate event ends the run, and the text stays valid") {
   for (const char* second : {"3||three\n\n", "1||one\n\n"}) {
     Fixture fixture;
     fixture.Run(Stream({"1||one\n\n", second}));
@@ -84,7 +84,7 @@
   }
 }
 
-TEST_CASE("Text of weights that the job does not allow is not taken") {
+TEST_CASE("Text of weights that the job does not allow is rejected") {
   Fixture old;
   old.Run(Stream({"1||one\n\n"}), {WeightVersion(5), false});
   CHECK(old.end == ItemRunEnd::kWrongVersion);
@@ -94,7 +94,7 @@
   CHECK(changed.end == ItemRunEnd::kWrongVersion);
 }
 
-TEST_CASE("A stream that stands still is broken off and its connection closed") {
+TEST_CASE("A stalled stream is aborted and its connection closed") {
   Fixture fixture;
   FakeAnswer answer = Stream({"1||one\n\n", "2||two\n\n"});
   answer.gap = milliseconds(900);
@@ -104,7 +104,7 @@
   CHECK(fixture.backends.calls[0]->cancelled);
 }
 
-TEST_CASE("What an engine says of an item is told apart") {
+TEST_CASE("The responses of an engine map to distinct ends of the run") {
   const auto end_of = [](FakeAnswer answer) {
     Fixture fixture;
     fixture.Run(std::move(answer));
--- a/test/jobs/job_scheduler_test.cc
+++ b/test/jobs/job_scheduler_test.cc
@@ -109,7 +109,7 @@
   FakeAnswer score{Kind::kAnswer, 200, {{"signature", "sig"}}, {"ok"}};
 };
 
-TEST_CASE("An item's text is made, scored after it is whole, and listed") {
+TEST_CASE("An item is run, scored once complete, and recorded") {
   Fixture fixture;
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
@@ -125,7 +125,7 @@
   CHECK(FindHeader(fixture.backends.calls[1]->request.headers, "id") == "score-id");
 }
 
-TEST_CASE("Nothing runs on a replica that does not lead, and all of it once it does") {
+TEST_CASE("Nothing runs on a replica until it leads") {
   Fixture fixture;
   fixture.Submit(fixture.Job("j"));
   fixture.scheduler.RunFor(seconds(1));
@@ -135,7 +135,7 @@
   CHECK(fixture.ResultOf("j") != nullptr);
 }
 
-TEST_CASE("Nothing is sent while the configuration is not proven fresh") {
+TEST_CASE("Nothing is sent while the configuration is not confirmed current") {
   Fixture fixture;
   bool fresh = false;
   fixture.scheduler_under_test.SetMayStartWork([&] { return fresh; });
@@ -148,9 +148,9 @@
   CHECK(fixture.ResultOf("j") != nullptr);
 }
 
-/// A text's scorer is found by a route, which may have moved while the leader stood still. As it
-/// woke it called the scorer of the route held, in the same moment in which it let items wait.
-TEST_CASE("A whole text is not scored while the configuration is not proven fresh") {
+/// Guards against calls to an outdated scorer after the leader was paused: the route to the scorer
+/// may have changed meanwhile.
+TEST_CASE("A complete text is not scored while the configuration is not confirmed current") {
   Fixture fixture;
   bool fresh = true;
   fixture.scheduler_under_test.SetMayStartWork([&] { return fresh; });
@@ -167,7 +167,7 @@
   CHECK(fixture.ResultOf("j") != nullptr);
 }
 
-TEST_CASE("A run that breaks goes on at another engine after its last event") {
+TEST_CASE("A broken run is resumed at another engine after its last event") {
   Fixture fixture;
   fixture.Add("e:1", "engines", [](const HttpRequest&) {
     FakeAnswer answer = Text({"1||one\n\n"});
@@ -187,7 +187,7 @@
   CHECK(result->text == "one\ntwo");
 }
 
-TEST_CASE("A silent engine is left soon where engines are known to be fast") {
+TEST_CASE("A stalled run is moved sooner where engines are known to be fast") {
   Fixture fixture;
   fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kSilence}; });
   fixture.Lead();
@@ -199,7 +199,7 @@
   CHECK(fixture.backends.CountAt("e:2") == 1);
 }
 
-TEST_CASE("An item is given up for the engines' word, not for broken runs") {
+TEST_CASE("An item fails by error responses of engines, not by broken runs") {
   const auto state_after = [](FakeAnswer answer, size_t* runs) {
     Fixture fixture;
     fixture.Add("e:1", "engines", [answer](const HttpRequest&) { return answer; });
@@ -220,7 +220,7 @@
   CHECK(state_after({Kind::kAnswer, 503, {{"refused", "1"}}, {}}, &runs) == std::nullopt);
 }
 
-TEST_CASE("An item is given up when its lifetime is over, not before") {
+TEST_CASE("An item fails when its lifetime has expired, not before") {
   Fixture fixture;
   fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kSilence}; });
   fixture.Lead();
@@ -232,7 +232,7 @@
   CHECK(fixture.ResultOf("j")->state == ItemState::kFailed);
 }
 
-TEST_CASE("An item whose scoring fails as often as is allowed is given up, never done without") {
+TEST_CASE("An item fails if all allowed scoring attempts fail") {
   Fixture fixture;
   fixture.score = {Kind::kAnswer, 500, {}, {"no"}};
   fixture.Lead();
@@ -243,21 +243,21 @@
   CHECK(fixture.backends.CountAt("p:1") >= 3);
 }
 
-/// The most calls that were under way at `address` at one moment, if each took `each`.
-size_t MostAtOnce(const FakeBackends& backends, const std::string& address, Duration each) {
-  size_t most = 0;
+/// Maximum number of concurrent calls at `address`, if each took `each`.
+size_t MaxConcurrentCalls(const FakeBackends& backends, const std::string& address, Duration each) {
+  size_t max_calls = 0;
   for (const auto& call : backends.calls) {
     size_t at_once = 0;
     for (const auto& other : backends.calls) {
       const bool overlaps = other->at <= call->at && call->at < other->at + each;
       at_once += call->address == address && other->address == address && overlaps ? 1 : 0;
     }
-    most = std::max(most, at_once);
+    max_calls = std::max(max_calls, at_once);
   }
-  return most;
+  return max_calls;
 }
 
-TEST_CASE("No more texts are scored at once than the scorers have places, the most urgent first") {
+TEST_CASE("Concurrent scorings are limited to the slots of the scorers") {
   Fixture fixture;
   fixture.configuration.instances[InstanceId("e:1")].slots = 30;
   fixture.score.delay = milliseconds(20);
@@ -273,13 +273,13 @@
   fixture.Submit(job);
   fixture.Lead();
   fixture.scheduler.RunFor(seconds(2));
-  // The one scorer works on two requests at once.
+  // The scorer has two slots.
   CHECK(fixture.backends.CountAt("p:1") == 30);
-  CHECK(MostAtOnce(fixture.backends, "p:1", milliseconds(20)) == 2);
+  CHECK(MaxConcurrentCalls(fixture.backends, "p:1", milliseconds(20)) == 2);
   CHECK(fixture.state.Find(JobId("j"))->results.size() == 30);
 }
 
-TEST_CASE("Scorers that are full hold up no texts of other scorers") {
+TEST_CASE("Scorers without free slots do not block texts of other scorers") {
   Fixture fixture;
   fixture.score.kind = Kind::kSilence;
   Route other = fixture.reader.table.routes[1];
@@ -304,7 +304,7 @@
   REQUIRE(fixture.ResultOf("d") != nullptr);
 }
 
-TEST_CASE("The end of a job leaves no scorer's place taken") {
+TEST_CASE("The end of a job frees the slots of its scorings") {
   Fixture fixture;
   fixture.score.kind = Kind::kSilence;
   fixture.Lead();
@@ -323,7 +323,7 @@
   REQUIRE(fixture.ResultOf("c") != nullptr);
 }
 
-TEST_CASE("An item without a signature of its scoring waits") {
+TEST_CASE("An item waits until its scoring response has a signature") {
   Fixture fixture;
   fixture.score = {Kind::kAnswer, 200, {}, {"ok"}};
   fixture.Lead();
@@ -332,7 +332,7 @@
   CHECK(fixture.ResultOf("j") == nullptr);
 }
 
-TEST_CASE("The items of an ended job stop at once, and their text serves when they come back") {
+TEST_CASE("The items of an ended job stop at once, and a later job resumes their text") {
   Fixture fixture;
   fixture.Add("e:1", "engines", [](const HttpRequest& request) {
     if (FindHeader(request.headers, "resume") == "1") return Text({"2||two\n\n"});
@@ -355,7 +355,7 @@
   CHECK(fixture.ResultOf("k")->text == "one\ntwo");
 }
 
-/// An engine that makes an event each 400 ms, of four, and goes on where it is asked to.
+/// Four events, one every 400 ms, from the requested position on.
 FakeAnswer SlowText(const HttpRequest& request) {
   const std::vector<std::string> pieces = {"1||one\n\n", "2||two\n\n", "3||three\n\n",
                                            "4||four\n\n"};
@@ -366,17 +366,17 @@
   return answer;
 }
 
-TEST_CASE("A long text is kept, and the next leader goes on after it") {
+TEST_CASE("A long text is saved, and the next leader resumes it") {
   Fixture fixture;
   fixture.Add("e:1", "engines", SlowText);
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
   fixture.scheduler.RunFor(milliseconds(1300));
-  // Another replica holds the same state and comes to lead.
+  // Another replica with the same state becomes the leader.
   JobStateMachine other;
   REQUIRE(other.Restore(LogIndex(1), fixture.state.TakeSnapshot()).ok());
-  const uint64_t kept = other.Find(JobId("j"))->progress.at(0).events;
-  CHECK(kept >= 2);
+  const uint64_t saved = other.Find(JobId("j"))->progress.at(0).events;
+  CHECK(saved >= 2);
   fixture.scheduler_under_test.SetLeading(false);
   fixture.scheduler_under_test.SetLeading(true);
   fixture.scheduler.RunFor(seconds(3));
@@ -384,7 +384,7 @@
   size_t engine_calls = 0;
   for (const auto& call : fixture.backends.calls) {
     if (call->address != "e:1" || ++engine_calls != 2) continue;
-    CHECK(FindHeader(call->request.headers, "resume") == std::to_string(kept));
+    CHECK(FindHeader(call->request.headers, "resume") == std::to_string(saved));
   }
   REQUIRE(fixture.ResultOf("j") != nullptr);
   CHECK(fixture.ResultOf("j")->text == "one\ntwo\nthree\nfour");
@@ -403,7 +403,7 @@
   CHECK(fixture.backends.CountAt("e:1") == 0);
 }
 
-TEST_CASE("A new leader asks again until its leadership is confirmed") {
+TEST_CASE("A new leader retries until its leadership is confirmed") {
   Fixture fixture;
   fixture.Submit(fixture.Job("j"));
   fixture.group.quorum = false;
@@ -415,13 +415,13 @@
   CHECK(fixture.backends.CountAt("e:1") == 1);
 }
 
-TEST_CASE("A result is listed whole though what was kept of it is not there any more") {
+TEST_CASE("A result is recorded completely though its saved part was replaced") {
   Fixture fixture;
   fixture.Add("e:1", "engines", SlowText);
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
   fixture.scheduler.RunFor(milliseconds(1300));
-  // The entry of an earlier leader, with other text, is applied only now.
+  // An entry of an earlier leader with different text is applied late.
   const SavedProgress foreign{{"other", 1, {WeightVersion(1)}, WeightVersion(1)}, Term(1)};
   fixture.state.Apply(LogIndex(50),
                       EncodeJobCommand({SaveProgress{{{JobId("j"), 0, 0, foreign}}}, {}}));
@@ -430,7 +430,7 @@
   CHECK(fixture.ResultOf("j")->text == "one\ntwo\nthree\nfour");
 }
 
-TEST_CASE("An item that was listed a moment ago is not sent: its body is gone") {
+TEST_CASE("An item that was just recorded is not sent, since its body is cleared") {
   Fixture fixture;
   fixture.Add("e:1", "engines", [](const HttpRequest& request) {
     CHECK(request.body == "prompt");
@@ -438,7 +438,7 @@
   });
   fixture.Submit(fixture.Job("j"));
   fixture.Lead();
-  // What an earlier leader proposed is applied only now, and work is done before it is taken in.
+  // A proposal of an earlier leader is applied late, and a pass runs before the change is handled.
   const JobResult result{0, ItemState::kDone, "text", {WeightVersion(1)}, "sig"};
   fixture.state.Apply(LogIndex(9), EncodeJobCommand({RecordResult{JobId("j"), result}, {}}));
   fixture.scheduler_under_test.Pump();
@@ -447,7 +447,7 @@
   CHECK(fixture.backends.CountAt("e:1") == 0);
 }
 
-TEST_CASE("Text that was kept of an ended job serves the next leader too") {
+TEST_CASE("The next leader resumes text saved by an ended job") {
   Fixture fixture;
   fixture.Add("e:1", "engines", SlowText);
   fixture.Lead();
@@ -463,7 +463,7 @@
   CHECK(FindHeader(fixture.backends.calls[1]->request.headers, "resume").has_value());
 }
 
-TEST_CASE("A run at a slow engine goes on at another that has room") {
+TEST_CASE("A run at a slow engine moves to another with a free slot") {
   Fixture fixture;
   const auto serve = [](Duration gap) {
     return [gap](const HttpRequest& request) {
@@ -489,9 +489,9 @@
   fixture.scheduler.RunFor(seconds(4));
   const JobRecord* record = fixture.state.Find(JobId("j"));
   REQUIRE(record->results.size() == 8);
-  std::string whole = "1";
-  for (int i = 2; i <= 20; ++i) whole += fmt::format("\n{}", i);
-  for (const JobResult& result : record->results) CHECK(result.text == whole);
+  std::string complete = "1";
+  for (int i = 2; i <= 20; ++i) complete += fmt::format("\n{}", i);
+  for (const JobResult& result : record->results) CHECK(result.text == complete);
   size_t left = 0;
   for (const auto& call : fixture.backends.calls) {
     left += call->address == "e:4" && call->cancelled ? 1 : 0;
@@ -499,7 +499,7 @@
   CHECK(left == 2);
 }
 
-TEST_CASE("An item whose whole text an earlier job lists is scored again, and not run again") {
+TEST_CASE("An item with a complete text in an earlier job is scored again, but not run again") {
   Fixture fixture;
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
@@ -515,7 +515,7 @@
   CHECK(fixture.ResultOf("k")->text == "one\ntwo");
   CHECK(fixture.ResultOf("k")->versions == std::vector{WeightVersion(1)});
   CHECK(fixture.ResultOf("k")->score == "sig");
-  // Weights have moved on too far: the text may not be used.
+  // The text's weights are now too old to be allowed.
   fixture.state.Apply(LogIndex(51), EncodeJobCommand({EndJob{JobId("k")}, {}}));
   fixture.scheduler.RunFor(milliseconds(10));
   fixture.loads.RecordVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(2));
@@ -526,14 +526,15 @@
   CHECK(fixture.backends.CountAt("e:1") >= 2);
 }
 
-TEST_CASE("No text of a tenant's item serves another tenant's item of the same identifier") {
-  const bool whole = GENERATE(true, false);
+TEST_CASE(
+    "The text of a tenant's item is not used for another tenant's item of the same identifier") {
+  const bool complete = GENERATE(true, false);
   Fixture fixture;
   fixture.Lead();
   JobSpec first = fixture.Job("j");
   first.tenant = TenantName("t1");
   fixture.Submit(first);
-  fixture.scheduler.RunFor(whole ? milliseconds(1000) : milliseconds(8));
+  fixture.scheduler.RunFor(complete ? milliseconds(1000) : milliseconds(8));
   fixture.state.Apply(LogIndex(50), EncodeJobCommand({EndJob{JobId("j"), TenantName("t1")}, {}}));
   fixture.scheduler.RunFor(milliseconds(10));
   JobSpec second = fixture.Job("k");
@@ -547,7 +548,7 @@
   REQUIRE(fixture.ResultOf("k") != nullptr);
 }
 
-TEST_CASE("An item runs for its job's tenant, and its scoring for nobody") {
+TEST_CASE("An item runs for its job's tenant, its scoring without a tenant") {
   Fixture fixture;
   fixture.Lead();
   JobSpec job = fixture.Job("j");
@@ -559,7 +560,7 @@
   CHECK_FALSE(FindHeader(fixture.backends.calls[1]->request.headers, "tenant").has_value());
 }
 
-/// Items that wait, of the jobs named, in the order in which an engine with one place ran them.
+/// Items of `jobs` in the order in which an engine with one slot ran them.
 std::vector<std::string> OrderOfRuns(const std::vector<JobSpec>& jobs) {
   Fixture fixture;
   fixture.reader.table.version = 2;
@@ -591,7 +592,7 @@
   return item;
 }
 
-TEST_CASE("A long text of a newer job begins before short ones of an older job") {
+TEST_CASE("A long text of a newer job starts before short ones of an older job") {
   Fixture fixture;
   JobSpec older = fixture.Job("older");
   older.items = {GuessedItem("short-1", "a", 50), GuessedItem("short-2", "a", 60)};
@@ -601,7 +602,7 @@
         std::vector<std::string>{"long", "short-2", "short-1", "short-3"});
 }
 
-TEST_CASE("A tenant's own priority goes before its route's") {
+TEST_CASE("A tenant's priority overrides that of the route") {
   Fixture fixture;
   JobSpec usual = fixture.Job("usual");
   usual.tenant = TenantName("usual");
@@ -612,7 +613,7 @@
   CHECK(OrderOfRuns({usual, urgent}) == std::vector<std::string>{"short", "long"});
 }
 
-TEST_CASE("What no client waits for begins after what clients of other jobs wait for") {
+TEST_CASE("Spare items start after the wanted items of all jobs") {
   Fixture fixture;
   JobSpec older = fixture.Job("older");
   older.wanted_groups = 1;
@@ -622,7 +623,7 @@
   CHECK(OrderOfRuns({older, newer}) == std::vector<std::string>{"wanted", "wanted-too", "spare"});
 }
 
-/// Two jobs have shown that items come back two versions later; a third has a group to spare.
+/// Two jobs with the same item establish a lag of two versions; a third job has a spare group.
 class ReturnFixture : public Fixture {
  public:
   ReturnFixture() {
@@ -644,7 +645,7 @@
     scheduler.RunFor(milliseconds(10));
   }
 
-  /// What the engine says that it holds.
+  /// Version that the engine reports.
   std::string held = "1";
 
   void NameVersion(uint64_t version) {
@@ -669,7 +670,7 @@
   }
 };
 
-TEST_CASE("A spare group begins on weights whose text still counts when it comes back") {
+TEST_CASE("A spare group starts on weights that a later job will still allow") {
   ReturnFixture fixture;
   fixture.NameVersion(4);
   fixture.loads.RecordVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(4));
@@ -684,7 +685,7 @@
   CHECK(fixture.RunsOf("spare") == 1);
 }
 
-TEST_CASE("A spare group does not wait for a version that does not come") {
+TEST_CASE("A spare group waits a limited time for the next version") {
   ReturnFixture fixture;
   fixture.NameVersion(4);
   fixture.loads.RecordVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(4));
@@ -696,7 +697,7 @@
   CHECK(fixture.RunsOf("spare") == 1);
 }
 
-TEST_CASE("Short texts are not kept") {
+TEST_CASE("Short texts are not saved") {
   Fixture fixture;
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
@@ -705,7 +706,7 @@
   CHECK(fixture.group.AppliedIndex() == LogIndex(2));
 }
 
-TEST_CASE("A text of one version is begun anew once no engine holds that version") {
+TEST_CASE("A single-version text is restarted once no engine holds its version") {
   Fixture fixture;
   fixture.reader.table.routes[0].single_version = true;
   fixture.reader.table.version = 2;
@@ -740,7 +741,7 @@
   CHECK(fixture.backends.CountAt("e:1") == 0);
 }
 
-TEST_CASE("An engine that made nothing is not believed to hold the weights of the text so far") {
+TEST_CASE("An engine without an event is not recorded with the version of the existing text") {
   Fixture fixture;
   fixture.Add("e:1", "engines", [](const HttpRequest&) {
     FakeAnswer answer = Text({"1||one\n\n"});
@@ -760,7 +761,7 @@
   CHECK(fixture.loads.VersionOf(InstanceId("e:2"), ModelName("m")) == WeightVersion(1));
 }
 
-TEST_CASE("An engine whose weights are older than believed gets no more of such work") {
+TEST_CASE("An engine with older weights than recorded gets no more runs of the job") {
   Fixture fixture;
   fixture.Lead();
   fixture.loads.RecordVersion(InstanceId("e:1"), ModelName("m"), WeightVersion(5));
@@ -772,7 +773,7 @@
   CHECK(fixture.loads.VersionOf(InstanceId("e:1"), ModelName("m")) == WeightVersion(1));
 }
 
-TEST_CASE("All runs end with the leadership") {
+TEST_CASE("Loss of leadership ends all runs") {
   Fixture fixture;
   fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kSilence}; });
   fixture.Lead();
--- a/test/jobs/load_scheduler_test.cc
+++ b/test/jobs/load_scheduler_test.cc
@@ -15,15 +15,15 @@
 using std::chrono::seconds;
 using Kind = FakeAnswer::Kind;
 
-/// An engine that takes orders.
+/// An engine that accepts load orders.
 struct Engine {
   Duration load_time = seconds(1);
   uint64_t version = 1;
   uint64_t orders = 0;
   Duration busy_until{0};
   uint64_t next_version = 0;
-  /// Orders get no answer and are never carried out.
-  bool deaf = false;
+  /// Orders get no response and are never executed.
+  bool unresponsive = false;
   std::vector<Duration> ordered_at;
   std::vector<std::string> fences;
   std::set<std::string> models;
@@ -33,13 +33,12 @@
  public:
   explicit Fixture(int engines, LoadOptions options = {}) : loads_options(options) {
     state.OnChange([this](JobChange change, const JobId&) {
-      if (change == JobChange::kOrderAnnounced)
-        loads.RecordAnnouncement(state.announcements().back());
+      if (change == JobChange::kAnnounced) loads.RecordAnnouncement(state.announcements().back());
     });
     routes.services.push_back(
         {ServiceName("engines"), "", 0, EngineProfile{2, 1, {ModelName("m")}}});
     for (int i = 0; i < engines; ++i) Add(fmt::format("e{}:1", i));
-    Name(1);
+    NameVersion(1);
   }
 
   void Add(const std::string& address) {
@@ -50,7 +49,7 @@
     });
   }
 
-  void Name(uint64_t version, const std::string& model = "m") {
+  void NameVersion(uint64_t version, const std::string& model = "m") {
     configuration.versions[ModelName(model)] = {ModelName(model), WeightVersion(version)};
     directory.Update(configuration);
     loads.Update(configuration, &routes);
@@ -58,7 +57,7 @@
 
   void Lead() { loads.SetLeading(&group); }
 
-  /// `holder` announced an order to engine e0, or another, at `at` of its own clock.
+  /// Applies an announcement of `holder` for an order to `engine`, at `at` by its own clock.
   void Announce(const std::string& holder, const std::string& engine = "e0:1", Duration at = {}) {
     const AnnounceOrder announced{NodeId(holder), InstanceId(engine), Term(2), at};
     state.Apply(LogIndex(1), EncodeJobCommand({announced, {}}));
@@ -105,7 +104,7 @@
     engine.ordered_at.push_back(now);
     engine.models.emplace(*FindHeader(request.headers, "model"));
     engine.fences.emplace_back(*FindHeader(request.headers, "fence"));
-    if (engine.deaf) return {Kind::kSilence};
+    if (engine.unresponsive) return {Kind::kSilence};
     const auto expected = std::stoull(std::string(*FindHeader(request.headers, "expected")));
     if (busy || expected != engine.orders) return {Kind::kAnswer, 409, {}, {""}};
     ++engine.orders;
@@ -115,14 +114,13 @@
   }
 };
 
-TEST_CASE(
-    "An engine gets its order once what was sent to it has begun, and nothing new until then") {
+TEST_CASE("An engine gets its order once its requests have started, and no new ones until then") {
   Fixture fixture(1);
   fixture.Lead();
   fixture.scheduler.RunFor(seconds(1));
   const Duration begun_at = fixture.scheduler.Now();
   fixture.directory.Begin(InstanceId("e0:1"));
-  fixture.Name(2);
+  fixture.NameVersion(2);
   fixture.scheduler.RunFor(milliseconds(60));
   CHECK(fixture.Orders() == 0);
   CHECK(fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("m")));
@@ -134,10 +132,10 @@
   CHECK_FALSE(fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("m")));
 }
 
-TEST_CASE("Every engine gets a version that all jobs need, at most so many at once") {
+TEST_CASE("Every engine loads a version that all jobs need, within the limit of concurrent loads") {
   Fixture fixture(5);
   fixture.Lead();
-  fixture.Name(2);
+  fixture.NameVersion(2);
   fixture.scheduler.RunFor(milliseconds(800));
   CHECK(fixture.Orders() == 2);
   fixture.scheduler.RunFor(seconds(6));
@@ -145,11 +143,11 @@
   CHECK(fixture.Orders() == 5);
 }
 
-TEST_CASE("Where jobs allow the version before, only half of the engines load each version") {
+TEST_CASE("Where jobs allow the previous version, only half of the engines load each version") {
   Fixture fixture(6);
   fixture.Lead();
   for (uint64_t version = 2; version <= 6; ++version) {
-    fixture.Name(version);
+    fixture.NameVersion(version);
     fixture.loads.OnJobSubmitted(ModelName("m"), 100, WeightVersion(version - 1));
     fixture.scheduler.RunFor(seconds(5));
     size_t useful = 0;
@@ -158,19 +156,19 @@
     }
     CHECK(useful == 6);
   }
-  // The first version goes to all: no job had told its lag by then.
+  // All engines load the first version, as no job has determined the allowed lag yet.
   CHECK(fixture.Orders() <= 6 + 4 * 3);
 }
 
-TEST_CASE("Of an odd number of engines, one and two load in turn") {
+TEST_CASE("Of three engines, one and two alternately load a version") {
   Fixture fixture(3);
   fixture.Lead();
-  fixture.Name(2);
+  fixture.NameVersion(2);
   fixture.scheduler.RunFor(seconds(5));
   const size_t first = fixture.Orders();
   constexpr uint64_t kLast = 10;
   for (uint64_t version = 3; version <= kLast; ++version) {
-    fixture.Name(version);
+    fixture.NameVersion(version);
     fixture.loads.OnJobSubmitted(ModelName("m"), 100, WeightVersion(version - 1));
     fixture.scheduler.RunFor(seconds(5));
     size_t useful = 0;
@@ -179,11 +177,11 @@
     }
     CHECK(useful == 3);
   }
-  // The first version goes to all and its successor finds no lag told: two versions count twice.
+  // All engines may load the first two versions, as no job has determined the allowed lag yet.
   CHECK(fixture.Orders() - first <= 12 + 2);
 }
 
-TEST_CASE("A new leader gives no order within the lease of the last holder") {
+TEST_CASE("A new leader sends no order within the lease of the last lease holder") {
   LoadOptions options;
   options.order_lease = seconds(3);
   Fixture fixture(1, options);
@@ -191,7 +189,7 @@
   fixture.Announce("other");
   fixture.scheduler.RunFor(seconds(1));
   fixture.Lead();
-  fixture.Name(2);
+  fixture.NameVersion(2);
   fixture.scheduler.RunFor(seconds(8));
   const Engine& engine = fixture.engines.at("e0:1");
   REQUIRE(engine.ordered_at.size() == 1);
@@ -199,14 +197,14 @@
   CHECK(engine.ordered_at[0] < seconds(15));
 }
 
-TEST_CASE("An announcement of another holder that is applied late moves the first order again") {
+TEST_CASE("A late announcement of another lease holder delays the first order again") {
   LoadOptions options;
   options.order_lease = seconds(3);
   Fixture fixture(1, options);
   fixture.scheduler.RunFor(seconds(10));
   fixture.group.commit_time = milliseconds(100);
   fixture.Lead();
-  fixture.Name(2);
+  fixture.NameVersion(2);
   fixture.scheduler.RunFor(milliseconds(50));
   fixture.Announce("other");
   fixture.scheduler.RunFor(seconds(8));
@@ -215,28 +213,28 @@
   CHECK(engine.ordered_at[0] >= seconds(13));
 }
 
-TEST_CASE("A holder that comes back goes on at once, whoever held the lease before it") {
+TEST_CASE("A lease holder that returns continues at once, whoever held the lease before") {
   LoadOptions options;
   options.order_lease = seconds(3);
   Fixture fixture(1, options);
   fixture.scheduler.RunFor(seconds(10));
-  // As a restarted replica applies them: all at the same moment.
+  // A restarted replica applies all entries at the same time.
   fixture.Announce("other");
   fixture.Announce("self");
   fixture.Lead();
-  fixture.Name(2);
+  fixture.NameVersion(2);
   fixture.scheduler.RunFor(seconds(1));
   CHECK(fixture.Orders() == 1);
 }
 
-TEST_CASE("A new leader waits for the lease of the engine's own holder alone") {
+TEST_CASE("A new leader waits only for the lease on the engine itself") {
   LoadOptions options;
   options.order_lease = seconds(3);
   Fixture fixture(2, options);
   fixture.scheduler.RunFor(seconds(10));
   fixture.Announce("other", "e1:1");
   fixture.Lead();
-  fixture.Name(2);
+  fixture.NameVersion(2);
   fixture.scheduler.RunFor(seconds(8));
   const Engine& free = fixture.engines.at("e0:1");
   const Engine& held = fixture.engines.at("e1:1");
@@ -246,7 +244,7 @@
   CHECK(held.ordered_at[0] >= seconds(13));
 }
 
-TEST_CASE("An old log that is applied at once tells how long ago its orders were announced") {
+TEST_CASE("Announcements applied together keep their relative age") {
   LoadOptions options;
   options.order_lease = seconds(3);
   Fixture fixture(3, options);
@@ -255,7 +253,7 @@
   fixture.Announce("other", "e1:1", seconds(102));
   fixture.Announce("other", "e2:1", seconds(105));
   fixture.Lead();
-  fixture.Name(2);
+  fixture.NameVersion(2);
   fixture.scheduler.RunFor(seconds(10));
   REQUIRE(fixture.engines.at("e0:1").ordered_at.size() == 1);
   CHECK(fixture.engines.at("e0:1").ordered_at[0] < milliseconds(10500));
@@ -267,7 +265,7 @@
   CHECK(fixture.engines.at("e2:1").ordered_at[0] >= milliseconds(13650));
 }
 
-TEST_CASE("A new leader leaves engines the models whose weights they hold") {
+TEST_CASE("A new leader assigns engines the models whose weights they hold") {
   Fixture fixture(6);
   for (const char* address : {"e0:1", "e2:1", "e5:1"}) {
     auto& models = fixture.configuration.instances[InstanceId(address)].models;
@@ -278,47 +276,47 @@
     models = {{ModelName("m"), WeightVersion(4)}, {ModelName("n"), WeightVersion(1)}};
   }
   fixture.routes.services[0].engine->models = {ModelName("m"), ModelName("n")};
-  fixture.Name(4);
-  fixture.Name(4, "n");
+  fixture.NameVersion(4);
+  fixture.NameVersion(4, "n");
   fixture.Lead();
   fixture.scheduler.RunFor(seconds(5));
   CHECK(fixture.Orders() == 0);
 }
 
-TEST_CASE("No order is given without a quorum, or long after its announcement") {
+TEST_CASE("No order is sent without a quorum, or long after its announcement") {
   Fixture cut_off(2);
   cut_off.Lead();
   cut_off.group.quorum = false;
-  cut_off.Name(2);
+  cut_off.NameVersion(2);
   cut_off.scheduler.RunFor(seconds(3));
   CHECK(cut_off.Orders() == 0);
   Fixture slow(2);
   slow.Lead();
   slow.group.commit_time = milliseconds(400);
-  slow.Name(2);
+  slow.NameVersion(2);
   slow.scheduler.RunFor(seconds(3));
   CHECK(slow.Orders() == 0);
 }
 
-TEST_CASE("An order without an answer is given again, with the count of orders that guards it") {
+TEST_CASE("An order without a response is sent again, fenced by the count of orders") {
   Fixture fixture(1);
-  fixture.engines.at("e0:1").deaf = true;
+  fixture.engines.at("e0:1").unresponsive = true;
   fixture.Lead();
-  fixture.Name(2);
+  fixture.NameVersion(2);
   fixture.scheduler.RunFor(seconds(3));
   CHECK(fixture.Orders() >= 1);
-  fixture.engines.at("e0:1").deaf = false;
+  fixture.engines.at("e0:1").unresponsive = false;
   fixture.scheduler.RunFor(seconds(4));
   CHECK(fixture.Holding(2) == 1);
   CHECK(fixture.engines.at("e0:1").orders == 1);
 }
 
-TEST_CASE("While an engine loads a model it counts as loading, and its version follows") {
+TEST_CASE("An engine counts as loading during a load, and its version is updated after it") {
   Fixture fixture(1);
   fixture.Lead();
   bool ready = false;
   fixture.loads.OnReady([&] { ready = true; });
-  fixture.Name(2);
+  fixture.NameVersion(2);
   fixture.scheduler.RunFor(milliseconds(300));
   CHECK(fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("m")));
   CHECK_FALSE(fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("other")));
@@ -328,11 +326,11 @@
   CHECK(ready);
 }
 
-TEST_CASE("Engines are shared out by work, and even the smallest model has one") {
+TEST_CASE("Engines are distributed by work, at least one for each model") {
   Fixture fixture(6);
   fixture.routes.services[0].engine->models = {ModelName("m"), ModelName("small")};
-  fixture.Name(2);
-  fixture.Name(2, "small");
+  fixture.NameVersion(2);
+  fixture.NameVersion(2, "small");
   fixture.loads.OnJobSubmitted(ModelName("m"), 1000, WeightVersion(2));
   fixture.loads.OnJobSubmitted(ModelName("small"), 1, WeightVersion(2));
   fixture.Lead();
@@ -347,14 +345,14 @@
   CHECK(small == 1);
 }
 
-TEST_CASE("The end of a load is noticed soon, however long the loads before it took") {
+TEST_CASE("The end of a load is detected quickly, however long the loads before it took") {
   Fixture fixture(1);
   Engine& engine = fixture.engines.at("e0:1");
   fixture.Lead();
   const auto load = [&](uint64_t version, Duration load_time) {
     engine.load_time = load_time;
     engine.ordered_at.clear();
-    fixture.Name(version);
+    fixture.NameVersion(version);
     fixture.scheduler.RunFor(milliseconds(200));
     REQUIRE(engine.ordered_at.size() == 1);
     while (fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("m"))) {
@@ -369,13 +367,13 @@
   CHECK(load(++version, milliseconds(900)) <= milliseconds(120));
 }
 
-TEST_CASE("Engines are kept for models that have jobs, though no version of theirs is named yet") {
+TEST_CASE("Models with jobs but without a named version have engines assigned") {
   Fixture fixture(6);
   fixture.routes.services[0].engine->models = {ModelName("m"), ModelName("late")};
   fixture.Lead();
   fixture.loads.OnJobSubmitted(ModelName("m"), 100, WeightVersion(1));
   fixture.loads.OnJobSubmitted(ModelName("late"), 100, WeightVersion(1));
-  fixture.Name(2);
+  fixture.NameVersion(2);
   fixture.scheduler.RunFor(seconds(8));
   CHECK(fixture.Orders() == 3);
 }
@@ -383,7 +381,7 @@
 TEST_CASE("Orders end with the leadership") {
   Fixture fixture(4);
   fixture.Lead();
-  fixture.Name(2);
+  fixture.NameVersion(2);
   fixture.scheduler.RunFor(milliseconds(300));
   const size_t before = fixture.Orders();
   fixture.loads.SetLeading(nullptr);
