--- a/test/jobs/crashing_item_test.cc
+++ b/test/jobs/crashing_item_test.cc
@@ -1,5 +1,5 @@
-/// Items of batch jobs under which engines end: the engine that runs one is gone, its connections
-/// end, and nobody listens at its address until it is back seconds later.
+/// Items of batch jobs that crash the engine that runs them. Its connections close, and its address
+/// refuses connections until it restarts seconds later.
 #include <catch2/catch.hpp>
 #include <set>
 
@@ -18,11 +18,10 @@
 using Kind = FakeAnswer::Kind;
 
 constexpr int kEngines = 4;
-constexpr int kWholeEvents = 10;
-constexpr Duration kBackAfter = seconds(3);
+constexpr int kCompleteEvents = 10;
+constexpr Duration kRestartTime = seconds(3);
 
-/// The cluster's record of suspects, as one replica holds it; a change reaches the node a moment
-/// later.
+/// The cluster's record of suspect requests; changes reach the node with a delay.
 class LedgerRegister : public SuspectRegister {
  public:
   LedgerRegister(VirtualScheduler& scheduler, VirtualEnvironment& environment, RequestGuard& guard)
@@ -66,8 +65,8 @@
   Revision revision_;
 };
 
-/// Engines that end under an item: each time before its event `crash_at`, if `crash_at` is set and
-/// that event is due; once the fourth event of any other item has come, `chance_crashes` times.
+/// Engines that crash before event `crash_at` of an item with the body "crash", if it is set, and
+/// `chance_crashes` times after the fourth event of any other item.
 class Fixture {
  public:
   Fixture() {
@@ -137,7 +136,7 @@
   JobScheduler scheduler_under_test{environment,          backends, ingress, loads, state, group,
                                     JobSchedulerOptions()};
   std::optional<int> crash_at;
-  /// Nobody listens at any engine until then.
+  /// All engines refuse connections until then.
   Duration all_down_until{0};
   int chance_crashes = 0;
   int ended = 0;
@@ -153,7 +152,7 @@
     if (request.method == "GET") return answer;
     const auto resumed = FindHeader(request.headers, "resume");
     const int first = resumed ? std::stoi(std::string(*resumed)) + 1 : 1;
-    int last = kWholeEvents;
+    int last = kCompleteEvents;
     const bool crashing = request.body == "crash" && crash_at;
     if (crashing) last = *crash_at - 1;
     if (!crashing && chance_crashes > 0) {
@@ -163,7 +162,7 @@
     answer.headers = {{"version", "1"}};
     answer.pieces.clear();
     for (int i = first; i <= last; ++i) answer.pieces.push_back(fmt::format("{}||t{}\n\n", i, i));
-    if (last < kWholeEvents) {
+    if (last < kCompleteEvents) {
       answer.kind = Kind::kCutBody;
       ended_under_crashing += crashing ? 1 : 0;
       End(address, answer.delay + answer.gap * static_cast<int>(answer.pieces.size()));
@@ -173,30 +172,30 @@
 
   void End(const std::string& address, Duration after) {
     ++ended;
-    // Just before the caller hears of it.
+    // Just before the caller sees the connection close.
     scheduler.Schedule(after - milliseconds(1),
-                       [this, address] { down_until_[address] = scheduler.Now() + kBackAfter; });
+                       [this, address] { down_until_[address] = scheduler.Now() + kRestartTime; });
   }
 
   std::map<std::string, Duration> down_until_;
 };
 
-TEST_CASE("An item that ends each engine at one event is given to three engines and no more") {
+TEST_CASE("An item that crashes each engine at the same event runs at three engines at most") {
   Fixture fixture;
   fixture.crash_at = GENERATE(1, 2, 6);
   fixture.Submit("bad", "crash");
   fixture.scheduler.RunFor(seconds(55));
-  // Without the guard 20 engines end in this time, as fast as they come back.
+  // Without the guard 20 engines crash in this time.
   CHECK(fixture.ended <= 3);
   CHECK_FALSE(fixture.Done("bad"));
-  // It is given up when its time is over, and not before.
+  // It fails when its lifetime has expired, not before.
   CHECK(fixture.state.Find(JobId("bad"))->results.empty());
   fixture.scheduler.RunFor(seconds(10));
   REQUIRE(fixture.state.Find(JobId("bad"))->results.size() == 1);
   CHECK(fixture.state.Find(JobId("bad"))->results[0].state == ItemState::kFailed);
 }
 
-TEST_CASE("An item whose engines end by chance, an event further each time, is made whole") {
+TEST_CASE("An item that gets further at each crash is completed") {
   Fixture fixture;
   fixture.chance_crashes = 6;
   fixture.Submit("good", "prompt");
@@ -205,7 +204,7 @@
   CHECK(fixture.Done("good"));
 }
 
-TEST_CASE("Other items are made while one is held") {
+TEST_CASE("Other items run while one is held") {
   Fixture fixture;
   fixture.crash_at = 1;
   fixture.Submit("bad", "crash");
@@ -218,10 +217,7 @@
   CHECK(fixture.ended_under_crashing <= 3);
 }
 
-/// What the soak saw (scripts/soak, seed 5309): no step of the trainer was whole after the faults.
-/// Two engines ended by chance under items of one content, which was held. Its first two trials
-/// went to an engine that was down ("Connection refused"), its third found none; so it was barred
-/// for a day, and all items of that content with it. No trial had run at any engine.
+/// Guards against barring a content whose trials all failed to reach an engine.
 TEST_CASE("A trial that reaches no engine bars nothing") {
   Fixture fixture;
   LedgerRegister cluster(fixture.scheduler, fixture.environment, fixture.ingress.guard());
--- a/test/jobs/crashing_servers.h
+++ b/test/jobs/crashing_servers.h
@@ -1,6 +1,6 @@
-/// Page servers in virtual time that crash under some requests, each of them whenever it runs one.
-/// All that runs at a server when it crashes is cut off; nobody listens at its address for seconds;
-/// then another life begins there.
+/// Page servers in virtual time that crash whenever they run certain requests. A crash interrupts
+/// all requests at the server; its address refuses connections for seconds until another
+/// incarnation starts.
 #pragma once
 
 #include <functional>
@@ -16,16 +16,15 @@
 
 namespace millstair {
 
-/// A request that a server began to run.
+/// A request that a server started to run.
 struct ServedRun {
   Duration at{0};
   std::string target;
   InstanceId instance;
-  /// Identifier of the request.
   std::string id;
 };
 
-/// A server that ended while it ran `target`.
+/// A crash of a server while it ran `target`.
 struct ServerCrash {
   Duration at{0};
   std::string target;
@@ -35,13 +34,13 @@
  public:
   using Registered = std::function<void(const BackendInstance&)>;
 
-  /// A request whose target begins so ends each server that runs it.
+  /// Requests with this target prefix crash the server that runs them.
   static constexpr char kCrashes[] = "/p/crash";
   static constexpr Duration kAnswerTime = std::chrono::milliseconds(25);
-  /// A server that crashes is back after this long, and the lives after it as well.
-  static constexpr Duration kBackAfter = std::chrono::milliseconds(3000);
+  /// Time from a crash to the start of the next incarnation.
+  static constexpr Duration kRestartTime = std::chrono::milliseconds(3000);
 
-  /// `registered` hears of each life of a server.
+  /// `registered` is called for each incarnation of a server.
   CrashingServers(VirtualScheduler& scheduler, int count, Registered registered)
       : scheduler_(scheduler), registered_(std::move(registered)) {
     for (int i = 1; i <= count; ++i) Begin(fmt::format("server{}:80", i));
@@ -58,7 +57,7 @@
     return std::make_unique<Handle>(call);
   }
 
-  /// The server at `address` ends, whatever it runs.
+  /// Crashes the server at `address`, whatever it runs.
   void Crash(const std::string& address, const std::string& target) {
     Server& server = servers_.at(address);
     if (!server.alive) return;
@@ -67,7 +66,7 @@
     for (const auto& call : std::exchange(server.running, {})) {
       if (call->observer != nullptr) Fail(*call, CallFailure::kUnknown, "end of stream");
     }
-    scheduler_.Schedule(kBackAfter, [this, address] { Begin(address); });
+    scheduler_.Schedule(kRestartTime, [this, address] { Begin(address); });
   }
 
   std::vector<std::string> addresses() const {
@@ -82,7 +81,7 @@
  private:
   struct Call {
     HttpRequest request;
-    /// Null once the caller hears no more.
+    /// Null once the call is complete or cancelled.
     HttpCallObserver* observer = nullptr;
   };
 
@@ -104,7 +103,7 @@
   void Begin(const std::string& address) {
     Server& server = servers_[address];
     server.alive = true;
-    server.instance = InstanceId(fmt::format("{}#{}", address, ++lives_));
+    server.instance = InstanceId(fmt::format("{}#{}", address, ++incarnations_));
     BackendInstance record = LiveInstance(address, "pages");
     record.id = server.instance;
     record.slots = 6;
@@ -155,7 +154,7 @@
 
   VirtualScheduler& scheduler_;
   const Registered registered_;
-  int lives_ = 0;
+  int incarnations_ = 0;
   std::map<std::string, Server> servers_;
 };
 
--- a/test/jobs/ingress_fleet.cc
+++ b/test/jobs/ingress_fleet.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-/// Sends as one node; messages take half a millisecond or more.
+/// Sends messages of one node, each with a delay of at least 0.5 ms.
 class IngressFleet::Transport : public PeerTransport {
  public:
   Transport(IngressFleet& fleet, std::string self) : fleet_(fleet), self_(std::move(self)) {}
@@ -84,11 +84,12 @@
 
 void IngressFleet::Start(const std::string& name) {
   Process& process = processes_[name];
-  process.environment = std::make_unique<VirtualEnvironment>(scheduler, seed_ * 1000 + ++lives_);
+  process.environment =
+      std::make_unique<VirtualEnvironment>(scheduler, seed_ * 1000 + ++incarnations_);
   process.transport = std::make_unique<Transport>(*this, name);
   NodeRecord self;
   self.node = NodeId(name);
-  self.incarnation = Incarnation(lives_);
+  self.incarnation = Incarnation(incarnations_);
   self.zone = Zone("z1");
   self.address = name;
   self.control = name[0] == 'c';
@@ -159,7 +160,7 @@
                        std::function<void(const ForwardResult&)> done) {
   ForwardRequest request{{"GET", target, {}, ""},
                          "a.example",
-                         fmt::format("id{}", ++lives_),
+                         fmt::format("id{}", ++incarnations_),
                          std::chrono::milliseconds(1500)};
   gateways_[request.request_id] = gateway;
   processes_.at(gateway).ingress->ingress().Forward(std::move(request), std::move(done));
--- a/test/jobs/ingress_fleet.h
+++ b/test/jobs/ingress_fleet.h
@@ -1,4 +1,5 @@
-/// Control nodes and gateways of one cluster in virtual time, before page servers that can crash.
+/// Control nodes and gateways of a cluster in virtual time, in front of page servers that can
+/// crash.
 #pragma once
 
 #include <map>
@@ -22,19 +23,19 @@
   IngressFleet(uint64_t seed, int gateways, int servers, Route route);
   ~IngressFleet();
 
-  /// Sends a request to a gateway ("g1" and so on); `done` hears how it ended.
+  /// Sends a request to a gateway, such as "g1"; `done` receives the result.
   void Ask(const std::string& gateway, const std::string& target,
            std::function<void(const ForwardResult&)> done);
-  /// Ends the process of a gateway and starts it again.
+  /// Restarts the process of a gateway.
   void Restart(const std::string& gateway);
-  /// No message reaches or leaves the node until it is healed.
+  /// Drops all messages from and to the node until it is healed.
   void Isolate(const std::string& node) { isolated_.insert(node); }
   void Heal(const std::string& node) { isolated_.erase(node); }
-  /// The control node that leads the cluster group; null while there is none.
+  /// The control node that leads the cluster group; null if there is none.
   ControlNode* Leader();
   IngressNode& gateway(const std::string& name) { return *processes_.at(name).ingress; }
 
-  /// The gateway that got the request with this identifier.
+  /// The gateway that received the request with this identifier.
   const std::string& GatewayOf(const std::string& request_id) const {
     return gateways_.at(request_id);
   }
@@ -58,7 +59,7 @@
   std::vector<ControlEndpoint> Endpoints() const;
 
   const uint64_t seed_;
-  uint64_t lives_ = 0;
+  uint64_t incarnations_ = 0;
   FakeProtocol protocol_;
   FixedTable table_;
   std::unique_ptr<VirtualEnvironment> disk_environment_;
@@ -67,7 +68,7 @@
   std::map<std::string, Process> processes_;
   std::set<std::string> isolated_;
   std::map<std::string, std::string> gateways_;
-  /// Lives of servers that no control node has acknowledged yet.
+  /// Server incarnations that no control node has acknowledged yet.
   std::map<InstanceId, BackendInstance> unregistered_;
 };
 
--- a/test/jobs/cut_off_gateway_test.cc
+++ b/test/jobs/isolated_gateway_test.cc
@@ -1,6 +1,5 @@
-/// Whether a gateway without a proof stays ready: not if it alone hears no control node, since
-/// others serve callers by routes that they can prove; but if the cluster has no majority, old
-/// routes are all that there is.
+/// A gateway that alone receives no message from the control nodes stops being ready, so that
+/// others serve its callers. Without a majority of control nodes all gateways stay ready.
 #include <catch2/catch.hpp>
 
 #include "test/jobs/ingress_fleet.h"
@@ -10,8 +9,8 @@
 
 using std::chrono::seconds;
 
-/// The lease of these fleets is 4 s.
-constexpr Duration kLongSilence = seconds(12);
+/// Longer than the lease of the fleet, 4 s.
+constexpr Duration kIsolationTime = seconds(12);
 
 Route PagesRoute() {
   Route route;
@@ -23,11 +22,11 @@
   return route;
 }
 
-TEST_CASE("A gateway that hears no control node stops being ready, serves on, and is ready again") {
+TEST_CASE("An isolated gateway is not ready, still forwards, and is ready again after it heals") {
   IngressFleet fleet(3, 2, 2, PagesRoute());
   REQUIRE(fleet.gateway("g1").Ready());
   fleet.Isolate("g1");
-  fleet.scheduler.RunFor(kLongSilence);
+  fleet.scheduler.RunFor(kIsolationTime);
   CHECK_FALSE(fleet.gateway("g1").Ready());
   CHECK(fleet.gateway("g2").Ready());
   int answered = 0;
@@ -45,7 +44,7 @@
   IngressFleet fleet(3, 2, 2, PagesRoute());
   fleet.Isolate("c1");
   fleet.Isolate("c2");
-  fleet.scheduler.RunFor(kLongSilence);
+  fleet.scheduler.RunFor(kIsolationTime);
   for (const char* const name : {"g1", "g2"}) {
     CHECK_FALSE(fleet.gateway(name).LeaseValid());
     CHECK(fleet.gateway(name).Ready());
