--- a/test/jobs/fake_group.h
+++ b/test/jobs/fake_group.h
@@ -1,5 +1,5 @@
 /// A Raft group of one replica in virtual time: proposals are applied to a state machine after a
-/// moment, unless the test says that the group has no quorum.
+/// delay, unless `quorum` is false.
 #pragma once
 
 #include <string>
@@ -60,7 +60,7 @@
     Finish(done);
   }
 
-  /// Promotions that fail, as of a learner that has not caught up.
+  /// Number of promotions that fail, as if the learner had not caught up.
   int promotions_refused = 0;
   bool leader = true;
   bool quorum = true;
--- a/test/jobs/job_group_bootstrapper_test.cc
+++ b/test/jobs/job_group_bootstrapper_test.cc
@@ -21,17 +21,17 @@
     configuration.nodes[record.node] = record;
   }
 
-  /// Runs the duty as the control node does, once a second.
+  /// Runs the leader task as the control node does, once a second.
   void Run(int times) {
     for (int i = 0; i < times; ++i) {
-      duty->Run(configuration);
+      task->Run(configuration);
       scheduler.RunFor(seconds(1));
     }
   }
 
-  std::set<Zone> ZonesOfFounders() const {
+  std::set<Zone> ZonesOfInitialMembers() const {
     std::set<Zone> zones;
-    for (const GroupMember& founder : founded->founders) {
+    for (const GroupMember& founder : bootstrapped->founders) {
       zones.insert(configuration.nodes.at(founder.node).zone);
     }
     return zones;
@@ -40,14 +40,14 @@
   VirtualScheduler scheduler{1};
   VirtualEnvironment environment{scheduler, 2};
   Configuration configuration;
-  std::optional<JobGroup> founded;
-  std::unique_ptr<ClusterDuty> duty = MakeJobGroupBootstrapper(
+  std::optional<JobGroup> bootstrapped;
+  std::unique_ptr<ClusterDuty> task = MakeJobGroupBootstrapper(
       environment, JobGroupBootstrapperOptions{5}, [this](ClusterCommand command) {
-        founded = std::get<FoundJobGroup>(command.operation).group;
+        bootstrapped = std::get<FoundJobGroup>(command.operation).group;
       });
 };
 
-TEST_CASE("Founders are spread over all zones, whatever the order of their addresses") {
+TEST_CASE("Initial members are spread over all zones, whatever the order of their addresses") {
   Fixture fixture;
   for (int node = 0; node < 9; ++node) {
     for (const char* zone : {"a", "b", "c", "d", "e"}) {
@@ -55,30 +55,30 @@
     }
   }
   fixture.Run(3);
-  REQUIRE(fixture.founded);
-  CHECK(fixture.founded->founders.size() == 5);
-  CHECK(fixture.ZonesOfFounders().size() == 5);
+  REQUIRE(fixture.bootstrapped);
+  CHECK(fixture.bootstrapped->founders.size() == 5);
+  CHECK(fixture.ZonesOfInitialMembers().size() == 5);
 }
 
-TEST_CASE("Founding waits for nodes that are still being heard of") {
+TEST_CASE("The bootstrap waits while further nodes join") {
   Fixture fixture;
   for (int node = 0; node < 5; ++node) fixture.Join("a" + std::to_string(node), "a");
   fixture.Run(1);
-  CHECK_FALSE(fixture.founded);
+  CHECK_FALSE(fixture.bootstrapped);
   for (const char* zone : {"b", "c", "d", "e"}) fixture.Join(std::string(zone) + "0", zone);
   fixture.Run(2);
-  REQUIRE(fixture.founded);
-  CHECK(fixture.ZonesOfFounders().size() == 5);
+  REQUIRE(fixture.bootstrapped);
+  CHECK(fixture.ZonesOfInitialMembers().size() == 5);
 }
 
-TEST_CASE("With fewer nodes than voters the group is founded all the same") {
+TEST_CASE("With fewer nodes than voters the group is bootstrapped after the maximum wait") {
   Fixture fixture;
   fixture.Join("a0", "a");
   fixture.Run(3);
-  CHECK_FALSE(fixture.founded);
+  CHECK_FALSE(fixture.bootstrapped);
   fixture.Run(1);
-  REQUIRE(fixture.founded);
-  CHECK(fixture.founded->founders.size() == 1);
+  REQUIRE(fixture.bootstrapped);
+  CHECK(fixture.bootstrapped->founders.size() == 1);
 }
 
 }  // namespace
--- a/test/jobs/job_group_nodes_test.cc
+++ b/test/jobs/job_group_nodes_test.cc
@@ -7,7 +7,7 @@
 
 const GroupId kGroup("jobs/0");
 
-/// Storage nodes "a1", "a2", "b1", "b2", "c1": the letter is the zone.
+/// Storage nodes "a1", "a2", "b1", "b2" and "c1"; the letter is the zone.
 Configuration FiveNodes() {
   Configuration configuration;
   for (const char* name : {"a1", "a2", "b1", "b2", "c1"}) {
@@ -30,20 +30,20 @@
   return nodes;
 }
 
-TEST_CASE("No node is asked before the group is founded") {
+TEST_CASE("There are no nodes to call before the group is bootstrapped") {
   CHECK(JobNodesForChanges(FiveNodes(), kGroup, Zone("a")).empty());
   CHECK(JobNodesForReads(FiveNodes(), kGroup, Zone("a")).empty());
   CHECK(PlacedLeader(FiveNodes(), kGroup) == NodeId());
 }
 
-TEST_CASE("Founders are asked first until a leader has told where the replicas are") {
+TEST_CASE("Initial members come first until a leader has reported the placement") {
   Configuration configuration = FiveNodes();
   configuration.job_groups[kGroup] = {kGroup, {MemberAt("b1"), MemberAt("c1")}, {}};
   CHECK(JobNodesForChanges(configuration, kGroup, Zone("c")) ==
         Names({"c1", "b1", "a1", "a2", "b2"}));
 }
 
-TEST_CASE("Changes go to the leader, reads to the own zone and to the leader last") {
+TEST_CASE("Changes prefer the leader, reads prefer the own zone and use the leader last") {
   Configuration configuration = FiveNodes();
   const JobGroupPlacement placement{
       Term(2), 1, NodeId("b1"), {MemberAt("b1"), MemberAt("a2"), MemberAt("c1")}};
@@ -57,7 +57,7 @@
   CHECK(PlacedLeader(configuration, kGroup) == NodeId("b1"));
 }
 
-TEST_CASE("Nodes that are gone are not asked") {
+TEST_CASE("Nodes that are gone are not called") {
   Configuration configuration = FiveNodes();
   configuration.job_groups[kGroup] = {kGroup, {MemberAt("b1"), MemberAt("c1")}, {}};
   configuration.nodes[NodeId("b1")].state = MemberState::kGone;
--- a/test/jobs/job_placement_reporter_test.cc
+++ b/test/jobs/job_placement_reporter_test.cc
@@ -33,7 +33,7 @@
       }};
 };
 
-TEST_CASE("A leader tells at once where its group is, and once") {
+TEST_CASE("A leader reports the placement of its group at once, and only once") {
   Fixture fixture;
   fixture.reporter.SetLeading(&fixture.group);
   REQUIRE(fixture.proposed.size() == 1);
@@ -45,7 +45,7 @@
   CHECK(fixture.proposed[0].placement.members == fixture.group.members);
 }
 
-TEST_CASE("A change of the members is told under a higher number") {
+TEST_CASE("A change of the members is reported with a higher sequence number") {
   Fixture fixture;
   fixture.reporter.SetLeading(&fixture.group);
   fixture.scheduler.RunFor(seconds(1));
@@ -56,7 +56,7 @@
   CHECK(fixture.proposed[1].placement.members.size() == 2);
 }
 
-TEST_CASE("What was not acknowledged is told again") {
+TEST_CASE("A report without acknowledgement is repeated") {
   Fixture fixture;
   fixture.reachable = false;
   fixture.reporter.SetLeading(&fixture.group);
@@ -64,12 +64,12 @@
   CHECK(fixture.proposed.size() > 1);
   fixture.reachable = true;
   fixture.scheduler.RunFor(milliseconds(200));
-  const size_t told = fixture.proposed.size();
+  const size_t reported = fixture.proposed.size();
   fixture.scheduler.RunFor(seconds(1));
-  CHECK(fixture.proposed.size() == told);
+  CHECK(fixture.proposed.size() == reported);
 }
 
-TEST_CASE("Who does not lead says nothing") {
+TEST_CASE("A replica that does not lead reports nothing") {
   Fixture fixture;
   fixture.group.leader = false;
   fixture.reporter.SetLeading(&fixture.group);
--- a/test/jobs/job_replica_manager_test.cc
+++ b/test/jobs/job_replica_manager_test.cc
@@ -57,7 +57,7 @@
 
 using Names = std::set<std::string>;
 
-TEST_CASE("A sound group stays as it is; one spare node is kept warm, not more") {
+TEST_CASE("A healthy group stays unchanged with one spare learner") {
   Fixture fixture;
   fixture.Join("d", ReplicaId(100));
   fixture.Join("e", ReplicaId(101));
@@ -66,7 +66,7 @@
   CHECK(fixture.group.members.size() == 4);
 }
 
-TEST_CASE("A voter that is gone stays until another has taken its place") {
+TEST_CASE("A lost voter stays until it is replaced") {
   Fixture fixture;
   fixture.configuration.nodes[NodeId("c")].state = MemberState::kGone;
   fixture.Run();
@@ -76,7 +76,7 @@
   CHECK(fixture.Voters() == Names{"a", "b", "d"});
 }
 
-TEST_CASE("A node that lost its disk comes back as another replica and votes again") {
+TEST_CASE("A node that lost its disk returns as another replica and votes again") {
   Fixture fixture;
   fixture.Join("c", ReplicaId(200));
   fixture.Run();
@@ -111,7 +111,7 @@
   CHECK(fixture.emptied == std::set<NodeId>{NodeId("b")});
 }
 
-TEST_CASE("The leader of a job group says nothing of nodes that hold no replica of its kind") {
+TEST_CASE("The leader of a job group reports no nodes without the storage role") {
   Fixture fixture;
   NodeRecord control;
   control.node = NodeId("k");
@@ -122,7 +122,7 @@
   CHECK(fixture.emptied.empty());
 }
 
-TEST_CASE("A retired leader hands over before it goes") {
+TEST_CASE("A retired leader transfers the leadership before it is removed") {
   Fixture fixture;
   fixture.Join("d", ReplicaId(100));
   fixture.configuration.retired_nodes[NodeId("a")] = {NodeId("a"), false};
@@ -131,7 +131,7 @@
   CHECK(fixture.Voters().contains("a"));
 }
 
-TEST_CASE("A group that stands in one zone is spread over all, one change at a time") {
+TEST_CASE("A group in one zone is spread over all, one change at a time") {
   Fixture fixture;
   for (const char* name : {"a", "b", "c"}) {
     fixture.configuration.nodes[NodeId(name)].zone = Zone("one");
@@ -145,11 +145,11 @@
     fewest = std::min(fewest, fixture.Voters().size());
   }
   CHECK(fewest == 3);
-  // The leader is not removed by its own hand.
+  // The leader does not remove itself.
   CHECK(fixture.Voters() == Names{"a", "e", "f"});
 }
 
-TEST_CASE("A lost voter is replaced in a zone that holds none") {
+TEST_CASE("A lost voter is replaced in a zone without voters") {
   Fixture fixture;
   for (const char* name : {"a", "b", "c"}) {
     fixture.configuration.nodes[NodeId(name)].zone = Zone(name);
@@ -161,7 +161,7 @@
   CHECK(fixture.Voters() == Names{"a", "b", "e"});
 }
 
-TEST_CASE("Nothing is done without the leadership") {
+TEST_CASE("No member is changed without the leadership") {
   Fixture fixture;
   fixture.Join("d", ReplicaId(100));
   fixture.group.leader = false;
--- a/test/jobs/job_service_test.cc
+++ b/test/jobs/job_service_test.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Carries messages between clients and services by name; a node that is cut off hears nothing.
+/// Delivers messages between clients and services by name; an isolated node receives none.
 class Wires {
  public:
   using Receiver = std::function<void(const NodeId& from, const PeerMessage& message)>;
@@ -94,7 +94,7 @@
     return found;
   }
 
-  void List(uint32_t item, const std::string& text) {
+  void Record(uint32_t item, const std::string& text) {
     const JobResult result{item, ItemState::kDone, text, {}, ""};
     state.Apply(LogIndex(++index), EncodeJobCommand({RecordResult{JobId("j"), result}, {}}));
   }
@@ -117,7 +117,7 @@
   uint64_t index = 100;
 };
 
-TEST_CASE("A job reaches the leader through any replica, and is kept before it is answered") {
+TEST_CASE("A job reaches the leader through any replica and is committed before the reply") {
   Fixture fixture;
   const auto answer = fixture.Submit("j");
   REQUIRE(answer);
@@ -126,7 +126,7 @@
   CHECK(fixture.state.Find(JobId("j")) != nullptr);
 }
 
-TEST_CASE("Results and bodies are given to the job's owner alone") {
+TEST_CASE("Only a job's owner may read its results and bodies") {
   Fixture fixture;
   fixture.Submit("j", seconds(2), "t1");
   JobQuery results;
@@ -146,7 +146,7 @@
   CHECK(fixture.Query(body).body == "body of a");
 }
 
-TEST_CASE("A node without a replica names the leader that the configuration tells of") {
+TEST_CASE("A node without a replica replies with the leader in the configuration") {
   Fixture fixture;
   End other_end{fixture.wires, "s0"};
   JobService other{fixture.environment, other_end, [] { return NodeId("s1"); }};
@@ -159,7 +159,7 @@
   CHECK(answer->ok());
 }
 
-TEST_CASE("A job is handed in soon though none of nine nodes in its zone has a replica") {
+TEST_CASE("A job is submitted quickly though none of nine nodes in its zone has a replica") {
   Fixture fixture;
   std::vector<std::unique_ptr<End>> ends;
   std::vector<std::unique_ptr<JobService>> others;
@@ -181,7 +181,7 @@
   CHECK(answer->ok());
 }
 
-TEST_CASE("Without a quorum nothing is acknowledged, and the outcome counts as unknown") {
+TEST_CASE("Without a quorum nothing is acknowledged and the outcome is unknown") {
   Fixture fixture;
   fixture.leader.quorum = false;
   const auto answer = fixture.Submit("j");
@@ -189,7 +189,7 @@
   CHECK(absl::IsDeadlineExceeded(answer->status()));
 }
 
-TEST_CASE("A replica that hears nothing is passed over") {
+TEST_CASE("An isolated replica is skipped") {
   Fixture fixture;
   fixture.wires.cut.insert(NodeId("s2"));
   const auto answer = fixture.Submit("j");
@@ -198,11 +198,12 @@
 }
 
 TEST_CASE(
-    "A leader that fell silent is not waited for as long again while the others still name it") {
+    "An unresponsive leader gets a shorter timeout on the second attempt while others still name "
+    "it") {
   Fixture fixture;
   fixture.Submit("j");
   fixture.wires.cut.insert(NodeId("s1"));
-  // The other replica is elected 0.8 s after the leader fell silent.
+  // The other replica is elected 0.8 s after the leader became unresponsive.
   fixture.scheduler.Schedule(milliseconds(800), [&fixture] {
     fixture.follower.leader = true;
     fixture.follower.leader_node = NodeId("s2");
@@ -217,12 +218,12 @@
   });
   fixture.scheduler.RunFor(seconds(2));
   REQUIRE(taken);
-  // 0.7 to 0.9 s of silence, and a quarter of a second for the second try. 1.4 to 1.8 s where that
-  // is waited for as long as the first.
+  // 0.7 to 0.9 s for the first attempt and 0.25 s for the second. It takes 1.4 to 1.8 s if both
+  // attempts have the same timeout.
   CHECK(*taken < milliseconds(1200));
 }
 
-TEST_CASE("A job that is not there is told only after the leadership was confirmed") {
+TEST_CASE("An unknown job is reported only after the leadership was confirmed") {
   Fixture fixture;
   JobQuery query;
   query.job = JobId("none");
@@ -238,11 +239,11 @@
   CHECK(answered);
 }
 
-TEST_CASE("Results come from a position on, at least one, within the bound") {
+TEST_CASE("A query returns results from a position, at least one, within the size limit") {
   Fixture fixture;
   fixture.Submit("j");
-  fixture.List(1, "long text");
-  fixture.List(0, "other text");
+  fixture.Record(1, "long text");
+  fixture.Record(0, "other text");
   JobQuery query;
   query.job = JobId("j");
   query.max_bytes = 1;
@@ -258,77 +259,77 @@
   CHECK(fixture.Query(query).results.empty());
 }
 
-TEST_CASE("A query is held until there is a result, and not for longer than asked") {
+TEST_CASE("A query is held until there is a result, at most for the requested time") {
   Fixture fixture;
   fixture.Submit("j");
   JobQuery query;
   query.job = JobId("j");
   query.wait = milliseconds(400);
-  const Duration asked_at = fixture.scheduler.Now();
-  fixture.scheduler.Schedule(milliseconds(200), [&] { fixture.List(0, "text"); });
+  const Duration sent_at = fixture.scheduler.Now();
+  fixture.scheduler.Schedule(milliseconds(200), [&] { fixture.Record(0, "text"); });
   CHECK(fixture.Query(query).results.size() == 1);
-  CHECK(fixture.answered_at - asked_at < milliseconds(230));
+  CHECK(fixture.answered_at - sent_at < milliseconds(230));
   query.after = 1;
-  const Duration asked_again_at = fixture.scheduler.Now();
+  const Duration sent_again_at = fixture.scheduler.Now();
   CHECK(fixture.Query(query).results.empty());
-  CHECK(fixture.answered_at - asked_again_at < milliseconds(450));
+  CHECK(fixture.answered_at - sent_again_at < milliseconds(450));
 }
 
-TEST_CASE("Results are read at the nearest replica, and the job is handed in at the leader") {
+TEST_CASE("Results are read at the nearest replica, and the job is submitted to the leader") {
   Fixture fixture;
   fixture.Submit("j");
-  fixture.List(0, "text");
+  fixture.Record(0, "text");
   fixture.wires.cut.insert(NodeId("s1"));
   JobQuery query;
   query.job = JobId("j");
   CHECK(fixture.Query(query).results.size() == 1);
 }
 
-TEST_CASE("A replica that can't confirm a read is passed over for a while, then asked again") {
+TEST_CASE("A replica that can't confirm a read is skipped for a while, then used again") {
   Fixture fixture;
   fixture.Submit("j");
-  fixture.List(0, "text");
+  fixture.Record(0, "text");
   fixture.wires.cut.insert(NodeId("s2"));
   JobQuery query;
   query.job = JobId("j");
   CHECK(fixture.Query(query).results.size() == 1);
-  const Duration asked_at = fixture.scheduler.Now();
+  const Duration sent_at = fixture.scheduler.Now();
   CHECK(fixture.Query(query, milliseconds(500)).results.size() == 1);
-  CHECK(fixture.answered_at - asked_at < milliseconds(50));
+  CHECK(fixture.answered_at - sent_at < milliseconds(50));
   fixture.wires.cut = {NodeId("s1")};
   fixture.scheduler.RunFor(seconds(3));
   CHECK(fixture.Query(query).results.size() == 1);
 }
 
-TEST_CASE("A replica that knows of no leader sends its readers on at once, and only for a moment") {
+TEST_CASE("A replica that knows no leader redirects readers at once, until it knows one") {
   Fixture fixture;
   fixture.Submit("j");
-  fixture.List(0, "text");
+  fixture.Record(0, "text");
   fixture.follower.leader_node.reset();
   JobQuery query;
   query.job = JobId("j");
-  const Duration asked_at = fixture.scheduler.Now();
+  const Duration sent_at = fixture.scheduler.Now();
   CHECK(fixture.Query(query, milliseconds(400)).results.size() == 1);
-  CHECK(fixture.answered_at - asked_at < milliseconds(20));
-  // The leader is gone; the near replica hears of the next one.
+  CHECK(fixture.answered_at - sent_at < milliseconds(20));
+  // The old leader is isolated, and the near replica knows of a leader again.
   fixture.wires.cut = {NodeId("s1")};
   fixture.follower.leader_node = NodeId("s1");
   CHECK(fixture.Query(query).results.size() == 1);
 }
 
-TEST_CASE("A node without a replica sends its readers on at once") {
+TEST_CASE("A node without a replica redirects readers at once") {
   Fixture fixture;
   fixture.Submit("j");
-  fixture.List(0, "text");
+  fixture.Record(0, "text");
   fixture.second.Attach(nullptr, nullptr);
   JobQuery query;
   query.job = JobId("j");
-  const Duration asked_at = fixture.scheduler.Now();
+  const Duration sent_at = fixture.scheduler.Now();
   CHECK(fixture.Query(query).results.size() == 1);
-  CHECK(fixture.answered_at - asked_at < milliseconds(20));
+  CHECK(fixture.answered_at - sent_at < milliseconds(20));
 }
 
-TEST_CASE("The body of an item is given until it is listed or its job has ended") {
+TEST_CASE("The body of an item is available until its result is recorded or its job has ended") {
   Fixture fixture;
   fixture.Submit("j");
   JobQuery query;
@@ -336,7 +337,7 @@
   query.job = JobId("j");
   query.item = ItemId("a");
   CHECK(fixture.Query(query).body == "body of a");
-  fixture.List(0, "text");
+  fixture.Record(0, "text");
   CHECK_FALSE(fixture.Query(query).found);
   query.item = ItemId("b");
   CHECK(fixture.Query(query).found);
--- a/test/jobs/job_state_machine_test.cc
+++ b/test/jobs/job_state_machine_test.cc
@@ -46,7 +46,7 @@
   uint64_t index_ = 0;
 };
 
-TEST_CASE("A job is taken once, and a resend changes nothing") {
+TEST_CASE("A job is added once, and a resend changes nothing") {
   Machine machine;
   CHECK(machine.Run(SubmitJob{Job("a", 2)}) == JobResultCode::kOk);
   CHECK(machine.Run(RecordResult{JobId("a"), Result(1, "x")}) == JobResultCode::kOk);
@@ -63,7 +63,7 @@
   return job;
 }
 
-TEST_CASE("A job belongs to the tenant that handed it in") {
+TEST_CASE("A job belongs to the tenant that submitted it") {
   Machine machine;
   CHECK(machine.Run(SubmitJob{OwnedJob("a", "t1")}) == JobResultCode::kOk);
   CHECK(machine.Run(SubmitJob{OwnedJob("a", "t1")}) == JobResultCode::kOk);
@@ -76,7 +76,7 @@
   CHECK(machine.machine.Find(JobId("a"))->ended);
 }
 
-TEST_CASE("A job's owner lasts over a snapshot") {
+TEST_CASE("A job's owner survives a snapshot") {
   Machine machine;
   machine.Run(SubmitJob{OwnedJob("a", "t1")});
   JobStateMachine restored;
@@ -84,7 +84,7 @@
   CHECK(restored.Find(JobId("a"))->spec.tenant == TenantName("t1"));
 }
 
-TEST_CASE("A job from before there were tenants stays open to all") {
+TEST_CASE("A job submitted before tenants were configured stays open to all") {
   Machine machine;
   machine.Run(SubmitJob{Job("a", 1)});
   CHECK(machine.Run(SubmitJob{OwnedJob("a", "t1")}) == JobResultCode::kOk);
@@ -105,7 +105,7 @@
   CHECK(machine.Run(RecordResult{JobId("b"), Result(0, "")}) == JobResultCode::kNotFound);
 }
 
-TEST_CASE("Nothing is listed any more once a job has ended") {
+TEST_CASE("No result is recorded once a job has ended") {
   Machine machine;
   machine.Run(SubmitJob{Job("a", 2)});
   machine.Run(RecordResult{JobId("a"), Result(1, "before")});
@@ -115,7 +115,7 @@
   CHECK_FALSE(machine.machine.IsRecorded(JobId("a"), 0));
 }
 
-TEST_CASE("An ended job is remembered for its retention, an open one for good") {
+TEST_CASE("An ended job is retained for a limited time, an open one indefinitely") {
   Machine machine;
   machine.Run(SubmitJob{Job("ended", 1)}, seconds(100));
   machine.Run(SubmitJob{Job("open", 1)}, seconds(100));
@@ -127,7 +127,7 @@
   CHECK(machine.machine.Find(JobId("open")) != nullptr);
 }
 
-TEST_CASE("An ended job stands in each snapshot as at its end, beside jobs that go on") {
+TEST_CASE("Snapshots contain ended jobs as of their end and open jobs as they are") {
   Machine machine;
   machine.Run(SubmitJob{Job("a", 2)});
   machine.Run(SubmitJob{Job("b", 2)});
@@ -146,7 +146,7 @@
   CHECK(restored.machine.Find(JobId("b"))->results.size() == 1);
 }
 
-TEST_CASE("Of each engine the latest announcement is kept, in the order of the log") {
+TEST_CASE("The latest announcement for each engine is retained, in log order") {
   Machine machine;
   const AnnounceOrder first{NodeId("n1"), InstanceId("a"), Term(2), seconds(1)};
   const AnnounceOrder second{NodeId("n1"), InstanceId("b"), Term(2), seconds(3)};
@@ -165,33 +165,33 @@
   return {JobId("a"), item, after, {{text, events, {WeightVersion(2)}, WeightVersion(2)}, term}};
 }
 
-TEST_CASE("A result may hold only what follows the text that its leader kept") {
+TEST_CASE("A result may hold only what follows the text that its leader saved") {
   Machine machine;
   machine.Run(SubmitJob{Job("a", 2)});
   machine.Run(SaveProgress{{Part(0, 2, "x\ny")}});
   const RecordResult rest{JobId("a"), Result(0, "\nz"), 2, Term(3)};
-  SECTION("it is listed whole") {
+  SECTION("it is sent complete") {
     CHECK(machine.Run(rest) == JobResultCode::kOk);
     CHECK(machine.machine.Find(JobId("a"))->results.at(0).text == "x\ny\nz");
     CHECK(machine.machine.Find(JobId("a"))->progress.empty());
   }
-  SECTION("another leader has kept as many events anew") {
+  SECTION("another leader has saved as many events") {
     machine.Run(SaveProgress{{Part(0, 2, "p\nq", 0, Term(4))}});
     CHECK(machine.Run(rest) == JobResultCode::kNotSaved);
     CHECK_FALSE(machine.machine.IsRecorded(JobId("a"), 0));
   }
-  SECTION("more was kept meanwhile") {
+  SECTION("more was saved meanwhile") {
     machine.Run(SaveProgress{{Part(2, 3, "\nq")}});
     CHECK(machine.Run(rest) == JobResultCode::kNotSaved);
   }
-  SECTION("nothing is kept") {
+  SECTION("nothing is saved") {
     const RecordResult other{JobId("a"), Result(1, "\nz"), 2, Term(3)};
     CHECK(machine.Run(other) == JobResultCode::kNotSaved);
     CHECK(machine.machine.Find(JobId("a"))->results.empty());
   }
 }
 
-TEST_CASE("A leader's part does not go on after a text that another leader kept") {
+TEST_CASE("A leader's part is not appended to a text that another leader saved") {
   Machine machine;
   machine.Run(SubmitJob{Job("a", 2)});
   machine.Run(SaveProgress{{Part(0, 2, "x\ny")}});
@@ -202,7 +202,7 @@
   CHECK(restored.machine.Find(JobId("a"))->progress.at(0).term == Term(3));
 }
 
-TEST_CASE("Parts of a text are kept in order, once each, until the item is listed") {
+TEST_CASE("Parts of a text are saved in order, once each, until the result is recorded") {
   Machine machine;
   machine.Run(SubmitJob{Job("a", 2)});
   const auto& progress = machine.machine.Find(JobId("a"))->progress;
@@ -222,7 +222,7 @@
   CHECK(progress.empty());
 }
 
-TEST_CASE("A part that follows nothing leaves no trace, and the snapshot can be restored") {
+TEST_CASE("A part without preceding text is ignored, and the snapshot can be restored") {
   Machine machine;
   machine.Run(SubmitJob{Job("a", 2)});
   machine.Run(SaveProgress{{Part(5, 6, "\nlost", 1)}});
@@ -231,7 +231,7 @@
   CHECK(restored.machine.Restore(LogIndex(2), machine.machine.TakeSnapshot()).ok());
 }
 
-TEST_CASE("Malformed commands are refused and change nothing") {
+TEST_CASE("Malformed commands are rejected and change nothing") {
   Machine machine;
   machine.Run(SubmitJob{Job("a", 1)});
   const std::string before = machine.machine.TakeSnapshot();
@@ -242,15 +242,15 @@
   CHECK(machine.machine.TakeSnapshot() == before);
 }
 
-TEST_CASE("The same commands give the same state, also through a snapshot") {
+TEST_CASE("The same commands give the same state, also after a snapshot") {
   rc::prop("snapshots continue like the log", [] {
-    Machine whole;
+    Machine reference;
     const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 40));
     Machine restored;
     const size_t cut = steps.empty() ? 0 : steps.size() / 2;
     for (size_t i = 0; i < steps.size(); ++i) {
       if (i == cut) {
-        RC_ASSERT(restored.machine.Restore(LogIndex(i), whole.machine.TakeSnapshot()).ok());
+        RC_ASSERT(restored.machine.Restore(LogIndex(i), reference.machine.TakeSnapshot()).ok());
       }
       const std::string id(1, static_cast<char>('a' + steps[i] % 3));
       JobOperation operation = SubmitJob{Job(id, 4)};
@@ -260,11 +260,11 @@
         operation = AnnounceOrder{NodeId("n"), InstanceId(id), Term(i), seconds(i)};
       }
       const seconds at(static_cast<int>(i) * 20);
-      const auto expected = whole.Run(operation, at);
+      const auto expected = reference.Run(operation, at);
       if (i >= cut) RC_ASSERT(restored.Run(operation, at) == expected);
     }
     if (!steps.empty()) {
-      RC_ASSERT(whole.machine.TakeSnapshot() == restored.machine.TakeSnapshot());
+      RC_ASSERT(reference.machine.TakeSnapshot() == restored.machine.TakeSnapshot());
     }
   });
 }
