--- a/source/jobs/job_codec.cc
+++ b/source/jobs/job_codec.cc
@@ -214,14 +214,14 @@
     wire.operation.submit.job = ToWire(arena, submit.job);
   }
 
-  void operator()(const RecordResult& list) const {
+  void operator()(const RecordResult& record) const {
     wire.which_operation = millstair_JobCommand_list_tag;
     wire.operation.list = millstair_ListResult_init_zero;
-    wire.operation.list.job = arena.NewString(list.job.value());
+    wire.operation.list.job = arena.NewString(record.job.value());
     wire.operation.list.has_result = true;
-    wire.operation.list.result = ToWire(arena, list.result);
-    wire.operation.list.after = list.after;
-    wire.operation.list.term = list.term.value();
+    wire.operation.list.result = ToWire(arena, record.result);
+    wire.operation.list.after = record.after;
+    wire.operation.list.term = record.term.value();
   }
 
   void operator()(const EndJob& end) const {
@@ -236,11 +236,11 @@
     wire.operation.announce = ToWire(arena, announce);
   }
 
-  void operator()(const SaveProgress& keep) const {
+  void operator()(const SaveProgress& save) const {
     wire.which_operation = millstair_JobCommand_keep_tag;
     wire.operation.keep = millstair_KeepProgress_init_zero;
     wire.operation.keep.parts =
-        NewWireArray<millstair_ProgressPart>(arena, keep.parts, &wire.operation.keep.parts_count);
+        NewWireArray<millstair_ProgressPart>(arena, save.parts, &wire.operation.keep.parts_count);
   }
 };
 
@@ -250,11 +250,11 @@
       return wire.operation.submit.has_job &&
              FromWire(wire.operation.submit.job, operation.emplace<SubmitJob>().job);
     case millstair_JobCommand_list_tag: {
-      auto& list = operation.emplace<RecordResult>();
-      list.job = JobId(ToString(wire.operation.list.job));
-      list.after = wire.operation.list.after;
-      list.term = Term(wire.operation.list.term);
-      return wire.operation.list.has_result && FromWire(wire.operation.list.result, list.result);
+      auto& record = operation.emplace<RecordResult>();
+      record.job = JobId(ToString(wire.operation.list.job));
+      record.after = wire.operation.list.after;
+      record.term = Term(wire.operation.list.term);
+      return wire.operation.list.has_result && FromWire(wire.operation.list.result, record.result);
     }
     case millstair_JobCommand_end_tag:
       operation = EndJob{JobId(ToString(wire.operation.end.job)),
--- a/source/jobs/job_guard.cc
+++ b/source/jobs/job_guard.cc
@@ -80,9 +80,9 @@
   RequestGuard& guard = ingress_.guard();
   const uint64_t events = work.progress.events;
   const bool further = work.lost_after_events && events > *work.lost_after_events;
-  const bool whole = end == ItemRunEnd::kComplete;
+  const bool complete = end == ItemRunEnd::kComplete;
   const std::string place = PlaceOf(record.spec.host, record.spec.items[work.index].path);
-  if ((further || whole) && guard.MayBeSuspect(place)) {
+  if ((further || complete) && guard.MayBeSuspect(place)) {
     guard.NoteServed(FingerprintOf(work, record));
   }
   if (std::exchange(work.runs_on_trial, false) && end == ItemRunEnd::kUnreachable) {
--- a/source/jobs/job_scheduler.cc
+++ b/source/jobs/job_scheduler.cc
@@ -196,9 +196,9 @@
   for (size_t position = 0; position < record.results.size(); ++position) {
     const JobResult& result = record.results[position];
     const ItemId& item = record.spec.items[result.item].id;
-    const bool whole = result.state == ItemState::kDone;
-    lengths_.RecordLength(item, EventsOfText(result.text), whole, record.spec.min_version);
-    if (whole) lengths_.RecordTextLocation(item, {record.spec.id, position});
+    const bool complete = result.state == ItemState::kDone;
+    lengths_.RecordLength(item, EventsOfText(result.text), complete, record.spec.min_version);
+    if (complete) lengths_.RecordTextLocation(item, {record.spec.id, position});
   }
   for (uint32_t index = 0; index < record.spec.items.size(); ++index) {
     const auto progress = record.progress.find(index);
--- a/source/jobs/job_state_machine.cc
+++ b/source/jobs/job_state_machine.cc
@@ -115,8 +115,8 @@
   return JobResultCode::kOk;
 }
 
-JobResultCode JobStateMachine::Run(const SaveProgress& keep) {
-  for (const ProgressPart& part : keep.parts) {
+JobResultCode JobStateMachine::Run(const SaveProgress& save) {
+  for (const ProgressPart& part : save.parts) {
     const auto found = jobs_.find(part.job);
     if (found == jobs_.end() || found->second.ended) continue;
     if (part.item >= found->second.spec.items.size() || IsRecorded(part.job, part.item)) continue;
--- a/source/jobs/job_state_machine.h
+++ b/source/jobs/job_state_machine.h
@@ -50,7 +50,7 @@
   JobResultCode Run(const RecordResult& record);
   JobResultCode Run(const EndJob& end);
   JobResultCode Run(const AnnounceOrder& announce);
-  JobResultCode Run(const SaveProgress& keep);
+  JobResultCode Run(const SaveProgress& save);
   void AdvanceClock(WallTime proposed_at);
   void RemoveExpired();
   void Notify(JobChange change, const JobId& job);
--- a/source/jobs/load_scheduler.cc
+++ b/source/jobs/load_scheduler.cc
@@ -156,24 +156,24 @@
   const std::set<ModelName> models = TrainedModels();
   for (const ModelName& model : models) total += work_of(model);
   // Each model gets its share rounded down, at least one; the rest goes to the largest remainders.
-  size_t given = 0;
+  size_t assigned_engines = 0;
   std::multimap<double, ModelName, std::greater<>> missing;
   for (const ModelName& model : models) {
     const double share = static_cast<double>(engines_.size()) * work_of(model) / total;
     counts[model] = std::max<size_t>(1, static_cast<size_t>(share));
-    given += counts[model];
+    assigned_engines += counts[model];
     missing.emplace(share - static_cast<double>(counts[model]), model);
   }
   const auto smaller = [](const auto& a, const auto& b) { return a.second < b.second; };
-  for (; given > engines_.size(); --given) {
+  for (; assigned_engines > engines_.size(); --assigned_engines) {
     const auto most = std::max_element(counts.begin(), counts.end(), smaller);
     if (most->second <= 1) break;
     --most->second;
   }
   for (const auto& [fraction, model] : missing) {
-    if (given >= engines_.size()) break;
+    if (assigned_engines >= engines_.size()) break;
     ++counts[model];
-    ++given;
+    ++assigned_engines;
   }
   return counts;
 }
--- a/source/jobs/storage_node.cc
+++ b/source/jobs/storage_node.cc
@@ -37,8 +37,8 @@
         cluster_(environment, transport, kClusterGroup, [this] { return ControlNodes(); }),
         suspects_(cluster_),
         placement_(environment, options_.self.node,
-                   [this](PlaceJobGroup place, std::function<void(absl::Status)> done) {
-                     SubmitToCluster(std::move(place), std::move(done));
+                   [this](PlaceJobGroup placement, std::function<void(absl::Status)> done) {
+                     SubmitToCluster(std::move(placement), std::move(done));
                    }),
         drain_timer_(environment) {
     ingress_.SetSuspectRegister(suspects_);
@@ -148,8 +148,8 @@
   void OpenBootstrappedGroup() {
     const auto group = configuration().job_groups.find(kJobGroup);
     if (group == configuration().job_groups.end() || groups_->Find(kJobGroup) != nullptr) return;
-    for (const GroupMember& founder : group->second.founders) {
-      if (founder.replica != replica_) continue;
+    for (const GroupMember& member : group->second.founders) {
+      if (member.replica != replica_) continue;
       const auto opened = groups_->OpenGroup(kJobGroup, group->second.founders);
       if (opened.ok()) continue;
       LogEvent(EventId::kReplicaHalted, "group={} error=\"{}\"", kJobGroup,
