--- /dev/null
+++ b/source/jobs/active_engine_set.h
@@ -0,0 +1,47 @@
+/// The engines that the leader of a job group uses: all engines of a small service, as many as the
+/// work needs of a large one, since the cost of a scheduling pass and the number of loads per
+/// version grow with them.
+///
+/// Every leader ranks the engines in the same order, so a new leader uses those into which its
+/// predecessor loaded weights. An engine that leaves is replaced by the next in that order.
+#pragma once
+
+#include <map>
+#include <vector>
+
+#include "common/environment.h"
+#include "ingress/backend_directory.h"
+
+namespace millstair {
+
+/// Initial number of engines used for each service.
+inline constexpr size_t kMinActiveEngines = 96;
+
+/// Lives on the node's serial executor.
+class ActiveEngineSet {
+ public:
+  ActiveEngineSet(const BackendDirectory& directory, Environment& environment)
+      : directory_(directory), environment_(environment) {}
+
+  /// Selects again among the live engines of `service`.
+  void Refresh(const ServiceName& service);
+  /// Adds a quarter more engines of `service` when work waits and none has a free slot. False if
+  /// there are no more or the last growth was too recent.
+  bool Grow(const ServiceName& service);
+  /// The selected engines that are still live, ordered by identifier. Pointers are valid until the
+  /// next update of the directory.
+  std::vector<const BackendInstance*> Engines(const ServiceName& service) const;
+
+ private:
+  struct Chosen {
+    size_t wanted = kMinActiveEngines;
+    std::vector<InstanceId> engines;
+    TimePoint grown_at;
+  };
+
+  const BackendDirectory& directory_;
+  Environment& environment_;
+  std::map<ServiceName, Chosen> services_;
+};
+
+}  // namespace millstair
--- a/source/jobs/item_order.cc
+++ b/source/jobs/item_order.cc
@@ -9,7 +9,7 @@
 namespace {
 
 struct Group {
-  /// Of its longest item.
+  /// Events of its longest item.
   double expected_events = 0;
   bool carried = false;
   std::vector<uint32_t> items;
@@ -20,7 +20,7 @@
   std::vector<Group> groups;
   for (uint32_t index = 0; index < job.items.size(); ++index) {
     const JobItem& item = job.items[index];
-    // An item without a group counts by itself.
+    // An item without a group forms its own.
     const std::string name = item.group.empty() ? "/" + item.id.value() : item.group;
     const auto [found, added] = by_name.try_emplace(name, groups.size());
     if (added) groups.emplace_back();
@@ -62,9 +62,9 @@
     if (a.spare != b.spare) return b.spare;
     return a.expected_events > b.expected_events;
   });
-  order.places.resize(job.items.size());
-  for (size_t place = 0; place < entries.size(); ++place) {
-    order.places[entries[place].index] = place;
+  order.positions.resize(job.items.size());
+  for (size_t position = 0; position < entries.size(); ++position) {
+    order.positions[entries[position].index] = position;
   }
   return order;
 }
--- a/source/jobs/item_run.cc
+++ b/source/jobs/item_run.cc
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr int kOk = 200;
-constexpr int kUnprocessable = 422;
-constexpr int kServerErrors = 500;
+constexpr int kUnprocessableEntity = 422;
+constexpr int kInternalServerError = 500;
 
 BackendEnd BackendEndOf(ItemRunEnd end) {
   switch (end) {
-    case ItemRunEnd::kWhole:
+    case ItemRunEnd::kComplete:
     case ItemRunEnd::kServerError:
     case ItemRunEnd::kImpossible:
     case ItemRunEnd::kWrongVersion:
@@ -34,7 +34,7 @@
 
 std::string_view ItemRunEndName(ItemRunEnd end) {
   switch (end) {
-    case ItemRunEnd::kWhole:
+    case ItemRunEnd::kComplete:
       return "whole";
     case ItemRunEnd::kRefused:
       return "refused";
@@ -80,17 +80,19 @@
 }
 
 void ItemRun::WatchForStall() {
-  stall_timer_.Arm(options_.stall, [this] { End(ItemRunEnd::kBroken, "no byte for too long"); });
+  stall_timer_.Arm(options_.stall_timeout, [this] {
+    End(ItemRunEnd::kBroken, "stalled: no byte received within the stall timeout");
+  });
 }
 
 void ItemRun::OnHead(const HttpResponseHead& head) {
   if (ended_) return;
   const BackendAnswer answer = protocol_.ReadAnswer(head, request_id_);
-  if (!answer.own) return End(ItemRunEnd::kBroken, "the answer belongs to another request");
-  if (answer.wrong_instance) return End(ItemRunEnd::kWrongInstance, "another back end answered");
-  if (answer.not_run) return End(ItemRunEnd::kRefused, "the engine refused");
-  if (head.status == kUnprocessable) return End(ItemRunEnd::kImpossible, "status 422");
-  if (head.status == kServerErrors) return End(ItemRunEnd::kServerError, "status 500");
+  if (!answer.own) return End(ItemRunEnd::kBroken, "response belongs to another request");
+  if (answer.wrong_instance) return End(ItemRunEnd::kWrongInstance, "another instance responded");
+  if (answer.not_run) return End(ItemRunEnd::kRefused, "refused by the engine");
+  if (head.status == kUnprocessableEntity) return End(ItemRunEnd::kImpossible, "status 422");
+  if (head.status == kInternalServerError) return End(ItemRunEnd::kServerError, "status 500");
   if (head.status != kOk) return End(ItemRunEnd::kBroken, fmt::format("status {}", head.status));
   streaming_ = true;
   if (answer.version) version_ = *answer.version;
@@ -101,11 +103,11 @@
   if (ended_ || !streaming_) return;
   WatchForStall();
   for (const std::string& lines : splitter_.Take(bytes)) {
-    if (!TakeEvent(lines)) return;
+    if (!HandleEvent(lines)) return;
   }
 }
 
-bool ItemRun::TakeEvent(const std::string& lines) {
+bool ItemRun::HandleEvent(const std::string& lines) {
   const auto event = protocol_.ReadEvent(lines);
   if (!event.ok()) {
     End(ItemRunEnd::kBroken, std::string(event.status().message()));
@@ -115,18 +117,19 @@
   if ((*event)->version) version_ = *(*event)->version;
   if ((*event)->id != progress_.events + 1) {
     End(ItemRunEnd::kBroken,
-        fmt::format("event {} came after event {}", (*event)->id, progress_.events));
+        fmt::format("received event {} after event {}", (*event)->id, progress_.events));
     return false;
   }
   if (!VersionAllowed(version_)) {
-    End(ItemRunEnd::kWrongVersion, fmt::format("made by version {}", version_));
+    End(ItemRunEnd::kWrongVersion,
+        fmt::format("made by version {}, which is not allowed", version_));
     return false;
   }
   progress_.version = version_;
   progress_.Append(**event);
   const TimePoint now = environment_.Now();
-  if (event_at_ && on_gap_) on_gap_(instance(), now - *event_at_);
-  event_at_ = now;
+  if (last_event_at_ && on_gap_) on_gap_(instance(), now - *last_event_at_);
+  last_event_at_ = now;
   return true;
 }
 
@@ -138,9 +141,9 @@
 void ItemRun::OnFinished() {
   if (ended_) return;
   if (!streaming_ || splitter_.HasPartialEvent() || progress_.events == 0) {
-    return End(ItemRunEnd::kBroken, "the stream ended inside an event");
+    return End(ItemRunEnd::kBroken, "stream ended without a complete event");
   }
-  End(ItemRunEnd::kWhole, "");
+  End(ItemRunEnd::kComplete, "");
 }
 
 void ItemRun::OnFailed(CallFailure failure, const std::string& reason) {
--- a/source/jobs/job_codec.cc
+++ b/source/jobs/job_codec.cc
@@ -116,17 +116,17 @@
   return known;
 }
 
-static millstair_ListedResult ToWire(WireArena& arena, const ListedResult& listed) {
+static millstair_ListedResult ToWire(WireArena& arena, const RecordedResult& recorded) {
   millstair_ListedResult wire = millstair_ListedResult_init_zero;
-  wire.item = arena.NewString(listed.item.value());
+  wire.item = arena.NewString(recorded.item.value());
   wire.has_result = true;
-  wire.result = ToWire(arena, listed.result);
+  wire.result = ToWire(arena, recorded.result);
   return wire;
 }
 
-static bool FromWire(const millstair_ListedResult& wire, ListedResult& listed) {
-  listed.item = ItemId(ToString(wire.item));
-  return wire.has_result && FromWire(wire.result, listed.result);
+static bool FromWire(const millstair_ListedResult& wire, RecordedResult& recorded) {
+  recorded.item = ItemId(ToString(wire.item));
+  return wire.has_result && FromWire(wire.result, recorded.result);
 }
 
 static millstair_ProgressPart ToWire(WireArena& arena, const ProgressPart& part) {
@@ -134,14 +134,14 @@
   wire.job = arena.NewString(part.job.value());
   wire.item = part.item;
   wire.after = part.after;
-  wire.events = part.grown.events;
-  wire.text = arena.NewChunkedBytes(part.grown.text, &wire.text_count);
-  wire.versions = arena.NewArray<uint64_t>(part.grown.versions.size());
-  for (const WeightVersion version : part.grown.versions) {
+  wire.events = part.added.events;
+  wire.text = arena.NewChunkedBytes(part.added.text, &wire.text_count);
+  wire.versions = arena.NewArray<uint64_t>(part.added.versions.size());
+  for (const WeightVersion version : part.added.versions) {
     wire.versions[wire.versions_count++] = version.value();
   }
-  wire.version = part.grown.version.value();
-  wire.term = part.grown.term.value();
+  wire.version = part.added.version.value();
+  wire.term = part.added.term.value();
   return wire;
 }
 
@@ -149,14 +149,14 @@
   part.job = JobId(ToString(wire.job));
   part.item = wire.item;
   part.after = wire.after;
-  part.grown.events = wire.events;
-  part.grown.text = JoinBytes(wire.text, wire.text_count);
+  part.added.events = wire.events;
+  part.added.text = JoinBytes(wire.text, wire.text_count);
   for (pb_size_t i = 0; i < wire.versions_count; ++i) {
-    part.grown.versions.emplace_back(wire.versions[i]);
+    part.added.versions.emplace_back(wire.versions[i]);
   }
-  part.grown.version = WeightVersion(wire.version);
-  part.grown.term = Term(wire.term);
-  return part.grown.events > part.after;
+  part.added.version = WeightVersion(wire.version);
+  part.added.term = Term(wire.term);
+  return part.added.events > part.after;
 }
 
 static millstair_JobRecord ToWire(WireArena& arena, const JobRecord& record) {
@@ -178,7 +178,7 @@
   record.ended = wire.ended;
   std::vector<ProgressPart> progress;
   if (!FromWireArray(wire.progress, wire.progress_count, progress)) return false;
-  for (ProgressPart& part : progress) record.progress[part.item] = std::move(part.grown);
+  for (ProgressPart& part : progress) record.progress[part.item] = std::move(part.added);
   return wire.has_spec && FromWire(wire.spec, record.spec) &&
          FromWireArray(wire.results, wire.results_count, record.results);
 }
@@ -202,7 +202,7 @@
 
 namespace {
 
-/// Fills the operation of a wire command; one overload an operation.
+/// Fills the operation of a wire command, with one overload for each operation.
 struct JobOperationWriter {
   WireArena& arena;
   millstair_JobCommand& wire;
@@ -214,14 +214,14 @@
     wire.operation.submit.job = ToWire(arena, submit.job);
   }
 
-  void operator()(const ListResult& list) const {
+  void operator()(const RecordResult& record) const {
     wire.which_operation = millstair_JobCommand_list_tag;
     wire.operation.list = millstair_ListResult_init_zero;
-    wire.operation.list.job = arena.NewString(list.job.value());
+    wire.operation.list.job = arena.NewString(record.job.value());
     wire.operation.list.has_result = true;
-    wire.operation.list.result = ToWire(arena, list.result);
-    wire.operation.list.after = list.after;
-    wire.operation.list.term = list.term.value();
+    wire.operation.list.result = ToWire(arena, record.result);
+    wire.operation.list.after = record.after;
+    wire.operation.list.term = record.term.value();
   }
 
   void operator()(const EndJob& end) const {
@@ -236,11 +236,11 @@
     wire.operation.announce = ToWire(arena, announce);
   }
 
-  void operator()(const KeepProgress& keep) const {
+  void operator()(const SaveProgress& save) const {
     wire.which_operation = millstair_JobCommand_keep_tag;
     wire.operation.keep = millstair_KeepProgress_init_zero;
     wire.operation.keep.parts =
-        NewWireArray<millstair_ProgressPart>(arena, keep.parts, &wire.operation.keep.parts_count);
+        NewWireArray<millstair_ProgressPart>(arena, save.parts, &wire.operation.keep.parts_count);
   }
 };
 
@@ -250,11 +250,11 @@
       return wire.operation.submit.has_job &&
              FromWire(wire.operation.submit.job, operation.emplace<SubmitJob>().job);
     case millstair_JobCommand_list_tag: {
-      auto& list = operation.emplace<ListResult>();
-      list.job = JobId(ToString(wire.operation.list.job));
-      list.after = wire.operation.list.after;
-      list.term = Term(wire.operation.list.term);
-      return wire.operation.list.has_result && FromWire(wire.operation.list.result, list.result);
+      auto& record = operation.emplace<RecordResult>();
+      record.job = JobId(ToString(wire.operation.list.job));
+      record.after = wire.operation.list.after;
+      record.term = Term(wire.operation.list.term);
+      return wire.operation.list.has_result && FromWire(wire.operation.list.result, record.result);
     }
     case millstair_JobCommand_end_tag:
       operation = EndJob{JobId(ToString(wire.operation.end.job)),
@@ -264,7 +264,7 @@
       return FromWire(wire.operation.announce, operation.emplace<AnnounceOrder>());
     case millstair_JobCommand_keep_tag:
       return FromWireArray(wire.operation.keep.parts, wire.operation.keep.parts_count,
-                           operation.emplace<KeepProgress>().parts);
+                           operation.emplace<SaveProgress>().parts);
     default:
       return false;
   }
@@ -286,7 +286,7 @@
   JobCommand command;
   command.proposed_at = FromMilliseconds((*decoded)->proposed_at_milliseconds);
   if (!OperationFromWire(**decoded, command.operation)) {
-    return absl::InvalidArgumentError("job command without a valid operation");
+    return absl::InvalidArgumentError("job command has no valid operation");
   }
   return command;
 }
@@ -304,7 +304,7 @@
   const uint32_t code = (*decoded)->code;
   if (code < static_cast<uint32_t>(JobResultCode::kOk) ||
       code > static_cast<uint32_t>(JobResultCode::kOtherOwner)) {
-    return absl::InvalidArgumentError("job result with an unknown code");
+    return absl::InvalidArgumentError("job command result has an unknown code");
   }
   return static_cast<JobResultCode>(code);
 }
@@ -329,7 +329,7 @@
   const millstair_JobQuery& wire = **decoded;
   if (wire.kind != static_cast<uint32_t>(JobQueryKind::kResults) &&
       wire.kind != static_cast<uint32_t>(JobQueryKind::kBody)) {
-    return absl::InvalidArgumentError("job query of an unknown kind");
+    return absl::InvalidArgumentError("job query has an unknown kind");
   }
   JobQuery query;
   query.kind = static_cast<JobQueryKind>(wire.kind);
@@ -362,7 +362,7 @@
   answer.total = wire.total;
   answer.body = JoinBytes(wire.body, wire.body_count);
   if (!FromWireArray(wire.results, wire.results_count, answer.results)) {
-    return absl::InvalidArgumentError("job answer with a faulty result");
+    return absl::InvalidArgumentError("job query reply has an invalid result");
   }
   return answer;
 }
@@ -382,7 +382,7 @@
   millstair_JobSnapshot wire = millstair_JobSnapshot_init_zero;
   wire.jobs = arena.NewArray<millstair_JobRecord>(1);
   wire.jobs[wire.jobs_count++] = ToWire(arena, record);
-  // Messages that follow one another are read as one, with all elements of repeated fields.
+  // Concatenated messages decode as one message with the elements of all their repeated fields.
   return EncodeNanopb(millstair_JobSnapshot_fields, &wire);
 }
 
@@ -393,13 +393,13 @@
   SnapshotJob& job = jobs.emplace_back();
   job.encoded = std::string(field.whole);
   if (FromWire(**wire, job.record)) return absl::OkStatus();
-  return absl::InvalidArgumentError("a job of the snapshot does not decode");
+  return absl::InvalidArgumentError("job snapshot has an invalid job record");
 }
 
 absl::StatusOr<JobSnapshot> DecodeJobSnapshot(std::string_view bytes) {
   JobSnapshot snapshot;
   std::string head;
-  // Job by job, so that there is never more than one decoded twice.
+  // Decodes the jobs one at a time, so that at most one wire message is in memory.
   const absl::Status read =
       ForEachWireField(bytes, [&snapshot, &head](const WireField& field) -> absl::Status {
         const bool is_job = field.tag == millstair_JobSnapshot_jobs_tag;
@@ -412,10 +412,10 @@
   if (!decoded.ok()) return decoded.status();
   const millstair_JobSnapshot& wire = **decoded;
   snapshot.clock = FromMilliseconds(wire.clock_milliseconds);
-  const bool sound =
+  const bool valid =
       wire.format == kSnapshotFormat &&
       FromWireArray(wire.announcements, wire.announcements_count, snapshot.announcements);
-  if (!sound) return absl::DataLossError("the snapshot of a job group does not decode");
+  if (!valid) return absl::DataLossError("job snapshot has an invalid format or announcement");
   return snapshot;
 }
 
--- a/source/jobs/job_dispatch.cc
+++ b/source/jobs/job_dispatch.cc
@@ -1,4 +1,4 @@
-/// Which item goes to which engine: the part of JobScheduler that begins runs and moves them.
+/// The part of JobScheduler that assigns items to engines, starts runs and moves them.
 #include <algorithm>
 
 #include "common/event_log.h"
@@ -8,22 +8,21 @@
 namespace millstair {
 namespace {
 
-/// So many times the usual time between two events is too long; and the least that is, which leaves
-/// room for a dozen prompts read before the first event and for a run that is preempted.
-constexpr double kStallEvents = 25;
-constexpr Duration kLeastStall = std::chrono::milliseconds(1000);
-/// How often runs are looked at for a move: as often as waiting items are in quiet times.
+/// Stall timeout as a multiple of the engine's usual time between two events.
+constexpr double kStallIntervals = 25;
+/// Leaves time for the prompts read before the first event and for preempted runs.
+constexpr Duration kMinStallTimeout = std::chrono::milliseconds(1000);
+/// How often runs are considered for a move.
 constexpr Duration kMoveInterval = std::chrono::milliseconds(100);
-/// Times that one item is moved, and items that are moved at once.
-constexpr uint32_t kMostMoves = 2;
-constexpr size_t kMovesAtOnce = 4;
+constexpr uint32_t kMaxMoves = 2;
+constexpr size_t kMaxMovesPerPass = 4;
 
 }  // namespace
 
-void JobScheduler::DispatchWaiting(EngineBoard& board) {
+void JobScheduler::DispatchWaiting(EngineSnapshot& snapshot) {
   const TimePoint now = environment_.Now();
   std::vector<Rank> sent;
-  /// Jobs for which no engine has room: their further items need not be looked at.
+  // Jobs for which no engine has a free slot; their other items are skipped.
   std::set<JobId> stuck;
   std::set<const Route*> full;
   for (const Rank& rank : waiting_) {
@@ -34,25 +33,25 @@
       stuck.insert(rank.job);
       continue;
     }
-    // Listed a moment ago: its body is gone, and it goes with the next changes.
-    if (state_.IsListed(rank.job, rank.index)) continue;
+    // Already recorded: its body is cleared, and HandleChanges removes it.
+    if (state_.IsRecorded(rank.job, rank.index)) continue;
     Work& work = *jobs_.at(rank.job).items.at(rank.index);
     if (now < work.not_before || !MaySend(work, *record)) continue;
-    if (Dispatch(board, work, *record, *route)) {
+    if (Dispatch(snapshot, work, *record, *route)) {
       sent.push_back(rank);
       continue;
     }
     full.insert(route);
-    if (!NeedsOneVersion(work, *route)) {
+    if (!RequiresSameVersion(work, *route)) {
       stuck.insert(rank.job);
     }
   }
   for (const Rank& rank : sent) waiting_.erase(rank);
-  for (const Route* route : full) NoteFull(*route);
+  for (const Route* route : full) ReportNoFreeSlot(*route);
 }
 
-void JobScheduler::NoteFull(const Route& route) {
-  for (const ServiceShare& share : route.services) loads_.NoteFull(share.service);
+void JobScheduler::ReportNoFreeSlot(const Route& route) {
+  for (const ServiceShare& share : route.services) loads_.OnNoFreeSlot(share.service);
 }
 
 std::vector<JobScheduler::MoveCandidate> JobScheduler::MoveCandidates() {
@@ -62,58 +61,58 @@
     const Route* route = record == nullptr ? nullptr : RouteOf(*record);
     if (route == nullptr || record->ended) continue;
     for (const auto& work : job_work.items) {
-      if (work == nullptr || work->phase != Phase::kRunning || work->moves >= kMostMoves) continue;
-      if (state_.IsListed(job, work->index)) continue;
-      const double missing = MissingEvents(*work, *record);
-      const double here = pace_.SecondsPerEvent(work->run->instance());
-      if (!WorthMoving(missing, here, pace_.FastestSeconds())) continue;
-      candidates.push_back({missing, work.get(), record, route});
+      if (work == nullptr || work->phase != Phase::kRunning || work->moves >= kMaxMoves) continue;
+      if (state_.IsRecorded(job, work->index)) continue;
+      const double remaining = RemainingEvents(*work, *record);
+      const double here = speeds_.SecondsPerEvent(work->run->instance());
+      if (!WorthMoving(remaining, here, speeds_.FastestSeconds())) continue;
+      candidates.push_back({remaining, work.get(), record, route});
     }
   }
   std::sort(candidates.begin(), candidates.end(),
             [](const MoveCandidate& a, const MoveCandidate& b) {
-              return a.missing_events > b.missing_events;
+              return a.remaining_events > b.remaining_events;
             });
   return candidates;
 }
 
-void JobScheduler::MoveToFasterEngines(EngineBoard& board) {
+void JobScheduler::MoveToFasterEngines(EngineSnapshot& snapshot) {
   const TimePoint now = environment_.Now();
   if (now < next_moves_at_) return;
   next_moves_at_ = now + kMoveInterval;
   size_t moved = 0;
   for (const MoveCandidate& candidate : MoveCandidates()) {
-    if (moved >= kMovesAtOnce) return;
-    if (Move(board, candidate)) ++moved;
+    if (moved >= kMaxMovesPerPass) return;
+    if (Move(snapshot, candidate)) ++moved;
   }
 }
 
-bool JobScheduler::Move(EngineBoard& board, const MoveCandidate& candidate) {
+bool JobScheduler::Move(EngineSnapshot& snapshot, const MoveCandidate& candidate) {
   Work& work = *candidate.work;
   const JobRecord& record = *candidate.record;
-  const double missing = candidate.missing_events;
+  const double remaining = candidate.remaining_events;
   const InstanceId from = work.run->instance();
   work.avoid = from;
-  const BackendInstance* target = PickEngine(board, work, record, *candidate.route);
-  if (target == nullptr || pace_.IsSlow(target->id)) return false;
-  const double here = pace_.SecondsPerEvent(from);
-  if (!WorthMoving(missing, here, pace_.SecondsPerEvent(target->id))) return false;
+  const BackendInstance* target = PickEngine(snapshot, work, record, *candidate.route);
+  if (target == nullptr || speeds_.IsSlow(target->id)) return false;
+  const double here = speeds_.SecondsPerEvent(from);
+  if (!WorthMoving(remaining, here, speeds_.SecondsPerEvent(target->id))) return false;
   LogEvent(EventId::kItemMoved, "job={} item={} from={} to={} events={} missing={:.0f}", work.job,
-           record.spec.items[work.index].id, from, target->id, work.progress.events, missing);
+           record.spec.items[work.index].id, from, target->id, work.progress.events, remaining);
   ++work.moves;
   work.run.reset();
-  board.NoteEnded(from);
-  board.NoteBegun(target->id);
+  snapshot.OnRunEnded(from);
+  snapshot.OnRunStarted(target->id);
   StartRun(work, record, *candidate.route, *target);
   return true;
 }
 
-bool JobScheduler::NeedsOneVersion(const Work& work, const Route& route) {
+bool JobScheduler::RequiresSameVersion(const Work& work, const Route& route) {
   return route.single_version && work.progress.events > 0;
 }
 
-bool JobScheduler::AnyHolds(const Route& route, const ModelName& model,
-                            WeightVersion version) const {
+bool JobScheduler::AnyEngineHolds(const Route& route, const ModelName& model,
+                                  WeightVersion version) const {
   for (const ServiceShare& share : route.services) {
     for (const BackendInstance* engine : loads_.EnginesOf(share.service)) {
       if (loads_.VersionOf(engine->id, model) == version) return true;
@@ -122,9 +121,9 @@
   return false;
 }
 
-Duration JobScheduler::StallAt(const InstanceId& engine) const {
-  const Duration expected = FromSeconds(kStallEvents * pace_.SecondsPerEvent(engine));
-  return std::min(std::max(expected, kLeastStall), options_.stall);
+Duration JobScheduler::StallTimeout(const InstanceId& engine) const {
+  const Duration expected = FromSeconds(kStallIntervals * speeds_.SecondsPerEvent(engine));
+  return std::min(std::max(expected, kMinStallTimeout), options_.stall_timeout);
 }
 
 InstanceId JobScheduler::SiblingEngine(const Work& work, const JobRecord& record) const {
@@ -134,23 +133,24 @@
   return sibling == engines.end() ? InstanceId() : sibling->second;
 }
 
-const BackendInstance* JobScheduler::PickEngine(EngineBoard& board, Work& work,
+const BackendInstance* JobScheduler::PickEngine(EngineSnapshot& snapshot, Work& work,
                                                 const JobRecord& record, const Route& route) {
-  const double missing = MissingEvents(work, record);
-  const WeightVersion oldest = UsefulVersion(work, record);
-  const bool one_version = NeedsOneVersion(work, route);
+  const double remaining = RemainingEvents(work, record);
+  const WeightVersion oldest = MinUsefulVersion(work, record);
+  const bool one_version = RequiresSameVersion(work, route);
   const InstanceId sibling = SiblingEngine(work, record);
   const BackendInstance* best = nullptr;
   double best_cost = 0;
   for (const ServiceShare& share : route.services) {
-    for (const ModelHolder& holder : board.HoldersOf(share.service, record.spec.model)) {
-      if (holder.version < oldest) continue;
-      if (one_version && holder.version != work.progress.version) continue;
-      const BoardEngine& engine = board.engine(holder.engine);
-      if (!engine.HasRoom() || engine.record->id == work.avoid) continue;
+    for (const EngineCandidate& candidate :
+         snapshot.CandidatesFor(share.service, record.spec.model)) {
+      if (candidate.version < oldest) continue;
+      if (one_version && candidate.version != work.progress.version) continue;
+      const SnapshotEngine& engine = snapshot.engine(candidate.engine);
+      if (!engine.HasFreeSlot() || engine.record->id == work.avoid) continue;
       EngineOffer offer = engine.offer;
-      offer.keeps_prompt = engine.record->id == sibling;
-      const double cost = PlacementCost(missing, offer);
+      offer.has_prompt_cached = engine.record->id == sibling;
+      const double cost = PlacementCost(remaining, offer);
       if (best != nullptr && cost >= best_cost) continue;
       best = engine.record;
       best_cost = cost;
@@ -162,14 +162,14 @@
   return best;
 }
 
-bool JobScheduler::Dispatch(EngineBoard& board, Work& work, const JobRecord& record,
+bool JobScheduler::Dispatch(EngineSnapshot& snapshot, Work& work, const JobRecord& record,
                             const Route& route) {
-  const bool lost =
-      NeedsOneVersion(work, route) && !AnyHolds(route, record.spec.model, work.progress.version);
-  if (lost) BeginAnew(work);
-  const BackendInstance* engine = PickEngine(board, work, record, route);
+  const bool lost = RequiresSameVersion(work, route) &&
+                    !AnyEngineHolds(route, record.spec.model, work.progress.version);
+  if (lost) DiscardProgress(work);
+  const BackendInstance* engine = PickEngine(snapshot, work, record, route);
   if (engine == nullptr) return false;
-  board.NoteBegun(engine->id);
+  snapshot.OnRunStarted(engine->id);
   StartRun(work, record, route, *engine);
   return true;
 }
@@ -193,10 +193,10 @@
 
 void JobScheduler::StartRun(Work& work, const JobRecord& record, const Route& route,
                             const BackendInstance& engine) {
-  ItemRunOptions options{StallAt(engine.id), {record.spec.min_version, route.single_version}};
+  ItemRunOptions options{StallTimeout(engine.id), {record.spec.min_version, route.single_version}};
   work.phase = Phase::kRunning;
   work.runs_on_trial = std::exchange(work.trial_granted, false);
-  work.keep_from = environment_.Now() + kKeepAfter;
+  work.next_save_at = environment_.Now() + kMinSaveInterval;
   work.run = std::make_unique<ItemRun>(environment_, ingress_.directory(), ingress_.protocol(),
                                        work.progress, options,
                                        alive_.Guard([this, job = work.job, index = work.index](
@@ -206,8 +206,8 @@
   LogEvent(EventId::kItemSent, "job={} item={} instance={} after={} version={} min_version={}",
            work.job, record.spec.items[work.index].id, engine.id, work.progress.events,
            loads_.VersionOf(engine.id, record.spec.model), record.spec.min_version);
-  work.run->OnGap([this](const InstanceId& instance, Duration gap) {
-    if (!loads_.LoadingAny(instance)) pace_.Note(instance, gap);
+  work.run->SetGapListener([this](const InstanceId& instance, Duration gap) {
+    if (!loads_.LoadingAny(instance)) speeds_.RecordInterval(instance, gap);
   });
   work.run->Start(http_, engine, RequestFor(work, record, route, engine.id));
 }
--- a/source/jobs/job_guard.cc
+++ b/source/jobs/job_guard.cc
@@ -1,6 +1,6 @@
-/// The part of JobScheduler that keeps an item from engines after engine that it crashes. All that
-/// runs at an engine when it ends is cut off; an item that crashes engines is the one whose text is
-/// not an event longer the next time.
+/// The part of JobScheduler that limits how many engines an item can crash. A crash interrupts
+/// every run at the engine; an item is cleared of suspicion once a later run gets further or
+/// completes.
 
 #include <utility>
 
@@ -12,9 +12,9 @@
 namespace millstair {
 namespace {
 
-/// A held item is looked at again this often: another one of the same content may get further
-/// meanwhile, which clears both.
-constexpr Duration kLookAgain = std::chrono::milliseconds(250);
+/// How often a held item is checked again: another item of the same content may get further, which
+/// clears both.
+constexpr Duration kRecheckInterval = std::chrono::milliseconds(250);
 constexpr char kItemMethod[] = "POST";
 
 }  // namespace
@@ -41,12 +41,12 @@
     case GuardVerdict::kWait:
       return false;
     case GuardVerdict::kTrial:
-      AskForTrial(work, item);
+      RequestTrial(work, item);
       return false;
     case GuardVerdict::kRefuse:
       break;
   }
-  work.not_before = environment_.Now() + kLookAgain;
+  work.not_before = environment_.Now() + kRecheckInterval;
   LogEvent(EventId::kRequestWithheld, "job={} item={} fingerprint={} crashes={} trials={}",
            work.job, record.spec.items[work.index].id, item, decision.count.crashes,
            decision.count.trials);
@@ -58,31 +58,31 @@
   ingress_.guard().ReturnTrial(*work.fingerprint);
 }
 
-void JobScheduler::AskForTrial(Work& work, const RequestFingerprint& item) {
-  if (std::exchange(work.trial_asked, true)) return;
+void JobScheduler::RequestTrial(Work& work, const RequestFingerprint& item) {
+  if (std::exchange(work.trial_requested, true)) return;
   ingress_.guard().BeginTrial(
       item, alive_.Guard([this, job = work.job, index = work.index, item](bool granted) {
-        Work* asked = FindWork(job, index);
-        if (asked == nullptr) {
-          // Another item of the same content may still use it.
+        Work* requester = FindWork(job, index);
+        if (requester == nullptr) {
+          // Another item of the same content may use the trial.
           if (granted) ingress_.guard().ReturnTrial(item);
           return;
         }
-        asked->trial_asked = false;
-        asked->trial_granted = granted;
-        if (!granted) asked->not_before = environment_.Now() + kLookAgain;
-        PumpSoon(Duration(0));
+        requester->trial_requested = false;
+        requester->trial_granted = granted;
+        if (!granted) requester->not_before = environment_.Now() + kRecheckInterval;
+        SchedulePump(Duration(0));
       }));
 }
 
-void JobScheduler::NoteRunEnd(Work& work, const JobRecord& record, const BackendInstance& engine,
-                              ItemRunEnd end) {
+void JobScheduler::ReportRunEnd(Work& work, const JobRecord& record, const BackendInstance& engine,
+                                ItemRunEnd end) {
   RequestGuard& guard = ingress_.guard();
   const uint64_t events = work.progress.events;
   const bool further = work.lost_after_events && events > *work.lost_after_events;
-  const bool whole = end == ItemRunEnd::kWhole;
+  const bool complete = end == ItemRunEnd::kComplete;
   const std::string place = PlaceOf(record.spec.host, record.spec.items[work.index].path);
-  if ((further || whole) && guard.MayBeSuspect(place)) {
+  if ((further || complete) && guard.MayBeSuspect(place)) {
     guard.NoteServed(FingerprintOf(work, record));
   }
   if (std::exchange(work.runs_on_trial, false) && end == ItemRunEnd::kUnreachable) {
--- a/source/jobs/job_service.cc
+++ b/source/jobs/job_service.cc
@@ -8,8 +8,8 @@
 namespace millstair {
 namespace {
 
-/// The longest that a query is held: less than the time after which its sender asks elsewhere.
-constexpr Duration kLongestHold = std::chrono::milliseconds(500);
+/// Maximum time that a query is held, below the time after which its sender tries another node.
+constexpr Duration kMaxHold = std::chrono::milliseconds(500);
 
 JobQueryAnswer ResultsOf(const JobRecord& record, const JobQuery& query) {
   JobQueryAnswer answer;
@@ -49,11 +49,11 @@
   }
   if (group_ == nullptr) return Reply(from, id, absl::FailedPreconditionError("no replica here"));
   if (!group_->IsLeader() && !group_->Leader()) {
-    // It would learn of a leader too late for the reader, who may ask another replica.
+    // The caller can query another replica sooner than this one would find a leader.
     return Reply(from, id, absl::UnavailableError("no leader is known here"));
   }
-  // A resend of a command that is under way is answered with it.
-  const Running key{from, id};
+  // The reply to the command in progress also answers its resend.
+  const CommandKey key{from, id};
   if (!running_.insert(key).second) return;
   auto done = alive_.Guard([this, key](const absl::StatusOr<std::string>& result) {
     running_.erase(key);
@@ -82,13 +82,13 @@
 
 JobQueryAnswer JobService::AnswerOf(const JobQuery& query) const {
   const JobRecord* record = state_ == nullptr ? nullptr : state_->Find(query.job);
-  if (record == nullptr || !MayUseJob(*record, query.tenant)) return {};
+  if (record == nullptr || !MayAccessJob(*record, query.tenant)) return {};
   if (query.kind == JobQueryKind::kResults) return ResultsOf(*record, query);
   const auto& items = record->spec.items;
   JobQueryAnswer answer;
   for (uint32_t index = 0; index < items.size(); ++index) {
     if (items[index].id != query.item) continue;
-    answer.found = !record->ended && !state_->IsListed(query.job, index);
+    answer.found = !record->ended && !state_->IsRecorded(query.job, index);
     if (answer.found) answer.body = items[index].body;
   }
   return answer;
@@ -96,23 +96,23 @@
 
 void JobService::AnswerOrHold(const JobQuery& query, Callback done) {
   const JobQueryAnswer answer = AnswerOf(query);
-  const bool all_listed = query.after + answer.results.size() >= answer.total;
+  const bool all_recorded = query.after + answer.results.size() >= answer.total;
   const bool wait = query.kind == JobQueryKind::kResults && query.wait > Duration(0) &&
-                    answer.found && answer.results.empty() && !all_listed;
+                    answer.found && answer.results.empty() && !all_recorded;
   if (!wait) return done(EncodeJobQueryAnswer(answer));
-  Held& held = held_.emplace_back(environment_);
+  HeldQuery& held = held_.emplace_back(environment_);
   held.query = query;
   held.done = std::move(done);
   const auto position = std::prev(held_.end());
-  held.limit.Arm(std::min(query.wait, kLongestHold), [this, position] {
+  held.limit.Arm(std::min(query.wait, kMaxHold), [this, position] {
     const Callback answer_now = std::move(position->done);
-    const JobQuery asked = position->query;
+    const JobQuery held_query = position->query;
     held_.erase(position);
-    answer_now(EncodeJobQueryAnswer(AnswerOf(asked)));
+    answer_now(EncodeJobQueryAnswer(AnswerOf(held_query)));
   });
 }
 
-void JobService::NoteChange(const JobId& job) {
+void JobService::OnStateChange(const JobId& job) {
   if (held_.empty()) return;
   changed_.insert(job);
   if (!change_timer_.armed()) change_timer_.Arm(Duration(0), [this] { AnswerChanged(); });
@@ -142,7 +142,7 @@
   if (result.ok()) {
     reply.result = *result;
   } else {
-    // Whether a proposal ran is not known then; commands bear being repeated.
+    // Whether a proposal was applied is unknown then; commands are idempotent.
     const bool try_again =
         absl::IsUnavailable(result.status()) || absl::IsDeadlineExceeded(result.status());
     reply.status = try_again ? absl::StatusCode::kUnavailable : result.status().code();
--- a/source/jobs/storage_node.cc
+++ b/source/jobs/storage_node.cc
@@ -7,7 +7,7 @@
 #include "cluster/group_client.h"
 #include "cluster/suspect_client.h"
 #include "common/event_log.h"
-#include "jobs/job_group_founder.h"
+#include "jobs/job_group_bootstrapper.h"
 #include "jobs/job_group_nodes.h"
 #include "jobs/job_placement_reporter.h"
 #include "jobs/job_service.h"
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr Duration kCommandTimeout = std::chrono::seconds(5);
-constexpr Duration kDrainPoll = std::chrono::milliseconds(50);
+constexpr Duration kDrainPollInterval = std::chrono::milliseconds(50);
 constexpr Duration kDrainTimeout = std::chrono::seconds(3);
 
 class ReplicatedStorageNode : public StorageNode {
@@ -37,8 +37,8 @@
         cluster_(environment, transport, kClusterGroup, [this] { return ControlNodes(); }),
         suspects_(cluster_),
         placement_(environment, options_.self.node,
-                   [this](PlaceJobGroup place, std::function<void(absl::Status)> done) {
-                     SubmitToCluster(std::move(place), std::move(done));
+                   [this](PlaceJobGroup placement, std::function<void(absl::Status)> done) {
+                     SubmitToCluster(std::move(placement), std::move(done));
                    }),
         drain_timer_(environment) {
     ingress_.SetSuspectRegister(suspects_);
@@ -56,7 +56,7 @@
     groups_ = MakeGroupHost(environment_, transport_, files_, *std::move(identity),
                             options_.consensus_timing, options_.consensus_limits,
                             [this](const GroupId& group) { return MakeStateMachine(group); });
-    groups_->OnLeadershipChange([this](const GroupId&) { Refresh(); });
+    groups_->OnLeadershipChange([this](const GroupId&) { UpdateLeadership(); });
     if (absl::Status status = groups_->Start(); !status.ok()) return status;
     configuration_client_ = MakeConfigurationClient(
         environment_, transport_, self, options_.control_nodes, options_.configuration_timing);
@@ -70,7 +70,7 @@
     configuration_client_->OnChange(
         [this](const ConfigurationDelta& changes) { ConfigurationChanged(changes); });
     configuration_client_->Start();
-    Refresh();
+    UpdateLeadership();
     return absl::OkStatus();
   }
 
@@ -110,17 +110,18 @@
     auto machine = std::make_unique<JobStateMachine>(options_.jobs);
     state_ = machine.get();
     machine->OnChange([this](JobChange change, const JobId& job) {
-      if (change == JobChange::kOrder) loads_.NoteAnnouncement(state_->announcements().back());
-      if (change == JobChange::kRestored) NoteAnnouncements();
-      service_.NoteChange(job);
-      if (scheduler_ != nullptr) scheduler_->NoteChange(change, job);
+      if (change == JobChange::kAnnounced)
+        loads_.RecordAnnouncement(state_->announcements().back());
+      if (change == JobChange::kRestored) RecordAnnouncements();
+      service_.OnStateChange(job);
+      if (scheduler_ != nullptr) scheduler_->OnStateChange(change, job);
     });
     return machine;
   }
 
-  void NoteAnnouncements() {
+  void RecordAnnouncements() {
     for (const AnnounceOrder& announced : state_->announcements()) {
-      loads_.NoteAnnouncement(announced);
+      loads_.RecordAnnouncement(announced);
     }
   }
 
@@ -136,28 +137,28 @@
       if (record.node != options_.self.node) transport_.SetAddress(record.node, record.address);
     }
     ingress_.Apply(configuration(), changes);
-    OpenFoundedGroup();
-    Refresh();
+    OpenBootstrappedGroup();
+    UpdateLeadership();
     if (!TouchesBackEnds(changes)) return;
     loads_.Update(configuration(), ingress_.routes());
     if (scheduler_ != nullptr) scheduler_->Pump();
   }
 
-  /// A founder opens the group; any other node gets it from its leader once it has joined.
-  void OpenFoundedGroup() {
-    const auto founded = configuration().job_groups.find(kJobGroup);
-    if (founded == configuration().job_groups.end() || groups_->Find(kJobGroup) != nullptr) return;
-    for (const GroupMember& founder : founded->second.founders) {
-      if (founder.replica != replica_) continue;
-      const auto opened = groups_->OpenGroup(kJobGroup, founded->second.founders);
+  /// Opens the group on its initial members; other nodes receive it from the leader when they join.
+  void OpenBootstrappedGroup() {
+    const auto group = configuration().job_groups.find(kJobGroup);
+    if (group == configuration().job_groups.end() || groups_->Find(kJobGroup) != nullptr) return;
+    for (const GroupMember& member : group->second.founders) {
+      if (member.replica != replica_) continue;
+      const auto opened = groups_->OpenGroup(kJobGroup, group->second.founders);
       if (opened.ok()) continue;
       LogEvent(EventId::kReplicaHalted, "group={} error=\"{}\"", kJobGroup,
                std::string(opened.status().message()));
     }
   }
 
-  /// Whether back ends that are slow after their start may get requests of this node: the leader
-  /// before it has stopped once its lease is over, and so does this one.
+  /// Whether this node may send requests to cold back ends: it leads with a valid lease, and the
+  /// lease of the previous leader has expired.
   bool IsColdSender() const {
     const bool leads = leading_term_ != Term();
     const Duration lease = options_.configuration_timing.lease;
@@ -165,8 +166,8 @@
            environment_.Now() - leading_since_ >= lease;
   }
 
-  /// Takes up or lays down the work of the leader.
-  void Refresh() {
+  /// Starts or stops the work of the leader when leadership changed.
+  void UpdateLeadership() {
     RaftGroup* group = groups_->Find(kJobGroup);
     service_.Attach(group, group == nullptr ? nullptr : state_);
     const bool leads = group != nullptr && group->IsLeader();
@@ -181,7 +182,7 @@
     if (leads && scheduler_ == nullptr) {
       scheduler_ = std::make_unique<JobScheduler>(environment_, http_, ingress_, loads_, *state_,
                                                   *group, options_.scheduler, options_.stats);
-      scheduler_->SetAllowed([this] { return configuration_client_->LeaseValid(); });
+      scheduler_->SetMayStartWork([this] { return configuration_client_->LeaseValid(); });
       loads_.OnReady([this] { scheduler_->Pump(); });
     }
     if (scheduler_ != nullptr) scheduler_->SetLeading(leads);
@@ -206,7 +207,7 @@
     const bool leads = group != nullptr && group->IsLeader() && group->Members().size() > 1;
     if (!leads || environment_.Now() >= drain_until_) return done();
     group->TransferLeadership([](const absl::Status&) {});
-    drain_timer_.Arm(kDrainPoll, [this, done = std::move(done)] { HandOver(done); });
+    drain_timer_.Arm(kDrainPollInterval, [this, done = std::move(done)] { HandOver(done); });
   }
 
   Environment& environment_;
