--- a/source/cluster/cluster_commands.h
+++ b/source/cluster/cluster_commands.h
@@ -10,7 +10,7 @@
 
 #include "absl/status/statusor.h"
 #include "cluster/configuration.h"
-#include "cluster/holder_leases.h"
+#include "cluster/task_leases.h"
 #include "common/ids.h"
 #include "common/time.h"
 #include "consensus/raft_group.h"
@@ -93,12 +93,12 @@
 
 /// Fixes the founders of a stream's group, so that every replica opens it with the same list. The
 /// first one for a stream wins; it is forgotten with the Stream resource.
-struct FoundGroup {
+struct BootstrapStreamGroup {
   StreamName stream;
   /// Set by the state machine: tells a stream from an earlier one of the same name, whose group may
   /// still lie on the disk of a node that was down when it was deleted.
   Revision generation;
-  std::vector<GroupMember> founders;
+  std::vector<GroupMember> initial_members;
 };
 
 /// Puts a whole routing configuration in force. The highest version holds: a smaller one is
@@ -118,7 +118,7 @@
 };
 
 /// Fixes the founders of a group of batch jobs; the first one for a group wins.
-struct FoundJobGroup {
+struct BootstrapJobGroup {
   JobGroup group;
 };
 
@@ -150,8 +150,8 @@
 };
 
 /// The leader is about to act on a subject of a duty: other holders leave it alone for a lease.
-struct AnnounceDuty {
-  HolderAnnouncement announcement;
+struct AnnounceTaskLease {
+  LeaseAnnouncement announcement;
 };
 
 /// Back ends ended while they ran requests. Lives that are known already change nothing.
@@ -186,10 +186,10 @@
 
 using ClusterOperation =
     std::variant<OpenSession, PutResources, DeleteResource, ClaimKey, SettleClaim, PublishVersion,
-                 SetModelTarget, UpdateMembers, FoundGroup, ReplaceRouting, UpdateInstance,
-                 NameVersion, FoundJobGroup, RetireNode, PlaceJobGroup, AddUsage, CloseUsage,
-                 AcceptUsage, AnnounceDuty, ReportCrashes, BeginTrial, ClearSuspect, EvacuateZone,
-                 UpdateInstances>;
+                 SetModelTarget, UpdateMembers, BootstrapStreamGroup, ReplaceRouting,
+                 UpdateInstance, NameVersion, BootstrapJobGroup, RetireNode, PlaceJobGroup,
+                 AddUsage, CloseUsage, AcceptUsage, AnnounceTaskLease, ReportCrashes, BeginTrial,
+                 ClearSuspect, EvacuateZone, UpdateInstances>;
 
 struct ClusterCommand {
   ClusterOperation operation;
--- a/source/cluster/cluster_replica.cc
+++ b/source/cluster/cluster_replica.cc
@@ -10,8 +10,8 @@
   machine->OnChange(alive_.Guard([this] {
     if (on_change_) on_change_();
   }));
-  machine->OnDutyAnnounced(alive_.Guard([this](const HolderAnnouncement& announcement) {
-    if (on_duty_announced_) on_duty_announced_(announcement);
+  machine->OnLeaseAnnounced(alive_.Guard([this](const LeaseAnnouncement& announcement) {
+    if (on_lease_announced_) on_lease_announced_(announcement);
   }));
   return machine;
 }
--- a/source/cluster/cluster_replica.h
+++ b/source/cluster/cluster_replica.h
@@ -29,8 +29,8 @@
   void OnChange(std::function<void()> callback) { on_change_ = std::move(callback); }
 
   /// Called for each applied announcement of a duty.
-  void OnDutyAnnounced(std::function<void(const HolderAnnouncement&)> callback) {
-    on_duty_announced_ = std::move(callback);
+  void OnLeaseAnnounced(std::function<void(const LeaseAnnouncement&)> callback) {
+    on_lease_announced_ = std::move(callback);
   }
 
   /// Outlives this object; none is used unless set.
@@ -69,7 +69,7 @@
   GroupHost* groups_ = nullptr;
   ClusterRelay* relay_ = nullptr;
   std::function<void()> on_change_;
-  std::function<void(const HolderAnnouncement&)> on_duty_announced_;
+  std::function<void(const LeaseAnnouncement&)> on_lease_announced_;
   AliveFlag alive_;
 };
 
--- a/source/cluster/cluster_snapshot.cc
+++ b/source/cluster/cluster_snapshot.cc
@@ -116,14 +116,14 @@
     }
   }
   ClaimsToWire(arena, claims_.claims(), wire);
-  wire.founded_groups = arena.NewArray<millstair_FoundGroup>(founded_groups_.size());
-  for (const auto& [stream, found] : founded_groups_) {
+  wire.founded_groups = arena.NewArray<millstair_FoundGroup>(bootstrapped_groups_.size());
+  for (const auto& [stream, found] : bootstrapped_groups_) {
     wire.founded_groups[wire.founded_groups_count++] = ToWire(arena, found);
   }
   wire.has_usage = true;
   wire.usage = ToWire(arena, usage_.state());
-  wire.duties = arena.NewArray<millstair_AnnounceDuty>(duties_.size());
-  for (const auto& [subject, announcement] : duties_) {
+  wire.duties = arena.NewArray<millstair_AnnounceDuty>(announcements_.size());
+  for (const auto& [subject, announcement] : announcements_) {
     wire.duties[wire.duties_count++] = ToWire(arena, announcement);
   }
   return EncodeNanopb(millstair_ClusterSnapshot_fields, &wire);
@@ -143,22 +143,22 @@
   for (pb_size_t i = 0; i < wire.sessions_count; ++i) {
     sessions[ClientId(ToString(wire.sessions[i].client))] = FromWire(wire.sessions[i]);
   }
-  std::map<StreamName, FoundGroup> founded_groups;
+  std::map<StreamName, BootstrapStreamGroup> bootstrapped_groups;
   for (pb_size_t i = 0; i < wire.founded_groups_count; ++i) {
-    FoundGroup found;
+    BootstrapStreamGroup found;
     if (!FromWire(wire.founded_groups[i], found)) return absl::DataLossError("bad group");
-    founded_groups[found.stream] = std::move(found);
+    bootstrapped_groups[found.stream] = std::move(found);
   }
   UsageLedger::State usage;
   if (wire.has_usage && !FromWire(wire.usage, usage)) return absl::DataLossError("bad usage");
-  std::map<std::string, HolderAnnouncement> duties;
+  std::map<std::string, LeaseAnnouncement> announcements;
   for (pb_size_t i = 0; i < wire.duties_count; ++i) {
-    HolderAnnouncement announcement;
+    LeaseAnnouncement announcement;
     if (!FromWire(wire.duties[i], announcement)) return absl::DataLossError("bad duty");
-    duties[announcement.subject] = std::move(announcement);
+    announcements[announcement.subject] = std::move(announcement);
   }
   configuration_ = Configuration();
-  founded_groups_ = std::move(founded_groups);
+  bootstrapped_groups_ = std::move(bootstrapped_groups);
   ApplyDelta(configuration_, *delta);
   ended_instances_.Rebuild(configuration_);
   nodes_changed_at_ = configuration_.revision;
@@ -167,9 +167,9 @@
   claims_.Replace(std::move(claims));
   history_.Reset(configuration_.revision);
   usage_.Restore(std::move(usage));
-  duties_ = std::move(duties);
-  for (const auto& [subject, announcement] : duties_) {
-    if (on_duty_announced_) on_duty_announced_(announcement);
+  announcements_ = std::move(announcements);
+  for (const auto& [subject, announcement] : announcements_) {
+    if (on_lease_announced_) on_lease_announced_(announcement);
   }
   if (on_change_) on_change_();
   return absl::OkStatus();
--- a/source/cluster/cluster_state_machine.cc
+++ b/source/cluster/cluster_state_machine.cc
@@ -37,10 +37,11 @@
     return EncodeResult(result);
   }
   const Revision before = configuration_.revision;
-  const size_t groups_before = founded_groups_.size();
+  const size_t groups_before = bootstrapped_groups_.size();
   AdvanceClock(decoded->proposed_at);
   std::string answer = EncodeResult(Answer(index, *decoded));
-  const bool changed = configuration_.revision != before || founded_groups_.size() != groups_before;
+  const bool changed =
+      configuration_.revision != before || bootstrapped_groups_.size() != groups_before;
   if (changed && on_change_) on_change_();
   return answer;
 }
@@ -107,8 +108,8 @@
           return claims_.Take(operation, index, clock_);
         } else if constexpr (std::is_same_v<Operation, SettleClaim>) {
           return claims_.Settle(operation);
-        } else if constexpr (std::is_same_v<Operation, FoundGroup>) {
-          return Found(index, operation);
+        } else if constexpr (std::is_same_v<Operation, BootstrapStreamGroup>) {
+          return Bootstrap(index, operation);
         } else if constexpr (std::is_same_v<Operation, AddUsage>) {
           usage_.Add(operation.report);
           return {};
@@ -118,7 +119,7 @@
         } else if constexpr (std::is_same_v<Operation, AcceptUsage>) {
           usage_.Accept(operation.window);
           return {};
-        } else if constexpr (std::is_same_v<Operation, AnnounceDuty>) {
+        } else if constexpr (std::is_same_v<Operation, AnnounceTaskLease>) {
           return Announce(operation.announcement);
         } else {
           return editor.Run(operation);
@@ -135,27 +136,28 @@
   return result;
 }
 
-ClusterResult ClusterStateMachine::Found(LogIndex index, const FoundGroup& found) {
+ClusterResult ClusterStateMachine::Bootstrap(LogIndex index,
+                                             const BootstrapStreamGroup& bootstrap) {
   ClusterResult result;
-  if (!configuration_.resources.contains({ResourceKind::kStream, found.stream.value()})) {
+  if (!configuration_.resources.contains({ResourceKind::kStream, bootstrap.stream.value()})) {
     result.code = ClusterResultCode::kNotFound;
     return result;
   }
-  const auto [group, added] = founded_groups_.try_emplace(found.stream, found);
+  const auto [group, added] = bootstrapped_groups_.try_emplace(bootstrap.stream, bootstrap);
   if (added) group->second.generation = Revision(index.value());
   return result;
 }
 
-ClusterResult ClusterStateMachine::Announce(const HolderAnnouncement& announcement) {
-  duties_[announcement.subject] = announcement;
-  if (on_duty_announced_) on_duty_announced_(announcement);
+ClusterResult ClusterStateMachine::Announce(const LeaseAnnouncement& announcement) {
+  announcements_[announcement.subject] = announcement;
+  if (on_lease_announced_) on_lease_announced_(announcement);
   return {};
 }
 
 void ClusterStateMachine::ForgetGroups(const ChangeSet& changes) {
   for (const ResourceKey& key : changes.resources) {
     if (key.kind != ResourceKind::kStream || configuration_.resources.contains(key)) continue;
-    founded_groups_.erase(StreamName(key.name));
+    bootstrapped_groups_.erase(StreamName(key.name));
   }
 }
 
--- a/source/cluster/cluster_state_machine.h
+++ b/source/cluster/cluster_state_machine.h
@@ -46,8 +46,8 @@
 
   /// Called for each announcement that is applied, in the order of the log, and after a restore for
   /// the latest of each subject.
-  void OnDutyAnnounced(std::function<void(const HolderAnnouncement&)> callback) {
-    on_duty_announced_ = std::move(callback);
+  void OnLeaseAnnounced(std::function<void(const LeaseAnnouncement&)> callback) {
+    on_lease_announced_ = std::move(callback);
   }
 
   /// Revision of the last change of a node's record; that of the snapshot after a restore.
@@ -57,14 +57,16 @@
   const SessionTable& sessions() const { return sessions_; }
   const ClaimTable& claims() const { return claims_; }
   /// Founders of the groups of streams.
-  const std::map<StreamName, FoundGroup>& founded_groups() const { return founded_groups_; }
+  const std::map<StreamName, BootstrapStreamGroup>& bootstrapped_groups() const {
+    return bootstrapped_groups_;
+  }
 
  private:
   ClusterResult Answer(LogIndex index, const ClusterCommand& command);
   ClusterResult RunOnce(LogIndex index, const ClusterCommand& command);
   ClusterResult Run(LogIndex index, const ClusterCommand& command);
-  ClusterResult Found(LogIndex index, const FoundGroup& found);
-  ClusterResult Announce(const HolderAnnouncement& announcement);
+  ClusterResult Bootstrap(LogIndex index, const BootstrapStreamGroup& bootstrap);
+  ClusterResult Announce(const LeaseAnnouncement& announcement);
   /// Forgets the founders of streams that were deleted.
   void ForgetGroups(const ChangeSet& changes);
   void AdvanceClock(WallTime proposed_at);
@@ -77,13 +79,13 @@
   WallTime clock_;
   SessionTable sessions_;
   ClaimTable claims_;
-  std::map<StreamName, FoundGroup> founded_groups_;
+  std::map<StreamName, BootstrapStreamGroup> bootstrapped_groups_;
   ChangeHistory history_;
   UsageLedger usage_;
   /// The latest for each subject; there is one subject for each duty.
-  std::map<std::string, HolderAnnouncement> duties_;
+  std::map<std::string, LeaseAnnouncement> announcements_;
   std::function<void()> on_change_;
-  std::function<void(const HolderAnnouncement&)> on_duty_announced_;
+  std::function<void(const LeaseAnnouncement&)> on_lease_announced_;
 };
 
 }  // namespace millstair
--- a/source/cluster/cold_reports.cc
+++ b/source/cluster/cold_reports.cc
@@ -7,20 +7,20 @@
 /// that is cold once more says seconds.
 constexpr Duration kTolerance = std::chrono::milliseconds(500);
 /// Beyond so many entries (some 150 kB) those that are over are dropped.
-constexpr size_t kMostBeforeForgetting = 1024;
+constexpr size_t kMaxEntriesBeforeCleanup = 1024;
 
 }  // namespace
 
-bool ColdReports::IsNews(const InstanceId& instance, Duration cold_left, TimePoint now) {
+bool ColdReports::NeedsCommit(const InstanceId& instance, Duration cold_left, TimePoint now) {
   if (cold_left <= Duration(0)) return false;
-  if (cold_until_.size() >= kMostBeforeForgetting) ForgetOver(now);
+  if (cold_until_.size() >= kMaxEntriesBeforeCleanup) ForgetExpired(now);
   const auto [known, first] = cold_until_.try_emplace(instance, now + cold_left);
   if (!first && now + cold_left <= known->second + kTolerance) return false;
   known->second = now + cold_left;
   return true;
 }
 
-void ColdReports::ForgetOver(TimePoint now) {
+void ColdReports::ForgetExpired(TimePoint now) {
   std::erase_if(cold_until_, [now](const auto& entry) { return entry.second < now; });
 }
 
--- a/source/cluster/cold_reports.h
+++ b/source/cluster/cold_reports.h
@@ -15,10 +15,10 @@
 class ColdReports {
  public:
   /// Notes the report. `cold_left` 0 is never news.
-  bool IsNews(const InstanceId& instance, Duration cold_left, TimePoint now);
+  bool NeedsCommit(const InstanceId& instance, Duration cold_left, TimePoint now);
 
  private:
-  void ForgetOver(TimePoint now);
+  void ForgetExpired(TimePoint now);
 
   /// Until when each is slow by its last report that was news.
   std::map<InstanceId, TimePoint> cold_until_;
--- a/source/cluster/command_codec.cc
+++ b/source/cluster/command_codec.cc
@@ -117,7 +117,7 @@
     target.deleted_nodes = NewStrings(arena, deleted, &target.deleted_nodes_count);
   }
 
-  void operator()(const FoundGroup& found) const {
+  void operator()(const BootstrapStreamGroup& found) const {
     wire.which_operation = millstair_ClusterCommand_found_group_tag;
     wire.operation.found_group = ToWire(arena, found);
   }
@@ -137,7 +137,7 @@
     wire.operation.name_version = ToWire(arena, name.named);
   }
 
-  void operator()(const FoundJobGroup& found) const {
+  void operator()(const BootstrapJobGroup& found) const {
     wire.which_operation = millstair_ClusterCommand_found_job_group_tag;
     wire.operation.found_job_group = ToWire(arena, found.group);
   }
@@ -164,7 +164,7 @@
     wire.operation.accept_usage.window = accept.window.value();
   }
 
-  void operator()(const AnnounceDuty& announce) const {
+  void operator()(const AnnounceTaskLease& announce) const {
     wire.which_operation = millstair_ClusterCommand_announce_duty_tag;
     wire.operation.announce_duty = ToWire(arena, announce.announcement);
   }
@@ -287,7 +287,7 @@
     case millstair_ClusterCommand_update_members_tag:
       return FromWire(wire.operation.update_members, operation.emplace<UpdateMembers>());
     case millstair_ClusterCommand_found_group_tag:
-      return FromWire(wire.operation.found_group, operation.emplace<FoundGroup>());
+      return FromWire(wire.operation.found_group, operation.emplace<BootstrapStreamGroup>());
     case millstair_ClusterCommand_replace_routing_tag:
       return FromWire(wire.operation.replace_routing, operation.emplace<ReplaceRouting>().document);
     case millstair_ClusterCommand_update_instance_tag:
@@ -295,7 +295,7 @@
     case millstair_ClusterCommand_name_version_tag:
       return FromWire(wire.operation.name_version, operation.emplace<NameVersion>().named);
     case millstair_ClusterCommand_found_job_group_tag:
-      return FromWire(wire.operation.found_job_group, operation.emplace<FoundJobGroup>().group);
+      return FromWire(wire.operation.found_job_group, operation.emplace<BootstrapJobGroup>().group);
     case millstair_ClusterCommand_place_job_group_tag: {
       const millstair_JobGroupPlacement& placed = wire.operation.place_job_group;
       PlaceJobGroup& place = operation.emplace<PlaceJobGroup>();
@@ -311,7 +311,8 @@
       operation = AcceptUsage{UsageWindow(wire.operation.accept_usage.window)};
       return true;
     case millstair_ClusterCommand_announce_duty_tag:
-      return FromWire(wire.operation.announce_duty, operation.emplace<AnnounceDuty>().announcement);
+      return FromWire(wire.operation.announce_duty,
+                      operation.emplace<AnnounceTaskLease>().announcement);
     case millstair_ClusterCommand_report_crashes_tag: {
       const millstair_ReportCrashes& report = wire.operation.report_crashes;
       return FromWireArray(report.reports, report.reports_count,
--- a/source/cluster/command_service.cc
+++ b/source/cluster/command_service.cc
@@ -7,7 +7,7 @@
 
 /// A look at all nodes' feature levels holds for this long; a node that goes back to an earlier
 /// build takes longer to start.
-constexpr Duration kLevelHolds = std::chrono::milliseconds(250);
+constexpr Duration kLevelCacheLifetime = std::chrono::milliseconds(250);
 
 }  // namespace
 
@@ -19,14 +19,14 @@
       cluster_(cluster),
       streams_(streams),
       membership_(membership),
-      reports_(environment, cluster, [this] { return MayGroupReports(); }),
+      reports_(environment, cluster, [this] { return CanGroupReports(); }),
       self_(std::move(self)) {}
 
 void CommandService::ReceiveCommand(const NodeId& from, const PeerMessage& message) {
   auto command = DecodeGroupCommand(message.payload);
   if (!command.ok() || groups_ == nullptr) return;
   const RaftGroup* group = groups_->Find(streams_.Resolve(command->group));
-  if (group == nullptr || !group->IsLeader()) return PassOn(from, *std::move(command));
+  if (group == nullptr || !group->IsLeader()) return Forward(from, *std::move(command));
   const Running key{command->origin.value().empty() ? from : command->origin, command->id};
   // A resend of a command that is under way is answered with it.
   if (!running_.insert(key).second) return;
@@ -40,19 +40,19 @@
   Run(command->group, command->mode, body, std::move(reply));
 }
 
-void CommandService::PassOn(const NodeId& from, GroupCommand command) {
+void CommandService::Forward(const NodeId& from, GroupCommand command) {
   const RaftGroup* group = groups_->Find(streams_.Resolve(command.group));
   auto leader = group == nullptr ? std::nullopt : group->Leader();
   if (command.group == kClusterGroup) leader = cluster_.Leader();
-  const bool passed_on_before = !command.origin.value().empty();
-  if (passed_on_before || !leader || *leader == self_) {
+  const bool already_forwarded = !command.origin.value().empty();
+  if (already_forwarded || !leader || *leader == self_) {
     return Reply(from, command, absl::UnavailableError("no leader of the group is known here"));
   }
   command.origin = from;
   transport_.Send(*leader, {MessageKind::kCommand, EncodeGroupCommand(command)});
 }
 
-bool CommandService::PassOnReply(const PeerMessage& message) {
+bool CommandService::ForwardReply(const PeerMessage& message) {
   auto reply = DecodeGroupCommandReply(message.payload);
   if (!reply.ok() || reply->origin.value().empty()) return false;
   if (reply->origin == self_) return false;
@@ -89,13 +89,13 @@
   reports_.Add(std::move(report->instance), std::move(done));
 }
 
-bool CommandService::MayGroupReports() {
+bool CommandService::CanGroupReports() {
   const TimePoint now = environment_.Now();
-  if (now >= level_asked_at_ + kLevelHolds) {
-    level_asked_at_ = now;
-    groups_reports_ = membership_.LeastLevel().level >= kGroupedReportsLevel;
+  if (now >= level_queried_at_ + kLevelCacheLifetime) {
+    level_queried_at_ = now;
+    can_group_reports_ = membership_.LeastLevel().level >= kGroupedReportsLevel;
   }
-  return groups_reports_;
+  return can_group_reports_;
 }
 
 void CommandService::QueryCluster(const std::string& query,
@@ -124,8 +124,8 @@
 
 absl::StatusOr<std::string> CommandService::AnswerTime(const ClusterQuery& query) {
   const TimePoint now = environment_.Now();
-  clock_.Note(self_, environment_.WallNow(), now);
-  clock_.Note(query.node, query.wall, now);
+  clock_.AddSample(self_, environment_.WallNow(), now);
+  clock_.AddSample(query.node, query.wall, now);
   const auto agreed = AgreedTime();
   if (!agreed) {
     // Not Unavailable: a repeat of this call would tell a time that has passed.
--- a/source/cluster/command_service.h
+++ b/source/cluster/command_service.h
@@ -24,7 +24,7 @@
   /// A message of kind kCommand.
   void ReceiveCommand(const NodeId& from, const PeerMessage& message);
   /// A message of kind kCommandReply; whether it was bound for another node and passed on.
-  bool PassOnReply(const PeerMessage& message);
+  bool ForwardReply(const PeerMessage& message);
   /// The cluster's time as this node keeps it; none unless it leads the cluster group and has heard
   /// of enough clocks.
   std::optional<WallTime> AgreedTime() const;
@@ -40,11 +40,11 @@
     friend auto operator<=>(const Running&, const Running&) = default;  // NOLINT
   };
 
-  void PassOn(const NodeId& from, GroupCommand command);
+  void Forward(const NodeId& from, GroupCommand command);
   void ProposeToCluster(const std::string& command,
                         std::function<void(absl::StatusOr<std::string>)> done);
   /// Whether every live node reads entries of several reports. On the leader only.
-  bool MayGroupReports();
+  bool CanGroupReports();
   void QueryCluster(const std::string& query,
                     std::function<void(absl::StatusOr<std::string>)> done);
   absl::StatusOr<std::string> AnswerQuery(const ClusterQuery& query) const;
@@ -61,8 +61,8 @@
   const MembershipManager& membership_;
   ClockAgreement clock_;
   ReportBatch reports_;
-  TimePoint level_asked_at_;
-  bool groups_reports_ = false;
+  TimePoint level_queried_at_;
+  bool can_group_reports_ = false;
   const NodeId self_;
   GroupHost* groups_ = nullptr;
   std::set<Running> running_;
--- a/source/cluster/configuration.cc
+++ b/source/cluster/configuration.cc
@@ -130,9 +130,9 @@
   if (spec == nullptr) return MemberState::kGone;
   MemberState state = spec->drain ? MemberState::kLeaving : MemberState::kLive;
   state = MoreCautious(state, StateOfMachine(configuration, spec->machine));
-  const auto own_word = configuration.engines.find(engine);
-  if (own_word == configuration.engines.end()) return state;
-  return MoreCautious(state, own_word->second.state);
+  const auto reported = configuration.engines.find(engine);
+  if (reported == configuration.engines.end()) return state;
+  return MoreCautious(state, reported->second.state);
 }
 
 }  // namespace millstair
--- a/source/cluster/configuration.h
+++ b/source/cluster/configuration.h
@@ -95,12 +95,12 @@
 
 /// A life of a server that claims to have followed the one that is believed, though its clock says
 /// that it was born before: a clock that was set back, or a late report of an older life.
-struct RivalLife {
+struct RivalIncarnation {
   InstanceId id;
   uint64_t sequence = 0;
   /// Reports of it in a row, none of the believed life between.
   uint32_t reports = 0;
-  friend bool operator==(const RivalLife&, const RivalLife&) = default;
+  friend bool operator==(const RivalIncarnation&, const RivalIncarnation&) = default;
 };
 
 /// One life of a back end that registers itself. `state` never goes back towards kLive, but for a
@@ -128,7 +128,7 @@
   Revision cold_at;
   /// Set by the state machine: another life of its server is believed; `state` is kGone.
   bool superseded = false;
-  RivalLife rival;
+  RivalIncarnation rival;
   friend bool operator==(const BackendInstance&, const BackendInstance&) = default;
 };
 
@@ -146,7 +146,7 @@
 /// A group that keeps batch jobs: its founding members, and where it is now.
 struct JobGroup {
   GroupId group;
-  std::vector<GroupMember> founders;
+  std::vector<GroupMember> initial_members;
   JobGroupPlacement placement;
   friend bool operator==(const JobGroup&, const JobGroup&) = default;
 };
--- a/source/cluster/configuration_editor.cc
+++ b/source/cluster/configuration_editor.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "cluster/backend_life.h"
+#include "cluster/backend_instance_id.h"
 #include "cluster/cluster_validation.h"
 
 namespace millstair {
@@ -27,12 +27,12 @@
 }
 
 /// Ended lives of back ends that are remembered, so that a late report does not bring one back.
-constexpr size_t kRememberedInstances = 1024;
+constexpr size_t kMaxEndedInstances = 1024;
 
-/// Reports in a row that have a life believed whose clock says that it was born before: two
-/// heartbeats after its first. Reports held up by a cut may arrive together; if they are believed
-/// by that, the present life, which goes on reporting, is believed again the same way.
-constexpr uint32_t kReportsToBelieve = 3;
+/// Reports in a row that have a instance current whose clock says that it was born before: two
+/// heartbeats after its first. Reports held up by a cut may arrive together; if they are current
+/// by that, the present instance, which goes on reporting, is current again the same way.
+constexpr uint32_t kReportsToSupersede = 3;
 
 }  // namespace
 
@@ -134,12 +134,12 @@
   ModelStatus& status = configuration_.models[publish.model];
   status.model = publish.model;
   status.published.push_back(version);
-  BoundPublished(status);
+  TrimPublished(status);
   changes_.models.insert(publish.model);
   return {};
 }
 
-void ConfigurationEditor::BoundPublished(ModelStatus& status) const {
+void ConfigurationEditor::TrimPublished(ModelStatus& status) const {
   auto& published = status.published;
   auto candidate = published.begin();
   while (published.size() > max_published_versions_ && candidate != published.end()) {
@@ -186,8 +186,8 @@
 void ConfigurationEditor::UpdateNode(const NodeRecord& record) {
   const auto found = configuration_.nodes.find(record.node);
   if (found != configuration_.nodes.end()) {
-    // A life that is gone gives way to any other: which of two began later is told by a clock that
-    // may have jumped in between.
+    // A instance that is gone gives way to any other: which of two began later is told by a clock
+    // that may have jumped in between.
     const bool began_earlier = record.incarnation < found->second.incarnation;
     if (began_earlier && found->second.state != MemberState::kGone) return;
     if (record == found->second) return;
@@ -231,23 +231,23 @@
 
 ClusterResult ConfigurationEditor::Run(const UpdateInstance& update) {
   const BackendInstance& reported = update.instance;
-  BackendInstance* believed = BelievedLife(reported.id);
-  const bool whole = !reported.address.empty();
-  // A leaving that names no life is that of the life that is believed.
-  const bool any_life = !whole && BirthOf(reported.id) == BirthTime();
-  if (believed != nullptr && (believed->id == reported.id || any_life)) {
-    UpdateBelieved(*believed, reported);
+  BackendInstance* current = CurrentInstance(reported.id);
+  const bool complete = !reported.address.empty();
+  // A leaving that names no instance is that of the instance that is current.
+  const bool any_incarnation = !complete && StartTimeOf(reported.id) == StartTime();
+  if (current != nullptr && (current->id == reported.id || any_incarnation)) {
+    UpdateCurrent(*current, reported);
     return {};
   }
   const auto former = configuration_.instances.find(reported.id);
   const bool known = former != configuration_.instances.end();
-  // A life that has left does not come back, and one that was never known has nothing to leave.
+  // A instance that has left does not come back, and one that was never known has nothing to leave.
   if (known && !former->second.superseded) return {};
   if (known && reported.sequence <= former->second.sequence) return {};
-  if (!whole && (known || believed != nullptr)) return {};
-  if (believed != nullptr) {
-    if (!Follows(reported, *believed)) return {};
-    Supersede(*believed);
+  if (!complete && (known || current != nullptr)) return {};
+  if (current != nullptr) {
+    if (!ShouldSupersede(reported, *current)) return {};
+    Supersede(*current);
   }
   BackendInstance& added = configuration_.instances[reported.id] = reported;
   added.registered_at = index_;
@@ -262,43 +262,46 @@
   return {};
 }
 
-BackendInstance* ConfigurationEditor::BelievedLife(const InstanceId& life) {
-  const ServerName server = ServerOf(life);
-  BackendInstance* believed = nullptr;
+BackendInstance* ConfigurationEditor::CurrentInstance(const InstanceId& instance) {
+  const ServerName server = ServerNameOf(instance);
+  BackendInstance* current = nullptr;
   // Lives of one server stand next to each other, after its name.
   for (auto entry = configuration_.instances.lower_bound(InstanceId(server.value()));
        entry != configuration_.instances.end() &&
        entry->first.value().compare(0, server.value().size(), server.value()) == 0;
        ++entry) {
-    if (ServerOf(entry->first) == server && !entry->second.superseded) believed = &entry->second;
+    if (ServerNameOf(entry->first) == server && !entry->second.superseded) current = &entry->second;
   }
-  return believed;
+  return current;
 }
 
-bool ConfigurationEditor::Follows(const BackendInstance& reported, BackendInstance& believed) {
+bool ConfigurationEditor::ShouldSupersede(const BackendInstance& reported,
+                                          BackendInstance& current) {
   const bool known = configuration_.instances.contains(reported.id);
-  // The usual case: a life that nobody has heard of, born after the one that is believed.
-  if (!known && BirthOf(reported.id) > BirthOf(believed.id)) return true;
-  // A server whose clock was set back goes on reporting, and the life before it is silent. A report
-  // that was held up on its way comes once or a few times, and the believed life reports between.
-  RivalLife& rival = believed.rival;
+  // The usual case: a instance that nobody has heard of, born after the one that is current.
+  if (!known && StartTimeOf(reported.id) > StartTimeOf(current.id)) return true;
+  // A server whose clock was set back goes on reporting, and the instance before it is silent. A
+  // report that was held up on its way comes once or a few times, and the current instance reports
+  // between.
+  RivalIncarnation& rival = current.rival;
   const bool same = rival.id == reported.id;
   if (same && reported.sequence <= rival.sequence) return false;
   rival = {reported.id, reported.sequence, same ? rival.reports + 1 : 1};
-  Touch(believed.id);
-  return rival.reports >= kReportsToBelieve;
+  Touch(current.id);
+  return rival.reports >= kReportsToSupersede;
 }
 
 void ConfigurationEditor::Supersede(BackendInstance& former) {
   former.superseded = true;
   former.state = MemberState::kGone;
-  former.rival = RivalLife();
+  former.rival = RivalIncarnation();
   Touch(former.id);
 }
 
-void ConfigurationEditor::UpdateBelieved(BackendInstance& known, const BackendInstance& reported) {
+void ConfigurationEditor::UpdateCurrent(BackendInstance& known, const BackendInstance& reported) {
   BackendInstance merged = known;
-  // No life changes its service: such a report is another writer's, and says nothing of this one.
+  // No instance changes its service: such a report is another writer's, and says nothing of this
+  // one.
   const bool other = !reported.address.empty() && reported.service != known.service;
   if (other) return;
   const bool newer = reported.sequence > known.sequence && !reported.address.empty();
@@ -310,7 +313,7 @@
   merged.id = known.id;
   merged.registered_at = known.registered_at;
   merged.superseded = known.superseded;
-  merged.rival = RivalLife();
+  merged.rival = RivalIncarnation();
   merged.state = std::max(known.state, reported.state);
   if (merged == known) return;
   known = std::move(merged);
@@ -318,7 +321,7 @@
 }
 
 void ConfigurationEditor::ForgetOldInstances() {
-  while (const auto first = ended_.FirstBeyond(kRememberedInstances)) {
+  while (const auto first = ended_.OldestBeyond(kMaxEndedInstances)) {
     const InstanceId forgotten = *first;
     configuration_.instances.erase(forgotten);
     Touch(forgotten);
@@ -327,7 +330,7 @@
 
 void ConfigurationEditor::Touch(const InstanceId& instance) {
   changes_.instances.insert(instance);
-  ended_.Note(configuration_, instance);
+  ended_.Update(configuration_, instance);
 }
 
 ClusterResult ConfigurationEditor::Run(const NameVersion& name) {
@@ -340,9 +343,10 @@
   return {};
 }
 
-ClusterResult ConfigurationEditor::Run(const FoundJobGroup& found) {
-  if (!configuration_.job_groups.try_emplace(found.group.group, found.group).second) return {};
-  changes_.job_groups.insert(found.group.group);
+ClusterResult ConfigurationEditor::Run(const BootstrapJobGroup& bootstrap) {
+  if (!configuration_.job_groups.try_emplace(bootstrap.group.group, bootstrap.group).second)
+    return {};
+  changes_.job_groups.insert(bootstrap.group.group);
   return {};
 }
 
--- a/source/cluster/configuration_editor.h
+++ b/source/cluster/configuration_editor.h
@@ -33,7 +33,7 @@
   ClusterResult Run(const UpdateInstance& update);
   ClusterResult Run(const UpdateInstances& update);
   ClusterResult Run(const NameVersion& name);
-  ClusterResult Run(const FoundJobGroup& found);
+  ClusterResult Run(const BootstrapJobGroup& bootstrap);
   ClusterResult Run(const PlaceJobGroup& place);
   ClusterResult Run(const RetireNode& retire);
   ClusterResult Run(const ReportCrashes& report);
@@ -54,14 +54,14 @@
   void UpdateNode(const NodeRecord& record);
   void UpdateMachine(const MachineStatus& status);
   void UpdateEngine(const EngineStatus& status);
-  void BoundPublished(ModelStatus& status) const;
+  void TrimPublished(ModelStatus& status) const;
   void ForgetOldInstances();
-  /// The life of its server that is believed; null if none is known.
-  BackendInstance* BelievedLife(const InstanceId& life);
-  /// Whether a report of another life than `believed` makes it the believed one.
-  bool Follows(const BackendInstance& reported, BackendInstance& believed);
+  /// The instance of its server that is current; null if none is known.
+  BackendInstance* CurrentInstance(const InstanceId& instance);
+  /// Whether a report of another instance than `current` makes it the current one.
+  bool ShouldSupersede(const BackendInstance& reported, BackendInstance& current);
   void Supersede(BackendInstance& former);
-  void UpdateBelieved(BackendInstance& known, const BackendInstance& reported);
+  void UpdateCurrent(BackendInstance& known, const BackendInstance& reported);
   SuspectLedger suspects();
 
   /// Notes that `instance` was changed, added or erased.
--- a/source/cluster/configuration_wire.cc
+++ b/source/cluster/configuration_wire.cc
@@ -161,20 +161,20 @@
   return member.replica != ReplicaId();
 }
 
-millstair_FoundGroup ToWire(WireArena& arena, const FoundGroup& found) {
+millstair_FoundGroup ToWire(WireArena& arena, const BootstrapStreamGroup& found) {
   millstair_FoundGroup wire = millstair_FoundGroup_init_zero;
   wire.stream = arena.NewString(found.stream.value());
   wire.generation = found.generation.value();
   wire.founders =
-      NewWireArray<millstair_FoundingMember>(arena, found.founders, &wire.founders_count);
+      NewWireArray<millstair_FoundingMember>(arena, found.initial_members, &wire.founders_count);
   return wire;
 }
 
-bool FromWire(const millstair_FoundGroup& wire, FoundGroup& found) {
+bool FromWire(const millstair_FoundGroup& wire, BootstrapStreamGroup& found) {
   found.stream = StreamName(ToString(wire.stream));
   found.generation = Revision(wire.generation);
-  return FromWireArray(wire.founders, wire.founders_count, found.founders) &&
-         !found.founders.empty();
+  return FromWireArray(wire.founders, wire.founders_count, found.initial_members) &&
+         !found.initial_members.empty();
 }
 
 millstair_RoutingDocument ToWire(WireArena& arena, const RoutingDocument& document) {
@@ -269,7 +269,7 @@
   millstair_JobGroup wire = millstair_JobGroup_init_zero;
   wire.group = arena.NewString(group.group.value());
   wire.founders =
-      NewWireArray<millstair_FoundingMember>(arena, group.founders, &wire.founders_count);
+      NewWireArray<millstair_FoundingMember>(arena, group.initial_members, &wire.founders_count);
   wire.has_placement = group.placement.term != Term();
   if (wire.has_placement) wire.placement = ToWire(arena, group.group, group.placement);
   return wire;
@@ -278,8 +278,8 @@
 bool FromWire(const millstair_JobGroup& wire, JobGroup& group) {
   group.group = GroupId(ToString(wire.group));
   if (wire.has_placement && !FromWire(wire.placement, group.placement)) return false;
-  return FromWireArray(wire.founders, wire.founders_count, group.founders) &&
-         !group.founders.empty();
+  return FromWireArray(wire.founders, wire.founders_count, group.initial_members) &&
+         !group.initial_members.empty();
 }
 
 millstair_RetiredNode ToWire(WireArena& arena, const RetiredNode& retired) {
--- a/source/cluster/configuration_wire.h
+++ b/source/cluster/configuration_wire.h
@@ -14,7 +14,7 @@
 millstair_MachineStatus ToWire(WireArena& arena, const MachineStatus& status);
 millstair_EngineStatus ToWire(WireArena& arena, const EngineStatus& status);
 millstair_FoundingMember ToWire(WireArena& arena, const GroupMember& member);
-millstair_FoundGroup ToWire(WireArena& arena, const FoundGroup& found);
+millstair_FoundGroup ToWire(WireArena& arena, const BootstrapStreamGroup& found);
 
 /// False if an enumerator is unknown.
 bool FromWire(const millstair_PublishedVersion& wire, PublishedVersion& version);
@@ -23,7 +23,7 @@
 bool FromWire(const millstair_MachineStatus& wire, MachineStatus& status);
 bool FromWire(const millstair_EngineStatus& wire, EngineStatus& status);
 bool FromWire(const millstair_FoundingMember& wire, GroupMember& member);
-bool FromWire(const millstair_FoundGroup& wire, FoundGroup& found);
+bool FromWire(const millstair_FoundGroup& wire, BootstrapStreamGroup& found);
 
 millstair_RoutingDocument ToWire(WireArena& arena, const RoutingDocument& document);
 bool FromWire(const millstair_RoutingDocument& wire, RoutingDocument& document);
--- a/source/cluster/control_node.cc
+++ b/source/cluster/control_node.cc
@@ -113,7 +113,7 @@
 
   void ReportInstance(const BackendInstance& instance,
                       std::function<void(absl::StatusOr<ClusterResult>)> done) override {
-    const bool cold_news = cold_.IsNews(instance.id, instance.cold_left, environment_.Now());
+    const bool cold_news = cold_.NeedsCommit(instance.id, instance.cold_left, environment_.Now());
     if (!cold_news && IsCommitted(instance)) return done(ClusterResult());
     Submit(UpdateInstance{instance}, std::move(done));
   }
@@ -144,8 +144,8 @@
 
   std::optional<WallTime> AgreedTime() const override { return commands_.AgreedTime(); }
 
-  void OnDutyAnnounced(std::function<void(const HolderAnnouncement&)> callback) override {
-    cluster_.OnDutyAnnounced(std::move(callback));
+  void OnLeaseAnnounced(std::function<void(const LeaseAnnouncement&)> callback) override {
+    cluster_.OnLeaseAnnounced(std::move(callback));
   }
 
   bool Ready() const override { return cluster_.CanProve() && cluster_.Leader().has_value(); }
@@ -168,7 +168,7 @@
       case MessageKind::kCommand:
         return commands_.ReceiveCommand(from, message);
       case MessageKind::kCommandReply:
-        if (!commands_.PassOnReply(message)) submitter_.Receive(from, message);
+        if (!commands_.ForwardReply(message)) submitter_.Receive(from, message);
         return;
       case MessageKind::kWorkRequest:
         return streams_.ReceiveWork(from, message);
--- a/source/cluster/control_node.h
+++ b/source/cluster/control_node.h
@@ -122,7 +122,7 @@
   /// until enough nodes were heard of.
   virtual std::optional<WallTime> AgreedTime() const = 0;
   /// `callback` hears of each announcement of a duty that is applied here.
-  virtual void OnDutyAnnounced(std::function<void(const HolderAnnouncement&)> callback) = 0;
+  virtual void OnLeaseAnnounced(std::function<void(const LeaseAnnouncement&)> callback) = 0;
   /// The configuration is known here, and a leader of the cluster group.
   virtual bool Ready() const = 0;
   /// Hands over all leaderships, then calls `done`. For a planned stop.
--- a/source/cluster/ended_instances.cc
+++ b/source/cluster/ended_instances.cc
@@ -3,27 +3,27 @@
 namespace millstair {
 
 void EndedInstances::Rebuild(const Configuration& configuration) {
-  by_age_.clear();
-  ages_.clear();
-  for (const auto& [id, instance] : configuration.instances) Note(configuration, id);
+  by_registration_.clear();
+  registered_at_.clear();
+  for (const auto& [id, instance] : configuration.instances) Update(configuration, id);
 }
 
-void EndedInstances::Note(const Configuration& configuration, const InstanceId& instance) {
-  if (const auto known = ages_.find(instance); known != ages_.end()) {
-    by_age_.erase({known->second, instance});
-    ages_.erase(known);
+void EndedInstances::Update(const Configuration& configuration, const InstanceId& instance) {
+  if (const auto known = registered_at_.find(instance); known != registered_at_.end()) {
+    by_registration_.erase({known->second, instance});
+    registered_at_.erase(known);
   }
   const auto found = configuration.instances.find(instance);
   const bool ended =
       found != configuration.instances.end() && found->second.state == MemberState::kGone;
   if (!ended) return;
-  ages_[instance] = found->second.registered_at;
-  by_age_.emplace(found->second.registered_at, instance);
+  registered_at_[instance] = found->second.registered_at;
+  by_registration_.emplace(found->second.registered_at, instance);
 }
 
-std::optional<InstanceId> EndedInstances::FirstBeyond(size_t most) const {
-  if (by_age_.size() <= most) return std::nullopt;
-  return by_age_.begin()->second;
+std::optional<InstanceId> EndedInstances::OldestBeyond(size_t max_instances) const {
+  if (by_registration_.size() <= max_instances) return std::nullopt;
+  return by_registration_.begin()->second;
 }
 
 }  // namespace millstair
--- a/source/cluster/ended_instances.h
+++ b/source/cluster/ended_instances.h
@@ -18,13 +18,13 @@
   /// Takes over a whole configuration.
   void Rebuild(const Configuration& configuration);
   /// `instance` may have changed.
-  void Note(const Configuration& configuration, const InstanceId& instance);
-  /// The one registered first, if there are more than `most`.
-  std::optional<InstanceId> FirstBeyond(size_t most) const;
+  void Update(const Configuration& configuration, const InstanceId& instance);
+  /// The one registered first, if there are more than `max_instances`.
+  std::optional<InstanceId> OldestBeyond(size_t max_instances) const;
 
  private:
-  std::set<std::pair<Revision, InstanceId>> by_age_;
-  std::map<InstanceId, Revision> ages_;
+  std::set<std::pair<Revision, InstanceId>> by_registration_;
+  std::map<InstanceId, Revision> registered_at_;
 };
 
 }  // namespace millstair
--- a/source/cluster/feature_level.h
+++ b/source/cluster/feature_level.h
@@ -25,7 +25,7 @@
 inline constexpr FeatureLevel kOwnLevel = kEvacuationLevel;
 
 /// The live node that reads least, which decides what may be proposed.
-struct LeastFeatureLevel {
+struct MinFeatureLevel {
   FeatureLevel level = kOwnLevel;
   NodeId node;
 };
--- a/source/cluster/machine_retirement.cc
+++ b/source/cluster/machine_retirement.cc
@@ -36,7 +36,7 @@
 }
 
 absl::Status CheckRetirable(const Configuration& configuration, const std::string& machine,
-                            const LeastReplicaNodes& least) {
+                            const MinReplicaNodes& min_nodes) {
   const std::vector<NodeId> nodes = ReplicaNodesOf(configuration, machine);
   if (!HasRole(configuration, nodes, &NodeRecord::storage)) {
     return absl::NotFoundError("no such storage machine");
@@ -45,11 +45,11 @@
     return configuration.retired_nodes.contains(node);
   });
   if (retired) return absl::OkStatus();
-  if (CountLeft(configuration, machine, &NodeRecord::storage) < least.storage) {
+  if (CountLeft(configuration, machine, &NodeRecord::storage) < min_nodes.storage) {
     return absl::FailedPreconditionError("too few storage nodes would be left");
   }
   const bool controls = HasRole(configuration, nodes, &NodeRecord::control);
-  if (controls && CountLeft(configuration, machine, &NodeRecord::control) < least.control) {
+  if (controls && CountLeft(configuration, machine, &NodeRecord::control) < min_nodes.control) {
     return absl::FailedPreconditionError("too few control nodes would be left");
   }
   return absl::OkStatus();
--- a/source/cluster/machine_retirement.h
+++ b/source/cluster/machine_retirement.h
@@ -12,7 +12,7 @@
 namespace millstair {
 
 /// How many replicas of each kind have to be left.
-struct LeastReplicaNodes {
+struct MinReplicaNodes {
   size_t control = 0;
   size_t storage = 0;
 };
@@ -23,7 +23,7 @@
 /// NotFound if no storage node is on `machine`; FailedPrecondition if too few control or storage
 /// nodes would be left. A machine that is being emptied already may be.
 absl::Status CheckRetirable(const Configuration& configuration, const std::string& machine,
-                            const LeastReplicaNodes& least);
+                            const MinReplicaNodes& min_nodes);
 
 /// Whether no node on `machine` holds a replica any more; nothing if it is not being emptied.
 std::optional<bool> IsMachineEmptied(const Configuration& configuration,
--- a/source/cluster/membership_manager.cc
+++ b/source/cluster/membership_manager.cc
@@ -277,8 +277,8 @@
   return status;
 }
 
-LeastFeatureLevel MembershipManager::LeastLevel() const {
-  LeastFeatureLevel least;
+MinFeatureLevel MembershipManager::LeastLevel() const {
+  MinFeatureLevel least;
   const bool heard_all = environment_.Now() - leader_since_ > timing_.node_lease;
   for (const auto& [node, record] : cluster_.configuration().nodes) {
     if (record.state == MemberState::kGone) continue;
--- a/source/cluster/membership_manager.h
+++ b/source/cluster/membership_manager.h
@@ -37,7 +37,7 @@
   std::vector<NodeProgress> Lagging(Revision revision) const;
   /// The node that reads least of those that are not gone; one that this leader has not had the
   /// time to hear counts as of the first level. On the leader only.
-  LeastFeatureLevel LeastLevel() const;
+  MinFeatureLevel LeastLevel() const;
 
  private:
   struct Observed {
--- a/source/cluster/operators_answer.cc
+++ b/source/cluster/operators_answer.cc
@@ -9,7 +9,7 @@
 namespace millstair {
 namespace {
 
-constexpr Duration kComeBackAfter = std::chrono::seconds(1);
+constexpr Duration kRetryAfter = std::chrono::seconds(1);
 
 void RespondConflict(ResponseWriter& writer, const ClusterResult& result) {
   Problem problem;
@@ -48,8 +48,8 @@
 
 void RespondUnavailable(ResponseWriter& writer, const absl::Status& status, Outcome outcome) {
   const int code = absl::IsDeadlineExceeded(status) ? 504 : 503;
-  RespondProblem(
-      writer, {code, "no control quorum", std::string(status.message()), outcome, kComeBackAfter});
+  RespondProblem(writer,
+                 {code, "no control quorum", std::string(status.message()), outcome, kRetryAfter});
 }
 
 void RespondResult(ResponseWriter& writer, const ClusterResult& result) {
--- a/source/cluster/operators_api.cc
+++ b/source/cluster/operators_api.cc
@@ -43,7 +43,7 @@
   if (HandleEvacuation(request, *target, writer)) return;
   if (get && PathIs(path, {"v1", "suspects"})) return suspects_.List(writer);
   if (request.method == "DELETE" && path.size() == 3 && PathIs(path, {"v1", "suspects"}, true)) {
-    return suspects_.Lift(RequestFingerprint(path[2]), writer);
+    return suspects_.Clear(RequestFingerprint(path[2]), writer);
   }
   const bool one_replica = path.size() == 3 && PathIs(path, {"v1", "replicas"}, true);
   if (request.method == "DELETE" && one_replica) return replicas_.Remove(NodeId(path[2]), writer);
--- a/source/cluster/replica_manager.cc
+++ b/source/cluster/replica_manager.cc
@@ -125,7 +125,7 @@
   // Only a group that is whole is rearranged.
   if (voters.size() != target_voters_ || CountVoters(members) != target_voters_) return false;
   const auto learner = BestLearner(members);
-  if (!learner || !SpreadsBetter(ZoneOf(learner->node), ZonesOf(voters))) return false;
+  if (!learner || !ImprovesSpread(ZoneOf(learner->node), ZonesOf(voters))) return false;
   Promote(group, *learner);
   return true;
 }
--- a/source/cluster/replica_spread.cc
+++ b/source/cluster/replica_spread.cc
@@ -41,7 +41,7 @@
   return surplus;
 }
 
-bool SpreadsBetter(const Zone& zone, const std::vector<Zone>& occupied) {
+bool ImprovesSpread(const Zone& zone, const std::vector<Zone>& occupied) {
   const auto crowded = MostCrowded(occupied);
   if (!crowded) return false;
   return CountIn(occupied[*crowded], occupied) >= CountIn(zone, occupied) + 2;
--- a/source/cluster/replica_spread.h
+++ b/source/cluster/replica_spread.h
@@ -25,7 +25,7 @@
 
 /// Whether a replica in `zone` in place of one in the most crowded zone evens them out: the most
 /// crowded one holds two more than `zone` at least.
-bool SpreadsBetter(const Zone& zone, const std::vector<Zone>& occupied);
+bool ImprovesSpread(const Zone& zone, const std::vector<Zone>& occupied);
 
 /// Indexes of `count` candidates, or of all if there are fewer, spread over their zones; in the
 /// order in which they were picked.
--- a/source/cluster/report_batch.cc
+++ b/source/cluster/report_batch.cc
@@ -5,26 +5,26 @@
 
 /// Between two entries of reports. A server waits a second for its acknowledgement; at 1,600
 /// reports a second an entry holds some thirty.
-constexpr Duration kPause = std::chrono::milliseconds(20);
+constexpr Duration kBatchInterval = std::chrono::milliseconds(20);
 /// An entry of so many reports takes some 50 kB.
-constexpr size_t kMostReports = 256;
+constexpr size_t kMaxReports = 256;
 
 }  // namespace
 
 void ReportBatch::Add(BackendInstance report, Done done) {
   reports_.push_back(std::move(report));
   done_.push_back(std::move(done));
-  const Duration pause = next_at_ - environment_.Now();
-  if (pause <= Duration(0) || reports_.size() >= kMostReports) return Flush();
-  if (!timer_.armed()) timer_.Arm(pause, [this] { Flush(); });
+  const Duration delay = next_at_ - environment_.Now();
+  if (delay <= Duration(0) || reports_.size() >= kMaxReports) return Flush();
+  if (!timer_.armed()) timer_.Arm(delay, [this] { Flush(); });
 }
 
 void ReportBatch::Flush() {
   timer_.Cancel();
-  next_at_ = environment_.Now() + kPause;
+  next_at_ = environment_.Now() + kBatchInterval;
   auto reports = std::exchange(reports_, {});
   auto done = std::exchange(done_, {});
-  if (reports.size() > 1 && may_group_()) {
+  if (reports.size() > 1 && can_group_()) {
     return Propose(UpdateInstances{std::move(reports)}, std::move(done));
   }
   for (size_t i = 0; i < reports.size(); ++i) {
--- a/source/cluster/report_batch.h
+++ b/source/cluster/report_batch.h
@@ -17,12 +17,12 @@
  public:
   using Done = std::function<void(absl::StatusOr<std::string>)>;
   /// Whether every live node reads entries of several reports.
-  using MayGroup = std::function<bool()>;
+  using CanGroup = std::function<bool()>;
 
-  ReportBatch(Environment& environment, ClusterReplica& cluster, MayGroup may_group)
+  ReportBatch(Environment& environment, ClusterReplica& cluster, CanGroup can_group)
       : environment_(environment),
         cluster_(cluster),
-        may_group_(std::move(may_group)),
+        can_group_(std::move(can_group)),
         timer_(environment) {}
 
   /// `done` hears the encoded result once the report is committed. One that comes alone is proposed
@@ -35,7 +35,7 @@
 
   Environment& environment_;
   ClusterReplica& cluster_;
-  const MayGroup may_group_;
+  const CanGroup can_group_;
   std::vector<BackendInstance> reports_;
   std::vector<Done> done_;
   TimePoint next_at_;
--- a/source/cluster/stream_host.cc
+++ b/source/cluster/stream_host.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-GroupId GroupOfStream(const FoundGroup& found) {
+GroupId GroupOfStream(const BootstrapStreamGroup& found) {
   return GroupId(fmt::format("{}{}@{}", kPrefix, found.stream, found.generation));
 }
 
@@ -71,16 +71,16 @@
 
 void StreamHost::OpenFounded() {
   if (cluster_.state() == nullptr) return;
-  for (const auto& [stream, found] : cluster_.state()->founded_groups()) {
+  for (const auto& [stream, found] : cluster_.state()->bootstrapped_groups()) {
     const GroupId group = GroupOfStream(found);
     if (groups_->Find(group) != nullptr) continue;
     const ReplicaId own = groups_->identity().replica;
     const bool founder =
-        std::any_of(found.founders.begin(), found.founders.end(),
+        std::any_of(found.initial_members.begin(), found.initial_members.end(),
                     [own](const GroupMember& member) { return member.replica == own; });
     // Others get the group from its leader, once they are members.
     if (!founder) continue;
-    const auto opened = groups_->OpenGroup(group, found.founders);
+    const auto opened = groups_->OpenGroup(group, found.initial_members);
     if (opened.ok()) {
       LogEvent(EventId::kStreamGroupOpened, "group={}", group);
     } else {
@@ -95,9 +95,9 @@
   for (const auto& [key, resource] : cluster_.configuration().resources) {
     const StreamName stream(key.name);
     if (key.kind != ResourceKind::kStream) continue;
-    if (cluster_.state()->founded_groups().contains(stream)) continue;
-    FoundGroup found{stream, Revision(), cluster_.group()->Members()};
-    std::erase_if(found.founders, [](const GroupMember& member) { return !member.voter; });
+    if (cluster_.state()->bootstrapped_groups().contains(stream)) continue;
+    BootstrapStreamGroup found{stream, Revision(), cluster_.group()->Members()};
+    std::erase_if(found.initial_members, [](const GroupMember& member) { return !member.voter; });
     founding_ = true;
     cluster_.Propose({std::move(found), std::nullopt, {}},
                      alive_.Guard([this](const absl::StatusOr<ClusterResult>& result) {
@@ -111,7 +111,7 @@
 bool StreamHost::IsCurrent(const GroupId& group) const {
   const auto stream = StreamOfGroupId(group);
   if (!stream || cluster_.state() == nullptr) return false;
-  const auto& founded = cluster_.state()->founded_groups();
+  const auto& founded = cluster_.state()->bootstrapped_groups();
   const auto found = founded.find(*stream);
   return found != founded.end() && GroupOfStream(found->second) == group;
 }
@@ -119,7 +119,7 @@
 GroupId StreamHost::Resolve(const GroupId& group) const {
   const auto stream = StreamOfGroupId(group);
   if (!stream || cluster_.state() == nullptr) return group;
-  const auto& founded = cluster_.state()->founded_groups();
+  const auto& founded = cluster_.state()->bootstrapped_groups();
   const auto found = founded.find(*stream);
   return found == founded.end() ? group : GroupOfStream(found->second);
 }
--- a/source/cluster/stream_host.h
+++ b/source/cluster/stream_host.h
@@ -17,7 +17,7 @@
 
 /// "stream/<name>@<generation>": the group of one stream, which differs from that of an earlier
 /// stream of the same name.
-GroupId GroupOfStream(const FoundGroup& found);
+GroupId GroupOfStream(const BootstrapStreamGroup& found);
 /// The stream of "stream/<name>" or "stream/<name>@<generation>"; none for other groups.
 std::optional<StreamName> StreamOfGroupId(const GroupId& group);
 
--- a/source/cluster/suspect_client.cc
+++ b/source/cluster/suspect_client.cc
@@ -6,31 +6,31 @@
 namespace {
 
 /// What is not known to be committed by then is reported again, or does no harm.
-constexpr Duration kPatience = std::chrono::seconds(5);
+constexpr Duration kTimeout = std::chrono::seconds(5);
 /// A caller waits for a trial; a commit takes some 10 ms.
-constexpr Duration kTrialPatience = std::chrono::milliseconds(400);
+constexpr Duration kTrialTimeout = std::chrono::milliseconds(400);
 
 }  // namespace
 
-void SuspectClient::Submit(ClusterOperation operation, Duration patience, Reported done) {
-  SubmitOperation(cluster_, std::move(operation), patience,
+void SuspectClient::Submit(ClusterOperation operation, Duration timeout, Reported done) {
+  SubmitOperation(cluster_, std::move(operation), timeout,
                   [done = std::move(done)](const absl::StatusOr<ClusterResult>& result) {
-                    const bool taken = result.ok() && result->code == ClusterResultCode::kOk;
-                    done(taken ? std::optional(result->revision) : std::nullopt);
+                    const bool committed = result.ok() && result->code == ClusterResultCode::kOk;
+                    done(committed ? std::optional(result->revision) : std::nullopt);
                   });
 }
 
 void SuspectClient::Report(std::vector<CrashReport> reports, Reported done) {
-  Submit(ReportCrashes{std::move(reports)}, kPatience, std::move(done));
+  Submit(ReportCrashes{std::move(reports)}, kTimeout, std::move(done));
 }
 
 void SuspectClient::BeginTrial(const RequestFingerprint& request, Revision seen, Done done) {
-  Submit(millstair::BeginTrial{request, seen}, kTrialPatience,
+  Submit(millstair::BeginTrial{request, seen}, kTrialTimeout,
          [done = std::move(done)](std::optional<Revision> at) { done(at.has_value()); });
 }
 
 void SuspectClient::Clear(const RequestFingerprint& request, size_t crashes, Done done) {
-  Submit(ClearSuspect{request, static_cast<uint32_t>(crashes)}, kPatience,
+  Submit(ClearSuspect{request, static_cast<uint32_t>(crashes)}, kTimeout,
          [done = std::move(done)](std::optional<Revision> at) { done(at.has_value()); });
 }
 
--- a/source/cluster/suspect_client.h
+++ b/source/cluster/suspect_client.h
@@ -20,7 +20,7 @@
 
  private:
   /// `done` hears the revision of a change that is committed and was not refused.
-  void Submit(ClusterOperation operation, Duration patience, Reported done);
+  void Submit(ClusterOperation operation, Duration timeout, Reported done);
 
   GroupClient& cluster_;
 };
--- a/source/cluster/suspect_routes.cc
+++ b/source/cluster/suspect_routes.cc
@@ -21,7 +21,7 @@
   RespondJson(*writer, boost::json::serialize(page));
 }
 
-void SuspectRoutes::Lift(const RequestFingerprint& request, const SharedWriter& writer) {
+void SuspectRoutes::Clear(const RequestFingerprint& request, const SharedWriter& writer) {
   if (!cluster_.configuration().suspects.contains(request)) {
     return RespondRefused(*writer, 404, "not found", "nothing is held against such a request");
   }
--- a/source/cluster/suspect_routes.h
+++ b/source/cluster/suspect_routes.h
@@ -16,7 +16,7 @@
   /// As this control node knows them; may be a moment behind.
   void List(const SharedWriter& writer) const;
   /// A request that crashes back ends will be held again after two more crashes.
-  void Lift(const RequestFingerprint& request, const SharedWriter& writer);
+  void Clear(const RequestFingerprint& request, const SharedWriter& writer);
 
  private:
   ClusterReplica& cluster_;
--- a/source/cluster/holder_leases.h
+++ b/source/cluster/task_leases.h
@@ -16,41 +16,41 @@
 
 /// An act is carried out within this time of its announcement or not at all: it covers a commit of
 /// the group and a slow scheduler, and is far below any lease.
-inline constexpr Duration kAnnouncedFor = std::chrono::milliseconds(250);
+inline constexpr Duration kAnnouncementValidity = std::chrono::milliseconds(250);
 /// Beyond the lease: an act on its way may arrive late by this, a new connection among it.
-inline constexpr Duration kLeaseMargin = std::chrono::milliseconds(400) + kAnnouncedFor;
+inline constexpr Duration kLeaseMargin = std::chrono::milliseconds(400) + kAnnouncementValidity;
 
-/// The holder is about to act on a subject, within kAnnouncedFor.
-struct HolderAnnouncement {
+/// The holder is about to act on a subject, within kAnnouncementValidity.
+struct LeaseAnnouncement {
   NodeId holder;
   std::string subject;
   /// In which the holder leads the group; also the fence of its acts.
   Term term;
   /// Steady time of the holder; comparable with its other announcements of the same term only.
   Duration announced_at{0};
-  friend bool operator==(const HolderAnnouncement&, const HolderAnnouncement&) = default;
+  friend bool operator==(const LeaseAnnouncement&, const LeaseAnnouncement&) = default;
 };
 
 /// Lives on the node's serial executor. A new leader asks it only once everything that earlier
 /// leaders committed is applied here: the last announcement of another holder is among that.
-class HolderLeases {
+class TaskLeases {
  public:
   /// `lease` is counted from an announcement, and covers the time that its act may take.
-  HolderLeases(Environment& environment, NodeId self, Duration lease);
+  TaskLeases(Environment& environment, NodeId self, Duration lease);
 
   /// An announcement was applied here, in the order of the log.
-  void NoteAnnouncement(const HolderAnnouncement& announcement);
+  void OnAnnouncement(const LeaseAnnouncement& announcement);
   /// Whether this node, which leads in `term`, may act on `subject`: not while another node may
   /// hold it, nor while an act of this node's own from an earlier term may still be on its way,
   /// which would arrive with a smaller fence after one of this term.
-  bool MayAct(const std::string& subject, Term term) const;
+  bool MayOperateOn(const std::string& subject, Term term) const;
   /// The same for an act whose announcement, made at `announced_at`, is committed by now: not if
   /// that took too long.
-  bool MayStillAct(const std::string& subject, Term term, TimePoint announced_at) const;
+  bool MayStillOperateOn(const std::string& subject, Term term, TimePoint announced_at) const;
 
  private:
-  struct Held {
-    HolderAnnouncement announcement;
+  struct Entry {
+    LeaseAnnouncement announcement;
     TimePoint until;
   };
 
@@ -58,9 +58,9 @@
   const NodeId self_;
   const Duration lease_;
   /// Leases of other nodes; those that are over go with the next announcement.
-  std::map<std::string, Held> held_;
+  std::map<std::string, Entry> held_;
   /// This node's own latest announcement of each subject, while its act may be on its way.
-  std::map<std::string, Held> own_;
+  std::map<std::string, Entry> own_announcements_;
 };
 
 }  // namespace millstair
--- a/source/cluster/usage_wire.cc
+++ b/source/cluster/usage_wire.cc
@@ -44,7 +44,7 @@
          FromWireArray(wire.counts, wire.counts_count, report.counts);
 }
 
-millstair_AnnounceDuty ToWire(WireArena& arena, const HolderAnnouncement& announcement) {
+millstair_AnnounceDuty ToWire(WireArena& arena, const LeaseAnnouncement& announcement) {
   millstair_AnnounceDuty wire = millstair_AnnounceDuty_init_zero;
   wire.holder = arena.NewString(announcement.holder.value());
   wire.subject = arena.NewString(announcement.subject);
@@ -53,7 +53,7 @@
   return wire;
 }
 
-bool FromWire(const millstair_AnnounceDuty& wire, HolderAnnouncement& announcement) {
+bool FromWire(const millstair_AnnounceDuty& wire, LeaseAnnouncement& announcement) {
   announcement.holder = NodeId(ToString(wire.holder));
   announcement.subject = ToString(wire.subject);
   announcement.term = Term(wire.term);
--- a/source/cluster/zone_evacuation.cc
+++ b/source/cluster/zone_evacuation.cc
@@ -12,19 +12,19 @@
   const std::string query = EncodeClusterQuery({ClusterQueryKind::kFeatureLevel});
   submitter_.Query(query, alive_.Guard([this, order, done = std::move(done)](
                                            const absl::StatusOr<std::string>& answer) {
-    SubmitIfRead(order, answer, done);
+    SubmitIfSupported(order, answer, done);
   }));
 }
 
-void ZoneEvacuation::SubmitIfRead(const EvacuateZone& order,
-                                  const absl::StatusOr<std::string>& answer, Done done) {
-  const auto least = answer.ok() ? DecodeLeastFeatureLevel(*answer) : answer.status();
-  if (!least.ok()) return done(absl::UnavailableError(least.status().message()));
-  if (least->level < kEvacuationLevel) {
-    LogEvent(EventId::kFeatureNotRead, "node={} level={} needed={}", least->node, least->level,
-             kEvacuationLevel);
+void ZoneEvacuation::SubmitIfSupported(const EvacuateZone& order,
+                                       const absl::StatusOr<std::string>& answer, Done done) {
+  const auto min_level = answer.ok() ? DecodeLeastFeatureLevel(*answer) : answer.status();
+  if (!min_level.ok()) return done(absl::UnavailableError(min_level.status().message()));
+  if (min_level->level < kEvacuationLevel) {
+    LogEvent(EventId::kFeatureNotRead, "node={} level={} needed={}", min_level->node,
+             min_level->level, kEvacuationLevel);
     return done(absl::UnavailableError(
-        fmt::format("the build of {} does not obey evacuations", least->node)));
+        fmt::format("the build of {} does not obey evacuations", min_level->node)));
   }
   submitter_.ChangeRepeatable(order, std::move(done));
 }
--- a/source/cluster/zone_evacuation.h
+++ b/source/cluster/zone_evacuation.h
@@ -22,8 +22,8 @@
   void Submit(const EvacuateZone& order, Done done);
 
  private:
-  void SubmitIfRead(const EvacuateZone& order, const absl::StatusOr<std::string>& answer,
-                    Done done);
+  void SubmitIfSupported(const EvacuateZone& order, const absl::StatusOr<std::string>& answer,
+                         Done done);
 
   ClusterSubmitter& submitter_;
   AliveFlag alive_;
--- a/source/duties/usage_duty.cc
+++ b/source/duties/usage_duty.cc
@@ -56,8 +56,8 @@
   ControlUsageDuty(Environment& environment, HttpCaller& http, const DutyProtocol& protocol,
                    ControlNode& control, UsageDutyOptions options)
       : host_(control), duty_(environment, http, protocol, host_, std::move(options)) {
-    control.OnDutyAnnounced(
-        [this](const HolderAnnouncement& announcement) { duty_.NoteAnnouncement(announcement); });
+    control.OnLeaseAnnounced(
+        [this](const LeaseAnnouncement& announcement) { duty_.NoteAnnouncement(announcement); });
   }
 
   void Run(const Configuration&) override { duty_.Run(); }
@@ -94,8 +94,8 @@
       leases_(environment, options_.self, options_.holder_lease + kLeaseMargin),
       tick_timer_(environment) {}
 
-void UsageDuty::NoteAnnouncement(const HolderAnnouncement& announcement) {
-  if (announcement.subject == kSubject) leases_.NoteAnnouncement(announcement);
+void UsageDuty::NoteAnnouncement(const LeaseAnnouncement& announcement) {
+  if (announcement.subject == kSubject) leases_.OnAnnouncement(announcement);
 }
 
 void UsageDuty::Run() {
@@ -152,7 +152,8 @@
 }
 
 void UsageDuty::SendOldest() {
-  if (sending_ || environment_.Now() < next_call_at_ || !leases_.MayAct(kSubject, term_)) return;
+  if (sending_ || environment_.Now() < next_call_at_ || !leases_.MayOperateOn(kSubject, term_))
+    return;
   const auto window = host_.ledger().OldestUnreported();
   if (window) Announce(*window);
 }
@@ -160,7 +161,7 @@
 void UsageDuty::Announce(UsageWindow window) {
   sending_ = true;
   const TimePoint now = environment_.Now();
-  const AnnounceDuty announce{{options_.self, kSubject, term_, now.time_since_epoch()}};
+  const AnnounceTaskLease announce{{options_.self, kSubject, term_, now.time_since_epoch()}};
   host_.Propose(announce, alive_.Guard([this, window, now, term = term_](bool committed) {
     if (term != term_) return;
     if (!committed) return Rest(kRetryPause);
@@ -171,7 +172,7 @@
 void UsageDuty::Send(UsageWindow window, TimePoint announced_at) {
   // By now every earlier announcement is applied here.
   const TimePoint now = environment_.Now();
-  const bool in_time = leases_.MayStillAct(kSubject, term_, announced_at);
+  const bool in_time = leases_.MayStillOperateOn(kSubject, term_, announced_at);
   const auto counts = host_.ledger().windows().find(window);
   if (!in_time || host_.LeadingTerm() != term_ || counts == host_.ledger().windows().end()) {
     LogEvent(EventId::kDutyWithheld, "subject={} window={} term={} announced_ms={}", kSubject,
--- a/source/duties/usage_duty.h
+++ b/source/duties/usage_duty.h
@@ -13,7 +13,7 @@
 #include <string>
 
 #include "cluster/control_node.h"
-#include "cluster/holder_leases.h"
+#include "cluster/task_leases.h"
 #include "common/alive_flag.h"
 #include "common/environment.h"
 #include "common/scoped_timer.h"
@@ -55,7 +55,7 @@
             UsageDutyHost& host, UsageDutyOptions options);
 
   /// An announcement of any duty was applied here, in the order of the log.
-  void NoteAnnouncement(const HolderAnnouncement& announcement);
+  void NoteAnnouncement(const LeaseAnnouncement& announcement);
   /// Called about once a second while the node leads, and when it begins to.
   void Run();
 
@@ -77,7 +77,7 @@
   const DutyProtocol& protocol_;
   UsageDutyHost& host_;
   const UsageDutyOptions options_;
-  HolderLeases leases_;
+  TaskLeases leases_;
   Term term_;
   /// Everything that earlier leaders committed is applied here, their announcements among it.
   bool caught_up_ = false;
--- a/source/ingress/backend_protocol.h
+++ b/source/ingress/backend_protocol.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "absl/status/statusor.h"
-#include "cluster/backend_life.h"
+#include "cluster/backend_instance_id.h"
 #include "cluster/configuration.h"
 #include "common/ids.h"
 #include "common/time.h"
@@ -63,7 +63,7 @@
   /// Orders taken in this life.
   uint64_t orders = 0;
   /// When this life began; 0 if it doesn't say.
-  BirthTime born;
+  StartTime born;
 };
 
 /// How running generations fare when an engine loads other weights.
--- a/source/jobs/ingress_node.cc
+++ b/source/jobs/ingress_node.cc
@@ -56,7 +56,7 @@
   ingress_.SetWhenCurrent(
       [this](std::function<void()> work) { configuration_->WhenCurrent(std::move(work)); });
   ingress_.OnBegun(
-      [this](const TenantName& tenant, TimePoint at) { usage_.NoteBegun(tenant, at); });
+      [this](const TenantName& tenant, TimePoint at) { usage_.OnRequestStarted(tenant, at); });
 }
 
 void IngressNode::Start() {
--- a/source/jobs/job_group_founder.cc
+++ b/source/jobs/job_group_founder.cc
@@ -28,11 +28,11 @@
     if (present.empty() || !IsTimeToFound(present.size())) return;
     JobGroup group{kJobGroup, {}, {}};
     for (const size_t index : PickSpread(zones, options_.voters)) {
-      group.founders.push_back(present[index]);
+      group.initial_members.push_back(present[index]);
     }
     LogEvent(EventId::kJobGroupFounded, "group={} founders={} present={}", kJobGroup,
-             group.founders.size(), present.size());
-    propose_({FoundJobGroup{std::move(group)}, std::nullopt, {}});
+             group.initial_members.size(), present.size());
+    propose_({BootstrapJobGroup{std::move(group)}, std::nullopt, {}});
   }
 
   void Observe(const NodeId&, const EngineObservation&) override {}
--- a/source/jobs/job_group_nodes.cc
+++ b/source/jobs/job_group_nodes.cc
@@ -19,7 +19,7 @@
   if (found == configuration.job_groups.end()) return {};
   const JobGroupPlacement& placement = found->second.placement;
   const bool placed = !placement.members.empty();
-  const auto& members = placed ? placement.members : found->second.founders;
+  const auto& members = placed ? placement.members : found->second.initial_members;
   std::vector<JobNode> nodes;
   for (const auto& [node, record] : configuration.nodes) {
     if (!record.storage || record.state == MemberState::kGone) continue;
--- a/source/jobs/job_replica_manager.cc
+++ b/source/jobs/job_replica_manager.cc
@@ -107,7 +107,7 @@
   // Only a group that is whole is rearranged.
   if (voters.size() != options_.voters) return false;
   const auto learner = BestLearner(members);
-  if (!learner || !SpreadsBetter(ZoneOf(learner->node), ZonesOf(voters))) return false;
+  if (!learner || !ImprovesSpread(ZoneOf(learner->node), ZonesOf(voters))) return false;
   Promote(*learner);
   return true;
 }
@@ -163,7 +163,7 @@
 bool JobReplicaManager::MissesZone(const std::vector<GroupMember>& members) const {
   const std::vector<Zone> occupied = ZonesOf(SoundVoters(members));
   const auto learner = BestLearner(members);
-  return !learner || !SpreadsBetter(ZoneOf(learner->node), occupied);
+  return !learner || !ImprovesSpread(ZoneOf(learner->node), occupied);
 }
 
 bool JobReplicaManager::AddStranger(const std::vector<GroupMember>& members) {
@@ -188,7 +188,7 @@
   const size_t wanted = options_.voters + options_.spare_learners;
   // One learner more than usual where it is to relieve a crowded zone.
   const bool relieves = sound == wanted && MissesZone(members) &&
-                        SpreadsBetter(zones[*best], ZonesOf(SoundVoters(members)));
+                        ImprovesSpread(zones[*best], ZonesOf(SoundVoters(members)));
   if (sound >= wanted && !relieves) return false;
   const GroupMember& stranger = strangers[*best];
   LogEvent(EventId::kReplicaJoined, "group={} node={} replica={}", group_->id(), stranger.node,
--- a/source/jobs/load_scheduler.cc
+++ b/source/jobs/load_scheduler.cc
@@ -352,7 +352,7 @@
 
 void LoadScheduler::HandleReport(const InstanceId& instance, const ReportedEngine& report) {
   // Another life of the server answers: what it says is not about this one, which is over.
-  const bool other_life = report.born != BirthTime() && report.born != BirthOf(instance);
+  const bool other_life = report.born != StartTime() && report.born != StartTimeOf(instance);
   if (other_life) return directory_.NoteOver(instance);
   EngineLoadState& engine = engines_.at(instance);
   for (const NamedVersion& held : report.models) {
@@ -396,7 +396,7 @@
 }
 
 bool LoadScheduler::MayOrder(const InstanceId& instance) const {
-  return group_ != nullptr && leases_.MayAct(SubjectOf(instance), group_->CurrentTerm());
+  return group_ != nullptr && leases_.MayOperateOn(SubjectOf(instance), group_->CurrentTerm());
 }
 
 void LoadScheduler::Order(const InstanceId& instance, const NamedVersion& wanted, uint64_t orders) {
@@ -426,7 +426,7 @@
   // By now every earlier announcement is applied here.
   const bool leads = group_ != nullptr && group_->IsLeader();
   const bool may_order =
-      leads && leases_.MayStillAct(SubjectOf(instance), group_->CurrentTerm(), announced_at);
+      leads && leases_.MayStillOperateOn(SubjectOf(instance), group_->CurrentTerm(), announced_at);
   if (!may_order || target == nullptr) {
     found->second.loading.reset();
     return;
--- a/source/jobs/load_scheduler.h
+++ b/source/jobs/load_scheduler.h
@@ -13,7 +13,7 @@
 #include <string>
 
 #include "cluster/configuration.h"
-#include "cluster/holder_leases.h"
+#include "cluster/task_leases.h"
 #include "common/alive_flag.h"
 #include "common/environment.h"
 #include "common/scoped_timer.h"
@@ -71,8 +71,8 @@
   void SetLeading(RaftGroup* group);
   /// An announcement was applied here, in the order of the log.
   void NoteAnnouncement(const AnnounceOrder& announcement) {
-    leases_.NoteAnnouncement({announcement.holder, SubjectOf(announcement.instance),
-                              announcement.term, announcement.announced_at});
+    leases_.OnAnnouncement({announcement.holder, SubjectOf(announcement.instance),
+                            announcement.term, announcement.announced_at});
   }
   void Update(const Configuration& configuration, const RouteTable* routes);
   /// A job of `model` came; `work` is in tokens that come out.
@@ -103,7 +103,7 @@
  private:
   /// The subject of the lease on a server's orders: the same for all its lives, so that two holders
   /// never take turns at one server.
-  static std::string SubjectOf(const InstanceId& life) { return ServerOf(life).value(); }
+  static std::string SubjectOf(const InstanceId& life) { return ServerNameOf(life).value(); }
 
   using EngineGroup = std::vector<EngineLoadState*>;
 
@@ -154,7 +154,7 @@
   const NodeId self_;
   const LoadOptions options_;
   RaftGroup* group_ = nullptr;
-  HolderLeases leases_;
+  TaskLeases leases_;
   /// Everything that earlier leaders committed is applied here.
   bool caught_up_ = false;
   /// How long loads take, by those seen lately.
--- a/source/jobs/storage_node.cc
+++ b/source/jobs/storage_node.cc
@@ -147,9 +147,9 @@
   void OpenFoundedGroup() {
     const auto founded = configuration().job_groups.find(kJobGroup);
     if (founded == configuration().job_groups.end() || groups_->Find(kJobGroup) != nullptr) return;
-    for (const GroupMember& founder : founded->second.founders) {
+    for (const GroupMember& founder : founded->second.initial_members) {
       if (founder.replica != replica_) continue;
-      const auto opened = groups_->OpenGroup(kJobGroup, founded->second.founders);
+      const auto opened = groups_->OpenGroup(kJobGroup, founded->second.initial_members);
       if (opened.ok()) continue;
       LogEvent(EventId::kReplicaHalted, "group={} error=\"{}\"", kJobGroup,
                std::string(opened.status().message()));
--- a/source/metering/clock_agreement.cc
+++ b/source/metering/clock_agreement.cc
@@ -12,9 +12,10 @@
 
 }  // namespace
 
-void ClockAgreement::Note(const NodeId& node, WallTime wall, TimePoint now) {
-  std::erase_if(samples_,
-                [now](const auto& entry) { return now - entry.second.heard_at > kSampleLifetime; });
+void ClockAgreement::AddSample(const NodeId& node, WallTime wall, TimePoint now) {
+  std::erase_if(samples_, [now](const auto& entry) {
+    return now - entry.second.received_at > kSampleLifetime;
+  });
   const Duration since_epoch = wall.time_since_epoch();
   samples_[node] = {since_epoch - now.time_since_epoch(), now};
 }
@@ -22,7 +23,7 @@
 std::optional<WallTime> ClockAgreement::Now(TimePoint now, size_t expected_nodes) const {
   std::vector<Duration> offsets;
   for (const auto& [node, sample] : samples_) {
-    if (now - sample.heard_at <= kSampleLifetime) offsets.push_back(sample.offset);
+    if (now - sample.received_at <= kSampleLifetime) offsets.push_back(sample.offset);
   }
   if (offsets.empty() || 2 * offsets.size() < expected_nodes) return std::nullopt;
   const auto middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
--- a/source/metering/clock_agreement.h
+++ b/source/metering/clock_agreement.h
@@ -18,7 +18,7 @@
 class ClockAgreement {
  public:
   /// Node `node` had `wall` on its clock when this node's steady clock stood at `now`.
-  void Note(const NodeId& node, WallTime wall, TimePoint now);
+  void AddSample(const NodeId& node, WallTime wall, TimePoint now);
   /// The agreed time; none while fewer than half of `expected_nodes` were heard of lately, since
   /// the clocks heard first may be the wrong ones.
   std::optional<WallTime> Now(TimePoint now, size_t expected_nodes) const;
@@ -29,7 +29,7 @@
   struct Sample {
     /// Wall time less this node's steady time.
     Duration offset{0};
-    TimePoint heard_at;
+    TimePoint received_at;
   };
 
   std::map<NodeId, Sample> samples_;
--- a/source/metering/usage_counter.cc
+++ b/source/metering/usage_counter.cc
@@ -12,74 +12,75 @@
 /// loss of a gateway costs.
 constexpr Duration kReportDelay = std::chrono::milliseconds(500);
 /// On a node that is leaving, which may end right after its last answer.
-constexpr Duration kLastReportDelay = std::chrono::milliseconds(20);
+constexpr Duration kLeavingReportDelay = std::chrono::milliseconds(20);
 /// Before a report that may not be committed is sent again.
-constexpr Duration kRetryPause = std::chrono::milliseconds(200);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(200);
 /// How often the agreed time is asked for, and how often until it is first known. Steady clocks
 /// drift apart by far less than a millisecond in that time.
-constexpr Duration kAskInterval = std::chrono::seconds(3);
-constexpr Duration kFirstAskInterval = std::chrono::milliseconds(500);
+constexpr Duration kTimeQueryInterval = std::chrono::seconds(3);
+constexpr Duration kInitialTimeQueryInterval = std::chrono::milliseconds(500);
 /// An answer that took longer may be off by half of it, and does not replace a time that is known.
-constexpr Duration kLongestRoundTrip = std::chrono::milliseconds(100);
+constexpr Duration kMaxRoundTrip = std::chrono::milliseconds(100);
 
 }  // namespace
 
 UsageCounter::UsageCounter(Environment& environment, UsageCounterOptions options, Submit submit,
-                           AskTime ask)
+                           QueryTime ask)
     : environment_(environment),
       options_(std::move(options)),
       submit_(std::move(submit)),
-      ask_(std::move(ask)),
+      query_time_(std::move(ask)),
       time_timer_(environment),
       report_timer_(environment) {}
 
 void UsageCounter::Start() {
-  if (options_.window > Duration(0)) AskForTime();
+  if (options_.window > Duration(0)) QueryAgreedTime();
 }
 
-void UsageCounter::AskForTime() {
-  time_timer_.Arm(offset_ ? kAskInterval : kFirstAskInterval, [this] { AskForTime(); });
-  ask_(environment_.WallNow(),
-       alive_.Guard([this, asked_at = environment_.Now()](std::optional<WallTime> agreed) {
-         TakeTime(agreed, asked_at);
-       }));
+void UsageCounter::QueryAgreedTime() {
+  time_timer_.Arm(offset_ ? kTimeQueryInterval : kInitialTimeQueryInterval,
+                  [this] { QueryAgreedTime(); });
+  query_time_(environment_.WallNow(),
+              alive_.Guard([this, sent_at = environment_.Now()](std::optional<WallTime> agreed) {
+                OnAgreedTime(agreed, sent_at);
+              }));
 }
 
-void UsageCounter::TakeTime(std::optional<WallTime> agreed, TimePoint asked_at) {
+void UsageCounter::OnAgreedTime(std::optional<WallTime> agreed, TimePoint sent_at) {
   if (!agreed) return;
-  const Duration round_trip = environment_.Now() - asked_at;
-  if (offset_ && round_trip > kLongestRoundTrip) return;
-  const TimePoint told_at = asked_at + round_trip / 2;
+  const Duration round_trip = environment_.Now() - sent_at;
+  if (offset_ && round_trip > kMaxRoundTrip) return;
+  const TimePoint sampled_at = sent_at + round_trip / 2;
   const bool first = !offset_;
-  offset_ = Duration(agreed->time_since_epoch()) - told_at.time_since_epoch();
-  if (first && !begun_.empty()) ReportSoon();
+  offset_ = Duration(agreed->time_since_epoch()) - sampled_at.time_since_epoch();
+  if (first && !unreported_.empty()) ScheduleReport();
 }
 
-void UsageCounter::NoteBegun(const TenantName& tenant, TimePoint at) {
+void UsageCounter::OnRequestStarted(const TenantName& tenant, TimePoint at) {
   if (options_.window <= Duration(0) || tenant == TenantName()) return;
-  begun_.push_back({tenant, at});
-  ReportSoon();
+  unreported_.push_back({tenant, at});
+  ScheduleReport();
 }
 
 void UsageCounter::SetLeaving() {
   leaving_ = true;
-  if (!begun_.empty() && !report_) Report();
+  if (!unreported_.empty() && !report_) Report();
 }
 
 size_t UsageCounter::uncommitted() const {
-  size_t requests = begun_.size();
+  size_t requests = unreported_.size();
   if (!report_) return requests;
   for (const UsageCount& count : report_->counts) requests += count.requests;
   return requests;
 }
 
-void UsageCounter::ReportSoon() {
+void UsageCounter::ScheduleReport() {
   if (report_ || report_timer_.armed()) return;
-  report_timer_.Arm(leaving_ ? kLastReportDelay : kReportDelay, [this] { Report(); });
+  report_timer_.Arm(leaving_ ? kLeavingReportDelay : kReportDelay, [this] { Report(); });
 }
 
 void UsageCounter::Report() {
-  if (report_ || begun_.empty() || !offset_) return;
+  if (report_ || unreported_.empty() || !offset_) return;
   report_timer_.Cancel();
   report_ = NextReport();
   Send();
@@ -87,10 +88,10 @@
 
 UsageReport UsageCounter::NextReport() {
   std::map<UsageWindow, TenantCounts> counted;
-  for (const Begun& begun : std::exchange(begun_, {})) {
-    const Duration since_epoch = begun.at.time_since_epoch() + *offset_;
+  for (const StartedRequest& request : std::exchange(unreported_, {})) {
+    const Duration since_epoch = request.at.time_since_epoch() + *offset_;
     const WallTime at(std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch));
-    ++counted[WindowAt(at, options_.window)][begun.tenant];
+    ++counted[WindowAt(at, options_.window)][request.tenant];
   }
   UsageReport report{options_.gateway, options_.incarnation, ++sequence_, {}};
   for (const auto& [window, tenants] : counted) {
@@ -106,11 +107,11 @@
     if (!committed) {
       LogEvent(EventId::kUsageUncommitted, "sequence={} entries={}", report_->sequence,
                report_->counts.size());
-      report_timer_.Arm(kRetryPause, [this] { Send(); });
+      report_timer_.Arm(kRetryDelay, [this] { Send(); });
       return;
     }
     report_.reset();
-    if (!begun_.empty()) ReportSoon();
+    if (!unreported_.empty()) ScheduleReport();
   }));
 }
 
--- a/source/metering/usage_counter.h
+++ b/source/metering/usage_counter.h
@@ -29,13 +29,13 @@
   /// Has a report committed; `done` tells whether it is, and false leaves it unknown.
   using Submit = std::function<void(const UsageReport&, std::function<void(bool)> done)>;
   /// Asks for the agreed time, telling the own wall time; none if it is not known now.
-  using AskTime = std::function<void(WallTime own, std::function<void(std::optional<WallTime>)>)>;
+  using QueryTime = std::function<void(WallTime own, std::function<void(std::optional<WallTime>)>)>;
 
-  UsageCounter(Environment& environment, UsageCounterOptions options, Submit submit, AskTime ask);
+  UsageCounter(Environment& environment, UsageCounterOptions options, Submit submit, QueryTime ask);
 
   void Start();
   /// A request of `tenant` began to run at `at`. Requests of nobody are not metered.
-  void NoteBegun(const TenantName& tenant, TimePoint at);
+  void OnRequestStarted(const TenantName& tenant, TimePoint at);
   /// The node is leaving: what is counted is handed on at once from now on.
   void SetLeaving();
 
@@ -43,14 +43,14 @@
   size_t uncommitted() const;
 
  private:
-  struct Begun {
+  struct StartedRequest {
     TenantName tenant;
     TimePoint at;
   };
 
-  void AskForTime();
-  void TakeTime(std::optional<WallTime> agreed, TimePoint asked_at);
-  void ReportSoon();
+  void QueryAgreedTime();
+  void OnAgreedTime(std::optional<WallTime> agreed, TimePoint sent_at);
+  void ScheduleReport();
   void Report();
   void Send();
   UsageReport NextReport();
@@ -58,11 +58,11 @@
   Environment& environment_;
   const UsageCounterOptions options_;
   const Submit submit_;
-  const AskTime ask_;
+  const QueryTime query_time_;
   /// Agreed time less the own steady time.
   std::optional<Duration> offset_;
   /// Counted, and in no report yet.
-  std::vector<Begun> begun_;
+  std::vector<StartedRequest> unreported_;
   /// Being committed.
   std::optional<UsageReport> report_;
   uint64_t sequence_ = 0;
--- a/source/metering/usage_ledger.cc
+++ b/source/metering/usage_ledger.cc
@@ -5,7 +5,7 @@
 namespace millstair {
 
 void UsageLedger::Add(const UsageReport& report) {
-  if (!NoteReport(report)) return;
+  if (!RecordReport(report)) return;
   for (const UsageCount& count : report.counts) {
     if (count.window <= state_.closed_through) {
       state_.late_requests += count.requests;
@@ -16,17 +16,17 @@
   while (state_.windows.size() > limits_.max_windows) state_.windows.erase(state_.windows.begin());
 }
 
-bool UsageLedger::NoteReport(const UsageReport& report) {
+bool UsageLedger::RecordReport(const UsageReport& report) {
   // Each life by itself: one that seems to begin before the last one, by a clock that jumped, would
   // otherwise count nothing at all.
   LastReport& last = state_.reported[{report.gateway, report.incarnation}];
   if (report.sequence <= last.sequence) return false;
   last = {report.sequence, ++state_.order};
-  if (state_.reported.size() > limits_.max_lives) ForgetOldestLife();
+  if (state_.reported.size() > limits_.max_incarnations) ForgetOldestIncarnation();
   return true;
 }
 
-void UsageLedger::ForgetOldestLife() {
+void UsageLedger::ForgetOldestIncarnation() {
   const auto oldest = std::min_element(
       state_.reported.begin(), state_.reported.end(),
       [](const auto& a, const auto& b) { return a.second.order < b.second.order; });
@@ -39,8 +39,9 @@
   UsageWindow first = *first_open;
   // Windows without a request are reported as well; after a long stop of the whole cluster the
   // latest of them are enough.
-  const uint64_t most = limits_.max_windows;
-  if (through.value() - first.value() >= most) first = UsageWindow(through.value() - most + 1);
+  const uint64_t max_windows = limits_.max_windows;
+  if (through.value() - first.value() >= max_windows)
+    first = UsageWindow(through.value() - max_windows + 1);
   for (UsageWindow window = first; window <= through; window = Next(window)) {
     state_.windows.try_emplace(window);
   }
--- a/source/metering/usage_ledger.h
+++ b/source/metering/usage_ledger.h
@@ -23,7 +23,7 @@
   size_t max_windows = 2000;
   /// Lives of gateways whose last report is remembered; the one that reported longest ago goes
   /// first. 400 gateways that start anew ten times a day.
-  size_t max_lives = 4096;
+  size_t max_incarnations = 4096;
 };
 
 /// Part of the replicated state: bounded, deterministic.
@@ -77,8 +77,8 @@
 
  private:
   /// Whether the report is a new one of its life; notes it.
-  bool NoteReport(const UsageReport& report);
-  void ForgetOldestLife();
+  bool RecordReport(const UsageReport& report);
+  void ForgetOldestIncarnation();
 
   UsageLimits limits_;
   State state_;
--- a/test/cluster/cluster_properties_test.cc
+++ b/test/cluster/cluster_properties_test.cc
@@ -41,7 +41,7 @@
         return SetModelTarget{ModelName(Name()), WeightVersion(Below(20)),
                               WeightVersion(Below(20))};
       case 8:
-        return FoundGroup{
+        return BootstrapStreamGroup{
             StreamName(Name()), Revision(), {{ReplicaId(1 + Below(3)), NodeId(Name()), Name()}}};
       default:
         return RandomMembers();
--- a/test/cluster/cluster_state_machine_test.cc
+++ b/test/cluster/cluster_state_machine_test.cc
@@ -348,12 +348,12 @@
   driver.Apply(UsageOf(1, 7, 2));
   driver.Apply(UsageOf(2, 9, 3));
   driver.Apply(CloseUsage{UsageWindow(8)});
-  const HolderAnnouncement announced{NodeId("c1"), "usage", Term(4), std::chrono::seconds(3)};
-  driver.Apply(AnnounceDuty{announced});
+  const LeaseAnnouncement announced{NodeId("c1"), "usage", Term(4), std::chrono::seconds(3)};
+  driver.Apply(AnnounceTaskLease{announced});
   ClusterStateMachine restored;
-  std::vector<HolderAnnouncement> heard;
-  restored.OnDutyAnnounced(
-      [&heard](const HolderAnnouncement& announcement) { heard.push_back(announcement); });
+  std::vector<LeaseAnnouncement> heard;
+  restored.OnLeaseAnnounced(
+      [&heard](const LeaseAnnouncement& announcement) { heard.push_back(announcement); });
   REQUIRE(restored.Restore(LogIndex(9), driver.state.TakeSnapshot()).ok());
   CHECK(restored.usage().state() == driver.state.usage().state());
   CHECK(restored.usage().OldestUnreported() == UsageWindow(7));
--- a/test/cluster/evacuation_test.cc
+++ b/test/cluster/evacuation_test.cc
@@ -150,12 +150,12 @@
   ColdReports reports;
   const InstanceId server("i");
   TimePoint now = TimePoint() + seconds(100);
-  CHECK_FALSE(reports.IsNews(server, Duration(0), now));
-  CHECK(reports.IsNews(server, seconds(3), now));
-  CHECK_FALSE(reports.IsNews(server, milliseconds(1800), now + milliseconds(1200)));
-  CHECK_FALSE(reports.IsNews(server, milliseconds(700), now + milliseconds(2400)));
-  CHECK_FALSE(reports.IsNews(server, Duration(0), now + milliseconds(3600)));
-  CHECK(reports.IsNews(server, seconds(3), now + seconds(4)));
+  CHECK_FALSE(reports.NeedsCommit(server, Duration(0), now));
+  CHECK(reports.NeedsCommit(server, seconds(3), now));
+  CHECK_FALSE(reports.NeedsCommit(server, milliseconds(1800), now + milliseconds(1200)));
+  CHECK_FALSE(reports.NeedsCommit(server, milliseconds(700), now + milliseconds(2400)));
+  CHECK_FALSE(reports.NeedsCommit(server, Duration(0), now + milliseconds(3600)));
+  CHECK(reports.NeedsCommit(server, seconds(3), now + seconds(4)));
 }
 
 }  // namespace
--- a/test/cluster/machine_retirement_test.cc
+++ b/test/cluster/machine_retirement_test.cc
@@ -5,7 +5,7 @@
 namespace millstair {
 namespace {
 
-constexpr LeastReplicaNodes kThreeEach{3, 3};
+constexpr MinReplicaNodes kThreeEach{3, 3};
 
 /// Machines m1.. with a control node and a storage node each.
 Configuration Machines(int count) {
--- a/test/cluster/registration_test.cc
+++ b/test/cluster/registration_test.cc
@@ -103,8 +103,8 @@
   StateMachineDriver driver;
   const JobGroup first{GroupId("jobs/0"), {{ReplicaId(1), NodeId("a"), "a", true}}, {}};
   const JobGroup second{GroupId("jobs/0"), {{ReplicaId(2), NodeId("b"), "b", true}}, {}};
-  driver.Apply(FoundJobGroup{first});
-  driver.Apply(FoundJobGroup{second});
+  driver.Apply(BootstrapJobGroup{first});
+  driver.Apply(BootstrapJobGroup{second});
   CHECK(driver.state.configuration().job_groups.at(GroupId("jobs/0")) == first);
 }
 
@@ -117,7 +117,7 @@
     return driver.Apply(PlaceJobGroup{group, placement}).code;
   };
   CHECK(place(1, 1, "a") == ClusterResultCode::kNotFound);
-  driver.Apply(FoundJobGroup{{group, {{ReplicaId(1), NodeId("a"), "a", true}}, {}}});
+  driver.Apply(BootstrapJobGroup{{group, {{ReplicaId(1), NodeId("a"), "a", true}}, {}}});
   const auto leader = [&] {
     return driver.state.configuration().job_groups.at(group).placement.leader;
   };
@@ -168,7 +168,8 @@
   Replace(driver, 2, std::string(200'000, 'x'));
   driver.Apply(UpdateInstance{Reported("i", 4, MemberState::kLeaving)});
   driver.Apply(NameVersion{{ModelName("m"), WeightVersion(3)}});
-  driver.Apply(FoundJobGroup{{GroupId("jobs/0"), {{ReplicaId(1), NodeId("a"), "a", true}}, {}}});
+  driver.Apply(
+      BootstrapJobGroup{{GroupId("jobs/0"), {{ReplicaId(1), NodeId("a"), "a", true}}, {}}});
   driver.Apply(PlaceJobGroup{GroupId("jobs/0"),
                              {Term(4), 2, NodeId("a"), {{ReplicaId(1), NodeId("a"), "a", true}}}});
   NodeRecord record;
--- a/test/cluster/replica_spread_test.cc
+++ b/test/cluster/replica_spread_test.cc
@@ -39,10 +39,10 @@
 }
 
 TEST_CASE("A change of zone is worth it only if it evens the zones out") {
-  CHECK(SpreadsBetter(Zone("c"), Zones({"a", "a", "b"})));
-  CHECK_FALSE(SpreadsBetter(Zone("b"), Zones({"a", "a", "b"})));
-  CHECK_FALSE(SpreadsBetter(Zone("a"), Zones({"a", "a", "b"})));
-  CHECK_FALSE(SpreadsBetter(Zone("a"), {}));
+  CHECK(ImprovesSpread(Zone("c"), Zones({"a", "a", "b"})));
+  CHECK_FALSE(ImprovesSpread(Zone("b"), Zones({"a", "a", "b"})));
+  CHECK_FALSE(ImprovesSpread(Zone("a"), Zones({"a", "a", "b"})));
+  CHECK_FALSE(ImprovesSpread(Zone("a"), {}));
 }
 
 TEST_CASE("Picked nodes lie in as many zones as can be, for any numbers of zones and nodes") {
@@ -102,7 +102,7 @@
     int exchanges = 0;
     for (size_t zone = 0; zone < zone_count;) {
       const Zone target(std::to_string(zone));
-      if (!SpreadsBetter(target, voters)) {
+      if (!ImprovesSpread(target, voters)) {
         ++zone;
         continue;
       }
--- a/test/duties/usage_duty_history_test.cc
+++ b/test/duties/usage_duty_history_test.cc
@@ -113,7 +113,7 @@
     if (const auto* add = std::get_if<AddUsage>(&operation)) state.Add(add->report);
     if (const auto* close = std::get_if<CloseUsage>(&operation)) state.Close(close->through);
     if (const auto* accept = std::get_if<AcceptUsage>(&operation)) state.Accept(accept->window);
-    if (const auto* announce = std::get_if<AnnounceDuty>(&operation)) {
+    if (const auto* announce = std::get_if<AnnounceTaskLease>(&operation)) {
       duty.NoteAnnouncement(announce->announcement);
     }
   }
--- a/test/duties/usage_duty_test.cc
+++ b/test/duties/usage_duty_test.cc
@@ -47,7 +47,7 @@
     if (const auto* add = std::get_if<AddUsage>(&operation)) ledger.Add(add->report);
     if (const auto* close = std::get_if<CloseUsage>(&operation)) ledger.Close(close->through);
     if (const auto* accept = std::get_if<AcceptUsage>(&operation)) ledger.Accept(accept->window);
-    const auto* announce = std::get_if<AnnounceDuty>(&operation);
+    const auto* announce = std::get_if<AnnounceTaskLease>(&operation);
     if (announce == nullptr) return;
     for (UsageDuty* duty : duties) duty->NoteAnnouncement(announce->announcement);
   }
--- a/test/jobs/job_group_founder_test.cc
+++ b/test/jobs/job_group_founder_test.cc
@@ -43,7 +43,7 @@
   std::optional<JobGroup> founded;
   std::unique_ptr<ClusterDuty> duty =
       MakeJobGroupFounder(environment, JobGroupFounderOptions{5}, [this](ClusterCommand command) {
-        founded = std::get<FoundJobGroup>(command.operation).group;
+        founded = std::get<BootstrapJobGroup>(command.operation).group;
       });
 };
 
--- a/test/metering/clock_agreement_test.cc
+++ b/test/metering/clock_agreement_test.cc
@@ -15,8 +15,9 @@
 
 TEST_CASE("The agreed time is the median of the clocks, whoever jumps") {
   ClockAgreement clock;
-  for (int i = 0; i < 10; ++i) clock.Note(Node(i), kTrue + milliseconds(i - 5), kNow);
-  for (int i = 0; i < 4; ++i) clock.Note(Node(i), kTrue + seconds(i % 2 == 0 ? 2400 : 3), kNow);
+  for (int i = 0; i < 10; ++i) clock.AddSample(Node(i), kTrue + milliseconds(i - 5), kNow);
+  for (int i = 0; i < 4; ++i)
+    clock.AddSample(Node(i), kTrue + seconds(i % 2 == 0 ? 2400 : 3), kNow);
   const auto agreed = clock.Now(kNow, 10);
   REQUIRE(agreed);
   CHECK(*agreed >= kTrue - milliseconds(5));
@@ -26,23 +27,23 @@
 TEST_CASE("A single clock, the leader's own, would follow its jump") {
   // What is compared against: the time by the leader's clock alone.
   ClockAgreement alone;
-  alone.Note(Node(0), kTrue + milliseconds(2400), kNow);
+  alone.AddSample(Node(0), kTrue + milliseconds(2400), kNow);
   CHECK(alone.Now(kNow, 1) == kTrue + milliseconds(2400));
 }
 
 TEST_CASE("The agreed time goes on by the steady clock between samples") {
   ClockAgreement clock;
-  clock.Note(Node(0), kTrue, kNow);
+  clock.AddSample(Node(0), kTrue, kNow);
   CHECK(clock.Now(kNow + seconds(7), 1) == kTrue + seconds(7));
 }
 
 TEST_CASE("No time is agreed before half of the nodes were heard of, or once they are forgotten") {
   ClockAgreement clock;
   CHECK_FALSE(clock.Now(kNow, 0).has_value());
-  clock.Note(Node(0), kTrue, kNow);
-  clock.Note(Node(0), kTrue, kNow);
+  clock.AddSample(Node(0), kTrue, kNow);
+  clock.AddSample(Node(0), kTrue, kNow);
   CHECK_FALSE(clock.Now(kNow, 4).has_value());
-  clock.Note(Node(1), kTrue, kNow);
+  clock.AddSample(Node(1), kTrue, kNow);
   CHECK(clock.Now(kNow, 4).has_value());
   CHECK_FALSE(clock.Now(kNow + seconds(31), 4).has_value());
   clock.Clear();
--- a/test/metering/usage_counter_test.cc
+++ b/test/metering/usage_counter_test.cc
@@ -48,9 +48,9 @@
   fixture.counter.Start();
   fixture.scheduler.RunFor(milliseconds(10));
   const TimePoint now = fixture.environment.Now();
-  fixture.counter.NoteBegun(kTenant, now);
-  fixture.counter.NoteBegun(kTenant, now);
-  fixture.counter.NoteBegun(TenantName("b"), now - seconds(5));
+  fixture.counter.OnRequestStarted(kTenant, now);
+  fixture.counter.OnRequestStarted(kTenant, now);
+  fixture.counter.OnRequestStarted(TenantName("b"), now - seconds(5));
   fixture.scheduler.RunFor(milliseconds(490));
   CHECK(fixture.sent.empty());
   CHECK(fixture.counter.uncommitted() == 3);
@@ -72,9 +72,9 @@
   fixture.counter.Start();
   fixture.scheduler.RunFor(milliseconds(10));
   fixture.commits = false;
-  fixture.counter.NoteBegun(kTenant, fixture.environment.Now());
+  fixture.counter.OnRequestStarted(kTenant, fixture.environment.Now());
   fixture.scheduler.RunFor(milliseconds(600));
-  fixture.counter.NoteBegun(kTenant, fixture.environment.Now());
+  fixture.counter.OnRequestStarted(kTenant, fixture.environment.Now());
   fixture.scheduler.RunFor(seconds(2));
   REQUIRE(fixture.sent.size() >= 3);
   for (const UsageReport& report : fixture.sent) CHECK(report == fixture.sent[0]);
@@ -89,7 +89,7 @@
   Fixture fixture;
   fixture.knows_time = false;
   fixture.counter.Start();
-  fixture.counter.NoteBegun(kTenant, fixture.environment.Now());
+  fixture.counter.OnRequestStarted(kTenant, fixture.environment.Now());
   const WallTime began = WallTime(std::chrono::duration_cast<milliseconds>(
       fixture.environment.Now().time_since_epoch() + fixture.ahead));
   fixture.scheduler.RunFor(seconds(8));
@@ -117,11 +117,11 @@
   Fixture fixture;
   fixture.counter.Start();
   fixture.scheduler.RunFor(milliseconds(10));
-  fixture.counter.NoteBegun(kTenant, fixture.environment.Now());
+  fixture.counter.OnRequestStarted(kTenant, fixture.environment.Now());
   fixture.counter.SetLeaving();
   CHECK(fixture.sent.size() == 1);
   fixture.scheduler.RunFor(milliseconds(10));
-  fixture.counter.NoteBegun(kTenant, fixture.environment.Now());
+  fixture.counter.OnRequestStarted(kTenant, fixture.environment.Now());
   fixture.scheduler.RunFor(milliseconds(25));
   CHECK(fixture.sent.size() == 2);
 }
@@ -129,14 +129,14 @@
 TEST_CASE("Requests of nobody are not metered, and nothing is where no window is set") {
   Fixture fixture;
   fixture.counter.Start();
-  fixture.counter.NoteBegun(TenantName(), fixture.environment.Now());
+  fixture.counter.OnRequestStarted(TenantName(), fixture.environment.Now());
   CHECK(fixture.counter.uncommitted() == 0);
   UsageCounter off(
       fixture.environment, {NodeId("g"), Incarnation(1), Duration(0)},
       [](const UsageReport&, const std::function<void(bool)>&) { FAIL("reported"); },
       [](WallTime, const std::function<void(std::optional<WallTime>)>&) { FAIL("asked"); });
   off.Start();
-  off.NoteBegun(kTenant, fixture.environment.Now());
+  off.OnRequestStarted(kTenant, fixture.environment.Now());
   fixture.scheduler.RunFor(seconds(5));
   CHECK(off.uncommitted() == 0);
 }
--- a/test/platform/control_calls_test.cc
+++ b/test/platform/control_calls_test.cc
@@ -33,7 +33,7 @@
   MAKE_MOCK1(ConfirmRead, void(std::function<void(absl::Status)>), override);
   MAKE_CONST_MOCK0(usage, const UsageLedger&(), override);
   MAKE_CONST_MOCK0(AgreedTime, std::optional<WallTime>(), override);
-  MAKE_MOCK1(OnDutyAnnounced, void(std::function<void(const HolderAnnouncement&)>), override);
+  MAKE_MOCK1(OnLeaseAnnounced, void(std::function<void(const LeaseAnnouncement&)>), override);
   MAKE_CONST_MOCK0(Ready, bool(), override);
   MAKE_MOCK1(Drain, void(std::function<void()>), override);
   MAKE_MOCK2(Receive, void(const NodeId&, const PeerMessage&), override);
--- a/test/platform/reader_fuzz_test.cc
+++ b/test/platform/reader_fuzz_test.cc
@@ -9,7 +9,7 @@
 #include <iterator>
 #include <set>
 
-#include "cluster/backend_life.h"
+#include "cluster/backend_instance_id.h"
 #include "common/random.h"
 #include "platform/instance_codec.h"
 #include "platform/job_json.h"
@@ -133,7 +133,7 @@
   Fuzz("heartbeat", [](const std::string& text) {
     const auto beat = ReadHeartbeat("i-1", text);
     if (!beat.ok()) return;
-    Demand(ServerOf(beat->id) == ServerName("i-1"), text);
+    Demand(ServerNameOf(beat->id) == ServerName("i-1"), text);
     Demand(!beat->service.value().empty(), text);
     Demand(ParseEndpoint(beat->address).ok(), text);
     Demand(beat->state == MemberState::kLive || beat->state == MemberState::kLeaving, text);
--- a/test/platform/server_lives_test.cc
+++ b/test/platform/server_lives_test.cc
@@ -2,7 +2,7 @@
 /// what is said on the wire to what the cluster believes.
 #include <catch2/catch.hpp>
 
-#include "cluster/backend_life.h"
+#include "cluster/backend_instance_id.h"
 #include "fmt/format.h"
 #include "platform/instance_codec.h"
 #include "test/cluster/cluster_test_support.h"
@@ -148,12 +148,13 @@
   ClusterStateMachine restored({}, {});
   REQUIRE(restored.Restore(LogIndex(9), fixture.driver.state.TakeSnapshot()).ok());
   CHECK(restored.configuration().instances == fixture.driver.state.configuration().instances);
-  CHECK(LifeOf(ServerName("a@1"), BirthTime()) != LifeOf(ServerName("a"), BirthTime(1)));
+  CHECK(MakeInstanceId(ServerName("a@1"), StartTime()) !=
+        MakeInstanceId(ServerName("a"), StartTime(1)));
   for (const char* name : {"a", "a@1", "a@", "@", "a@b@3"}) {
     for (const uint64_t born : {0UL, 1UL, 1700000000000UL}) {
-      const InstanceId life = LifeOf(ServerName(name), BirthTime(born));
-      CHECK(ServerOf(life) == ServerName(name));
-      CHECK(BirthOf(life) == BirthTime(born));
+      const InstanceId life = MakeInstanceId(ServerName(name), StartTime(born));
+      CHECK(ServerNameOf(life) == ServerName(name));
+      CHECK(StartTimeOf(life) == StartTime(born));
     }
   }
 }
--- a/test/platform/server_wire_test.cc
+++ b/test/platform/server_wire_test.cc
@@ -107,7 +107,8 @@
   REQUIRE_FALSE(faulty.ok());
   CHECK(std::string(faulty.status().message()).find("seq") != std::string::npos);
   CHECK(ReadDeregistration("i-1", "{}")->state == MemberState::kGone);
-  CHECK(ReadDeregistration("i-1", R"({"born":7})")->id == LifeOf(ServerName("i-1"), BirthTime(7)));
+  CHECK(ReadDeregistration("i-1", R"({"born":7})")->id ==
+        MakeInstanceId(ServerName("i-1"), StartTime(7)));
   CHECK_FALSE(ReadDeregistration("i-1", R"({"born":"7"})").ok());
 }
 
