--- a/source/cluster/cluster_commands.h
+++ b/source/cluster/cluster_commands.h
@@ -19,21 +19,22 @@
 
 namespace millstair {
 
-/// Makes a resend answerable: the state machine keeps the last results of each client's session.
+/// Identifies a command for deduplication: the state machine stores the last results of each
+/// client's session and returns the stored result for a resend.
 struct SessionStamp {
   ClientId client;
   ClientSequence sequence;
 };
 
-/// Opens a session; the result's `session` names it. A stamp of a session that is not in the state
-/// is expired by definition, so a resend is never taken for something new.
+/// Opens a session; the result's `session` is its id. A stamp of an unknown session counts as
+/// expired, so a resend is never run as a new command.
 struct OpenSession {};
 
-/// Creates or replaces resources, all or none.
+/// Creates or replaces resources atomically.
 struct PutResources {
   struct Item {
     Resource resource;
-    /// Version that must be stored now; 0 demands absence; none skips the test.
+    /// Required current version; 0 requires absence; nullopt skips the check.
     std::optional<Revision> expected;
   };
   std::vector<Item> items;
@@ -44,46 +45,47 @@
   std::optional<Revision> expected;
 };
 
-/// Takes the once-only claim on a key before a non-repeatable request is dispatched.
+/// Claims a key, so that a non-repeatable request is dispatched at most once.
 struct ClaimKey {
   std::string key;
   NodeId gateway;
   Incarnation incarnation;
-  /// Digest of the request; a different request under the same key is refused.
+  /// Digest of the request. A different request under the same key is rejected.
   std::string request_digest;
-  /// When the caller made the key, if it said so; older than the retention is refused.
+  /// Creation time of the key, if given by the caller. A key older than the retention is rejected.
   std::optional<WallTime> issued;
-  /// Drawn by the gateway for each request of a caller. A resend of this command with the same
-  /// attempt gets its first answer; with 0 each resend is told that the key is held.
+  /// Random id that the gateway assigns to each request of a caller. A resend of this command with
+  /// the same attempt gets the first result; with 0, every resend gets kClaimHeld.
   uint64_t attempt = 0;
 };
 
-/// Settles a claim: done (never run again) or released (it truly did not run).
+/// Settles a claim as done (must never run again) or released (is known not to have run).
 struct SettleClaim {
   std::string key;
   NodeId gateway;
   Incarnation incarnation;
   bool released = false;
-  /// Status of the back end's answer, when done.
+  /// Status of the back end's response, when done.
   int answer_status = 0;
-  /// The attempt of the claim that it settles, so that a late copy never settles a later claim.
+  /// Attempt of the claim to settle, so that a delayed copy cannot settle a later claim.
   uint64_t attempt = 0;
 };
 
-/// A trainer published weights. Versions count up; the same version with another digest is refused.
+/// A trainer published weights. Versions increase; the same version with another digest is
+/// rejected.
 struct PublishVersion {
   ModelName model;
   PublishedVersion version;
 };
 
-/// The leader decides that a version is to be staged or served.
+/// Sets the versions of a model to stage and to serve; proposed by the leader.
 struct SetModelTarget {
   ModelName model;
   WeightVersion staged;
   WeightVersion active;
 };
 
-/// Batched membership changes found by the leader.
+/// Batch of membership changes detected by the leader.
 struct UpdateMembers {
   std::vector<NodeRecord> nodes;
   std::vector<MachineStatus> machines;
@@ -91,95 +93,98 @@
   std::vector<NodeId> deleted_nodes;
 };
 
-/// Fixes the founders of a stream's group, so that every replica opens it with the same list. The
-/// first one for a stream wins; it is forgotten with the Stream resource.
+/// Sets the initial members of a stream's group, so that every replica opens it with the same list.
+/// The first command for a stream wins; its record is removed with the Stream resource.
 struct BootstrapStreamGroup {
   StreamName stream;
-  /// Set by the state machine: tells a stream from an earlier one of the same name, whose group may
-  /// still lie on the disk of a node that was down when it was deleted.
+  /// Set by the state machine. Distinguishes the stream from an earlier one of the same name, whose
+  /// group may still be on the disk of a node that was down when it was deleted.
   Revision generation;
   std::vector<GroupMember> initial_members;
 };
 
-/// Puts a whole routing configuration in force. The highest version holds: a smaller one is
-/// acknowledged and changes nothing; the same version with other content is a conflict.
+/// Replaces the routing configuration. The highest version wins: a smaller one is acknowledged
+/// without effect; the same version with different content is a conflict.
 struct ReplaceRouting {
   RoutingDocument document;
 };
 
-/// A report of a back end that registers itself, or of its leaving. Late reports change nothing.
+/// Registration report of a back end, or its deregistration. Late reports have no effect.
 struct UpdateInstance {
   BackendInstance instance;
 };
 
-/// A trainer names weights that back ends know how to load. A smaller version changes nothing.
+/// A trainer announces a version of a model's weights that back ends can load. A smaller version
+/// has no effect.
 struct NameVersion {
   NamedVersion named;
 };
 
-/// Fixes the founders of a group of batch jobs; the first one for a group wins.
+/// Sets the initial members of a batch job group. The first command for a group wins.
 struct BootstrapJobGroup {
   JobGroup group;
 };
 
-/// The leader of a job group says where its replicas are. What an earlier leader says, or the same
-/// leader said before, changes nothing.
+/// The leader of a job group reports the placement of its replicas. Reports that are not newer by
+/// term and sequence have no effect.
 struct PlaceJobGroup {
   GroupId group;
   JobGroupPlacement placement;
 };
 
-/// An operator wants a storage node emptied, or the leader of its groups says that it is.
+/// Requests that all replicas be moved off a node, or reports that this is done.
 struct RetireNode {
   RetiredNode retired;
 };
 
-/// Counts requests that began to run.
+/// Adds a gateway's counts of started requests.
 struct AddUsage {
   UsageReport report;
 };
 
-/// Fixes the sums of all windows up to `through`.
+/// Closes all windows up to `through`: their sums no longer change.
 struct CloseUsage {
   UsageWindow through;
 };
 
-/// The platform has taken the sum of a window.
+/// The platform has accepted the sum of a window.
 struct AcceptUsage {
   UsageWindow window;
 };
 
-/// The leader is about to act on a subject of a duty: other holders leave it alone for a lease.
+/// The leader is about to operate on a subject of a leader task. Other nodes must not operate on it
+/// for the length of a lease.
 struct AnnounceTaskLease {
   LeaseAnnouncement announcement;
 };
 
-/// Back ends ended while they ran requests. Lives that are known already change nothing.
+/// Back ends terminated while running requests. Reports of known incarnations have no effect.
 struct ReportCrashes {
   std::vector<CrashReport> reports;
 };
 
-/// A node wants to send a held request once. A conflict unless the request is held and its record's
-/// last change is `seen`; so one node at a time gets a trial.
+/// Reserves one trial of a held request for a node. A conflict unless the request is held and its
+/// record was last changed at `seen`, so only one node at a time gets a trial.
 struct BeginTrial {
   RequestFingerprint request;
   Revision seen;
 };
 
-/// A back end has answered the request; changes nothing if its record has more than `crashes`.
+/// A back end has responded to the request. No effect if its record has more than `crashes`.
 struct ClearSuspect {
   RequestFingerprint request;
   uint32_t crashes = 0;
 };
 
-/// An operator wants the back ends of a zone to get nothing, or takes that back; to say either
-/// again changes nothing. Builds below kEvacuationLevel don't read it.
+/// Starts or, with `ends`, ends the evacuation of a zone, whose back ends then get no requests.
+/// Idempotent. Builds below kEvacuationLevel cannot decode it.
 struct EvacuateZone {
   Zone zone;
   bool ends = false;
 };
 
-/// Several of them as one entry. Builds below kGroupedReportsLevel don't read it.
+/// Several UpdateInstance reports in one log entry. Builds below kGroupedReportsLevel cannot decode
+/// it.
 struct UpdateInstances {
   std::vector<BackendInstance> instances;
 };
@@ -194,25 +199,25 @@
 struct ClusterCommand {
   ClusterOperation operation;
   std::optional<SessionStamp> session;
-  /// Wall time of the proposing leader; the state machine's own clock takes the largest seen.
+  /// Wall time of the proposing leader. The state machine's clock is the largest one seen.
   WallTime proposed_at;
 };
 
 enum class ClusterResultCode : uint8_t {
   kOk = 1,
-  kConflict = 2,  ///< compare-and-set lost; `conflicting` holds the winner
+  kConflict = 2,  ///< compare-and-set failed; `conflicting` holds the stored resources
   kNotFound = 3,
   kInvalid = 4,
-  kSessionExpired = 5,  ///< the resend is too old to be answered; nothing was done
-  kClaimHeld = 6,       ///< the key is claimed and its outcome not known
-  kClaimDone = 7,       ///< the key was used and ran
+  kSessionExpired = 5,  ///< the first result is no longer stored; nothing was done
+  kClaimHeld = 6,       ///< the key is claimed; outcome unknown
+  kClaimDone = 7,       ///< the request with this key has run
   kClaimTooOld = 8,
   kClaimMismatch = 9,  ///< another request used this key
 };
 
 struct ClusterResult {
   ClusterResultCode code = ClusterResultCode::kOk;
-  /// Revision of the change, or the newest at a refusal.
+  /// Revision of the change, or the newest revision if the command was rejected.
   Revision revision;
   std::vector<Resource> conflicting;
   /// The new session, for OpenSession.
--- a/source/cluster/cluster_state_machine.cc
+++ b/source/cluster/cluster_state_machine.cc
@@ -10,7 +10,7 @@
 namespace millstair {
 namespace {
 
-/// Digest of what the command does, without its session and its time.
+/// Digest of the operation, without session and proposal time.
 uint64_t OperationDigest(const ClusterCommand& command) {
   ClusterCommand bare;
   bare.operation = command.operation;
--- a/source/cluster/cluster_state_machine.h
+++ b/source/cluster/cluster_state_machine.h
@@ -1,4 +1,4 @@
-/// State machine of the cluster group: resources, models, members, sessions and claims.
+/// Replicated state machine of the cluster group: resources, models, members, sessions and claims.
 #pragma once
 
 #include <functional>
@@ -20,16 +20,17 @@
 struct ClusterLimits {
   SessionLimits sessions;
   ClaimLimits claims;
-  /// Published versions kept for each model, beside the staged and the active one.
+  /// Maximum published versions per model; the staged and the active one are never removed.
   size_t max_published_versions = 32;
-  /// Changes kept for deltas.
+  /// Changes retained for computing deltas.
   size_t max_history = 2000;
-  /// The clock moves at most this far with one command, so that a wall clock that is far ahead
-  /// does not expire everything at once.
+  /// Maximum advance of the clock per command, so that one wall clock that is far ahead does not
+  /// expire all sessions and claims at once.
   std::chrono::milliseconds max_clock_step = std::chrono::minutes(1);
 };
 
-/// Deterministic and bounded. Its clock is the largest proposal time seen (see max_clock_step).
+/// Deterministic, with bounded memory. Its clock is the largest proposal time seen, limited by
+/// max_clock_step.
 class ClusterStateMachine : public StateMachine {
  public:
   explicit ClusterStateMachine(ClusterLimits limits = {}, ClusterFaults faults = {});
@@ -39,24 +40,25 @@
   absl::Status Restore(LogIndex index, std::string_view snapshot) override;
 
   const Configuration& configuration() const { return configuration_; }
-  /// Changes since `from`, as of the newest revision.
+  /// Changes after `from`, up to the newest revision.
   ConfigurationDelta DeltaSince(Revision from) const;
-  /// Called after each change of the configuration or of the founded groups, and after a restore.
+  /// Called after each change of the configuration or of the bootstrapped groups, and after a
+  /// restore.
   void OnChange(std::function<void()> callback) { on_change_ = std::move(callback); }
 
-  /// Called for each announcement that is applied, in the order of the log, and after a restore for
-  /// the latest of each subject.
+  /// Called for each applied announcement in log order, and after a restore for the latest
+  /// announcement of each subject.
   void OnLeaseAnnounced(std::function<void(const LeaseAnnouncement&)> callback) {
     on_lease_announced_ = std::move(callback);
   }
 
-  /// Revision of the last change of a node's record; that of the snapshot after a restore.
+  /// Revision of the last change to a node record; after a restore, the revision of the snapshot.
   Revision nodes_changed_at() const { return nodes_changed_at_; }
   WallTime clock() const { return clock_; }
   const UsageLedger& usage() const { return usage_; }
   const SessionTable& sessions() const { return sessions_; }
   const ClaimTable& claims() const { return claims_; }
-  /// Founders of the groups of streams.
+  /// Initial members of the stream groups.
   const std::map<StreamName, BootstrapStreamGroup>& bootstrapped_groups() const {
     return bootstrapped_groups_;
   }
@@ -67,7 +69,7 @@
   ClusterResult Run(LogIndex index, const ClusterCommand& command);
   ClusterResult Bootstrap(LogIndex index, const BootstrapStreamGroup& bootstrap);
   ClusterResult Announce(const LeaseAnnouncement& announcement);
-  /// Forgets the founders of streams that were deleted.
+  /// Removes the initial members of deleted streams.
   void ForgetGroups(const ChangeSet& changes);
   void AdvanceClock(WallTime proposed_at);
 
@@ -82,7 +84,7 @@
   std::map<StreamName, BootstrapStreamGroup> bootstrapped_groups_;
   ChangeHistory history_;
   UsageLedger usage_;
-  /// The latest for each subject; there is one subject for each duty.
+  /// Latest announcement by subject. Each leader task has one subject.
   std::map<std::string, LeaseAnnouncement> announcements_;
   std::function<void()> on_change_;
   std::function<void(const LeaseAnnouncement&)> on_lease_announced_;
--- a/source/cluster/cluster_validation.cc
+++ b/source/cluster/cluster_validation.cc
@@ -9,7 +9,7 @@
 
 constexpr size_t kMaxNameBytes = 253;
 
-/// What a spec names; one overload a kind.
+/// Resources that a spec refers to; one overload per kind.
 struct ReferenceCollector {
   std::vector<ResourceKey> operator()(const MachineSpec&) const { return {}; }
   std::vector<ResourceKey> operator()(const EngineSpec& spec) const {
--- a/source/cluster/cluster_validation.h
+++ b/source/cluster/cluster_validation.h
@@ -1,4 +1,4 @@
-/// Tests of resources against each other: what a resource names must exist.
+/// Validation of references between resources.
 #pragma once
 
 #include "cluster/configuration.h"
@@ -6,11 +6,12 @@
 
 namespace millstair {
 
-/// Faults of `resource` by itself, and names in it that `resources` lacks.
+/// Adds findings for invalid fields of `resource` and for its references to resources that are not
+/// in `resources`.
 void ValidateResource(const std::map<ResourceKey, Resource>& resources, const Resource& resource,
                       Findings& findings);
 
-/// Resources that would be left with a name of something missing if `key` were deleted.
+/// Adds a finding for each resource that refers to `key` and so prevents its deletion.
 void ValidateDeletion(const std::map<ResourceKey, Resource>& resources, const ResourceKey& key,
                       Findings& findings);
 
--- a/source/cluster/configuration.h
+++ b/source/cluster/configuration.h
@@ -1,4 +1,4 @@
-/// The configuration that every node holds: resources, published weights and members.
+/// The configuration replicated to every node: resources, published weights and members.
 #pragma once
 
 #include <cstdint>
@@ -24,15 +24,16 @@
   friend bool operator==(const PublishedVersion&, const PublishedVersion&) = default;
 };
 
-/// Weights of one model. `published` is bounded: only the newest few are kept.
+/// Weights of one model. `published` is bounded: old versions not in use are removed.
 struct ModelStatus {
   ModelName model;
   std::vector<PublishedVersion> published;
-  /// Version that engines fetch ahead; 0 is none.
+  /// Version that engines prefetch; 0 if none.
   WeightVersion staged;
-  /// Version that engines are to serve; 0 is none.
+  /// Version that engines should serve; 0 if none.
   WeightVersion active;
-  /// Revisions at which `staged` and `active` were set: the fences of the orders they cause.
+  /// Revisions at which `staged` and `active` were set; used as fencing tokens of the resulting
+  /// orders.
   Revision staged_at;
   Revision active_at;
   friend bool operator==(const ModelStatus&, const ModelStatus&) = default;
@@ -45,29 +46,29 @@
   NodeId node;
   Incarnation incarnation;
   Zone zone;
-  /// Where it listens for peers, "ip:port".
+  /// Listen address for peers, "ip:port".
   std::string address;
   bool control = false;
   bool gateway = false;
   MemberState state = MemberState::kLive;
-  /// Holds replicas of job groups.
+  /// Can hold replicas of job groups.
   bool storage = false;
-  /// Identity of its disk; 0 for a node without one.
+  /// Identity of its disk; 0 if it has none.
   ReplicaId replica;
-  /// Name of its machine, as operators know it; may be empty.
+  /// Operators' name of its machine; may be empty.
   std::string machine;
   friend bool operator==(const NodeRecord&, const NodeRecord&) = default;
 };
 
-/// What is known of a machine of back ends, merged from the platform list, the back ends' own
-/// words and the operators; the most cautious wins.
+/// State of a machine of back ends according to the platform's list. It is merged with the
+/// operators' drain flag and the back ends' own reports; the most cautious state wins.
 struct MachineStatus {
   std::string machine;
   MemberState platform_state = MemberState::kLive;
   friend bool operator==(const MachineStatus&, const MachineStatus&) = default;
 };
 
-/// A back end that itself said that it is leaving, as reported by a gateway.
+/// State that a back end reported about itself, such as leaving, received through a gateway.
 struct EngineStatus {
   EngineName engine;
   Incarnation incarnation;
@@ -75,75 +76,77 @@
   friend bool operator==(const EngineStatus&, const EngineStatus&) = default;
 };
 
-/// A whole routing configuration as an operator sent it, under the operator's own version. Nodes
-/// read `content` by the codec of the interface in use. Version 0 is none.
+/// The complete routing configuration as sent by an operator, with the operator's version number.
+/// Nodes decode `content` with the codec of the interface in use. Version 0 means none.
 struct RoutingDocument {
   uint64_t version = 0;
   std::string content;
   friend bool operator==(const RoutingDocument&, const RoutingDocument&) = default;
 };
 
-/// Tells the contents of documents apart, also of two under one version; 0 for no document.
+/// Content hash that distinguishes documents, also two with the same version; 0 for no document.
 uint64_t DigestOf(const RoutingDocument& document);
 
-/// A version of a model's weights: the newest that was named, or the one that a back end holds.
+/// A version of a model's weights: either the newest announced one or one that a back end holds.
 struct NamedVersion {
   ModelName model;
   WeightVersion version;
   friend bool operator==(const NamedVersion&, const NamedVersion&) = default;
 };
 
-/// A life of a server that claims to have followed the one that is believed, though its clock says
-/// that it was born before: a clock that was set back, or a late report of an older life.
+/// An incarnation of a server that reports after the current one although its start time is
+/// earlier: either the server's clock was set back, or the report is a late one of an older
+/// incarnation.
 struct RivalIncarnation {
   InstanceId id;
   uint64_t sequence = 0;
-  /// Reports of it in a row, none of the believed life between.
+  /// Consecutive reports of it, without a report of the current incarnation in between.
   uint32_t reports = 0;
   friend bool operator==(const RivalIncarnation&, const RivalIncarnation&) = default;
 };
 
-/// One life of a back end that registers itself. `state` never goes back towards kLive, but for a
-/// life that was taken for over because another one of its server was believed; and a smaller
-/// `sequence` never replaces a larger one.
+/// One incarnation of a self-registered back end. `state` never goes back towards kLive, except
+/// when a superseded incarnation becomes current again. A smaller `sequence` never replaces a
+/// larger one.
 struct BackendInstance {
   InstanceId id;
   ServiceName service;
   /// "ip:port".
   std::string address;
   Zone zone;
-  /// Requests that it works on at once.
+  /// Maximum number of concurrent requests.
   uint32_t slots = 0;
   MemberState state = MemberState::kLive;
-  /// Number of the report that this record is from.
+  /// Sequence number of the report that this record comes from.
   uint64_t sequence = 0;
-  /// Weights that it holds, by its own word.
+  /// Weights that it reports to hold.
   std::vector<NamedVersion> models;
-  /// Set by the state machine: revision of the first report, or of its return.
+  /// Set by the state machine: revision at which this incarnation was registered, or became current
+  /// again.
   Revision registered_at;
-  /// How much longer it is slow after its start, and the revision with which that was told. Nodes
-  /// count down from when they learn of it, so a late one believes in it for too long, not too
-  /// briefly. `cold_at` is set by the state machine.
+  /// Remaining slow-start period, and the revision at which it was reported. Nodes count down from
+  /// when they receive it, so a delay lengthens the period and never shortens it. `cold_at` is set
+  /// by the state machine.
   Duration cold_left{0};
   Revision cold_at;
-  /// Set by the state machine: another life of its server is believed; `state` is kGone.
+  /// Set by the state machine: another incarnation of the server is current; `state` is kGone.
   bool superseded = false;
   RivalIncarnation rival;
   friend bool operator==(const BackendInstance&, const BackendInstance&) = default;
 };
 
-/// Where the replicas of a job group are, as its leader says.
+/// Placement of a job group's replicas, as reported by its leader.
 struct JobGroupPlacement {
-  /// In which the leader leads; 0 while no leader has spoken.
+  /// Term of the reporting leader; 0 if no leader has reported.
   Term term;
-  /// Counts what the leader of the term said: the higher one is the later one.
+  /// Number of the report within the term; a higher one is newer.
   uint64_t sequence = 0;
   NodeId leader;
   std::vector<GroupMember> members;
   friend bool operator==(const JobGroupPlacement&, const JobGroupPlacement&) = default;
 };
 
-/// A group that keeps batch jobs: its founding members, and where it is now.
+/// A Raft group that stores batch jobs: its initial members and its current placement.
 struct JobGroup {
   GroupId group;
   std::vector<GroupMember> initial_members;
@@ -153,19 +156,20 @@
 
 struct RetiredNode {
   NodeId node;
-  /// It holds no replica any more.
+  /// Whether all replicas have been moved off it.
   bool emptied = false;
   friend bool operator==(const RetiredNode&, const RetiredNode&) = default;
 };
 
-/// A zone whose back ends get nothing, by an operator's order, since the revision `since`.
+/// A zone whose back ends get no requests, by an operator's order, since revision `since`.
 struct EvacuatedZone {
   Zone zone;
   Revision since;
   friend bool operator==(const EvacuatedZone&, const EvacuatedZone&) = default;
 };
 
-/// Everything as of `revision`. Value type; a gateway holds one and applies deltas to it.
+/// Complete configuration as of `revision`. Value type; a gateway holds a copy and applies deltas
+/// to it.
 struct Configuration {
   Revision revision;
   std::map<ResourceKey, Resource> resources;
@@ -175,12 +179,12 @@
   std::map<EngineName, EngineStatus> engines;
   RoutingDocument routing;
   std::map<InstanceId, BackendInstance> instances;
-  /// The newest version named of each model.
+  /// The newest announced version of each model.
   std::map<ModelName, NamedVersion> versions;
   std::map<GroupId, JobGroup> job_groups;
-  /// Storage nodes that an operator wants emptied; they hold no replicas of job groups again.
+  /// Nodes that an operator is retiring; they get no new replicas of job groups.
   std::map<NodeId, RetiredNode> retired_nodes;
-  /// Requests under which back ends ended.
+  /// Requests during which back ends crashed.
   SuspectRequests suspects;
   std::map<Zone, EvacuatedZone> evacuated_zones;
 
@@ -192,7 +196,7 @@
 };
 
 /// Changes from `from` (exclusive) to `to` (inclusive). With `full` set, `from` is ignored and the
-/// changes are the whole state.
+/// delta contains the complete configuration.
 struct ConfigurationDelta {
   Revision from;
   Revision to;
@@ -219,14 +223,14 @@
   std::vector<Zone> ended_evacuations;
 };
 
-/// Whether `delta` changes what is known of the cluster's nodes.
+/// Whether `delta` changes node records.
 bool TouchesNodes(const ConfigurationDelta& delta);
-/// Whether it changes back ends that register themselves, routes, evacuated zones or named
-/// versions.
+/// Whether `delta` changes self-registered back ends, the routing configuration, evacuated zones or
+/// announced versions.
 bool TouchesBackEnds(const ConfigurationDelta& delta);
 
-/// Applies `delta`. False, with no change, if it does not start at or before the revision held or
-/// would go back.
+/// Applies `delta`. Returns false without a change if it starts after the held revision or ends
+/// before it.
 bool ApplyDelta(Configuration& configuration, const ConfigurationDelta& delta);
 
 std::string EncodeDelta(const ConfigurationDelta& delta);
@@ -235,11 +239,12 @@
 /// Whether a node, a back end or a machine of `configuration` is in `zone`.
 bool IsKnownZone(const Configuration& configuration, const Zone& zone);
 
-/// Control nodes that are not gone, in the order of their names.
+/// Control nodes that are not gone, ordered by name.
 std::vector<NodeId> LiveControlNodes(const Configuration& configuration);
 
-/// State of a back end, merged from all sources in `configuration` (machine drain, engine drain,
-/// platform list, own word). The most cautious wins; unknown engines are kGone.
+/// State of a back end, merged from all sources in `configuration`: machine drain, engine drain,
+/// zone evacuation, platform list and its own report. The most cautious state wins; unknown engines
+/// are kGone.
 MemberState EffectiveState(const Configuration& configuration, const EngineName& engine);
 
 }  // namespace millstair
--- a/source/cluster/configuration_editor.cc
+++ b/source/cluster/configuration_editor.cc
@@ -26,12 +26,12 @@
   return version == WeightVersion() || FindPublished(status, version) != nullptr;
 }
 
-/// Ended lives of back ends that are remembered, so that a late report does not bring one back.
+/// Ended instances are retained so that a late report does not revive one.
 constexpr size_t kMaxEndedInstances = 1024;
 
-/// Reports in a row that have a instance current whose clock says that it was born before: two
-/// heartbeats after its first. Reports held up by a cut may arrive together; if they are current
-/// by that, the present instance, which goes on reporting, is current again the same way.
+/// Consecutive reports after which an instance with an earlier start time supersedes the current
+/// one. After a partition, delayed reports of an old instance may arrive together and supersede the
+/// current one; its own reports then make it current again in the same way.
 constexpr uint32_t kReportsToSupersede = 3;
 
 }  // namespace
@@ -186,8 +186,8 @@
 void ConfigurationEditor::UpdateNode(const NodeRecord& record) {
   const auto found = configuration_.nodes.find(record.node);
   if (found != configuration_.nodes.end()) {
-    // A instance that is gone gives way to any other: which of two began later is told by a clock
-    // that may have jumped in between.
+    // Any incarnation may replace one that is gone, because the clock that orders incarnations may
+    // have jumped.
     const bool began_earlier = record.incarnation < found->second.incarnation;
     if (began_earlier && found->second.state != MemberState::kGone) return;
     if (record == found->second) return;
@@ -233,7 +233,7 @@
   const BackendInstance& reported = update.instance;
   BackendInstance* current = CurrentInstance(reported.id);
   const bool complete = !reported.address.empty();
-  // A leaving that names no instance is that of the instance that is current.
+  // A deregistration without a start time applies to the current instance.
   const bool any_incarnation = !complete && StartTimeOf(reported.id) == StartTime();
   if (current != nullptr && (current->id == reported.id || any_incarnation)) {
     UpdateCurrent(*current, reported);
@@ -241,7 +241,8 @@
   }
   const auto former = configuration_.instances.find(reported.id);
   const bool known = former != configuration_.instances.end();
-  // A instance that has left does not come back, and one that was never known has nothing to leave.
+  // An instance that has left does not return. A deregistration is ignored if its instance is
+  // superseded, or unknown while another one is current.
   if (known && !former->second.superseded) return {};
   if (known && reported.sequence <= former->second.sequence) return {};
   if (!complete && (known || current != nullptr)) return {};
@@ -265,7 +266,7 @@
 BackendInstance* ConfigurationEditor::CurrentInstance(const InstanceId& instance) {
   const ServerName server = ServerNameOf(instance);
   BackendInstance* current = nullptr;
-  // Lives of one server stand next to each other, after its name.
+  // Instances of one server are adjacent in the map, since their ids start with its name.
   for (auto entry = configuration_.instances.lower_bound(InstanceId(server.value()));
        entry != configuration_.instances.end() &&
        entry->first.value().compare(0, server.value().size(), server.value()) == 0;
@@ -278,11 +279,11 @@
 bool ConfigurationEditor::ShouldSupersede(const BackendInstance& reported,
                                           BackendInstance& current) {
   const bool known = configuration_.instances.contains(reported.id);
-  // The usual case: a instance that nobody has heard of, born after the one that is current.
+  // Usual case: an unknown instance that started after the current one.
   if (!known && StartTimeOf(reported.id) > StartTimeOf(current.id)) return true;
-  // A server whose clock was set back goes on reporting, and the instance before it is silent. A
-  // report that was held up on its way comes once or a few times, and the current instance reports
-  // between.
+  // A restarted server whose clock was set back keeps reporting while the previous instance sends
+  // nothing. Delayed reports of an old instance arrive once or a few times, with reports of the
+  // current instance in between.
   RivalIncarnation& rival = current.rival;
   const bool same = rival.id == reported.id;
   if (same && reported.sequence <= rival.sequence) return false;
@@ -300,13 +301,13 @@
 
 void ConfigurationEditor::UpdateCurrent(BackendInstance& known, const BackendInstance& reported) {
   BackendInstance merged = known;
-  // No instance changes its service: such a report is another writer's, and says nothing of this
-  // one.
+  // An instance never changes its service: a report with another service comes from a different
+  // sender and is ignored.
   const bool other = !reported.address.empty() && reported.service != known.service;
   if (other) return;
   const bool newer = reported.sequence > known.sequence && !reported.address.empty();
   if (newer) merged = reported;
-  // One that says nothing of it is counted down where it was last told.
+  // Without a new value, the period reported earlier keeps counting down.
   const bool tells_cold = newer && reported.cold_left > Duration(0);
   merged.cold_left = tells_cold ? reported.cold_left : known.cold_left;
   merged.cold_at = tells_cold ? index_ : known.cold_at;
--- a/source/cluster/configuration_editor.h
+++ b/source/cluster/configuration_editor.h
@@ -1,5 +1,5 @@
-/// Operations of the cluster group that change the configuration. Each runs as a whole or not at
-/// all, and notes what it touched.
+/// Operations of the cluster group that change the configuration. Each is atomic and records the
+/// keys it changed.
 #pragma once
 
 #include "cluster/change_history.h"
@@ -9,12 +9,11 @@
 
 namespace millstair {
 
-/// Lives for one command.
+/// Used for one command only.
 class ConfigurationEditor {
  public:
-  /// `index` becomes the revision of what the command changes.
-  /// `now` is the state machine's clock.
-  /// `ended` is that of `configuration`.
+  /// `index` becomes the revision of the changes. `now` is the state machine's clock. `ended` must
+  /// be derived from `configuration`.
   ConfigurationEditor(Configuration& configuration, EndedInstances& ended, Revision index,
                       WallTime now, size_t max_published_versions, const ClusterFaults& faults)
       : configuration_(configuration),
@@ -40,13 +39,13 @@
   ClusterResult Run(const BeginTrial& begin);
   ClusterResult Run(const ClearSuspect& clear);
   ClusterResult Run(const EvacuateZone& evacuate);
-  /// Forgets suspect requests that are old.
+  /// Removes expired suspect requests.
   void ExpireSuspects();
 
   const ChangeSet& changes() const { return changes_; }
 
  private:
-  /// Adds the stored resource to `conflicting` if it is not at `expected`; whether it is.
+  /// Whether the stored resource is at `expected`; if not, it is added to `conflicting`.
   bool ExpectedHolds(const ResourceKey& key, const std::optional<Revision>& expected,
                      std::vector<Resource>& conflicting) const;
   void Store(const Resource& resource);
@@ -56,15 +55,15 @@
   void UpdateEngine(const EngineStatus& status);
   void TrimPublished(ModelStatus& status) const;
   void ForgetOldInstances();
-  /// The instance of its server that is current; null if none is known.
+  /// The current instance of the server that `instance` belongs to; null if there is none.
   BackendInstance* CurrentInstance(const InstanceId& instance);
-  /// Whether a report of another instance than `current` makes it the current one.
+  /// Whether a report of another instance than `current` makes that instance the current one.
   bool ShouldSupersede(const BackendInstance& reported, BackendInstance& current);
   void Supersede(BackendInstance& former);
   void UpdateCurrent(BackendInstance& known, const BackendInstance& reported);
   SuspectLedger suspects();
 
-  /// Notes that `instance` was changed, added or erased.
+  /// Records that `instance` was changed, added or erased.
   void Touch(const InstanceId& instance);
 
   Configuration& configuration_;
