--- a/source/cluster/change_history.cc
+++ b/source/cluster/change_history.cc
@@ -5,7 +5,7 @@
 namespace millstair {
 namespace {
 
-/// Sorts the touched keys into changed values and deleted keys.
+/// Splits the changed keys into current values and deleted keys.
 template <class Keys, class Map, class Value, class Key>
 void Collect(const Keys& keys, const Map& current, std::vector<Value>& changed,
              std::vector<Key>& deleted) {
@@ -19,7 +19,7 @@
   }
 }
 
-/// The same for a table that nothing is ever deleted from.
+/// Same as Collect, for tables whose entries are never deleted.
 template <class Keys, class Map, class Value>
 void CollectAdded(const Keys& keys, const Map& current, std::vector<Value>& changed) {
   for (const auto& key : keys) changed.push_back(current.at(key));
--- a/source/cluster/change_history.h
+++ b/source/cluster/change_history.h
@@ -1,4 +1,4 @@
-/// Edits of the configuration and the bounded history from which deltas are made.
+/// Change sets of the configuration, and the bounded history from which deltas are computed.
 #pragma once
 
 #include <deque>
@@ -9,7 +9,7 @@
 
 namespace millstair {
 
-/// What one command touched. Values are looked up when a delta is made.
+/// Keys changed by one command. Their values are looked up when a delta is computed.
 struct ChangeSet {
   std::set<ResourceKey> resources;
   std::set<ModelName> models;
@@ -28,18 +28,18 @@
   void Merge(const ChangeSet& other);
 };
 
-/// What `delta` touches.
+/// Keys that `delta` changes.
 ChangeSet ChangesOf(const ConfigurationDelta& delta);
 
-/// The newest changes, oldest first.
+/// The most recent changes, oldest first.
 class ChangeHistory {
  public:
   explicit ChangeHistory(size_t max_changes) : max_changes_(max_changes) {}
 
   void Add(Revision revision, ChangeSet changes);
-  /// Forgets everything up to `revision`: deltas from before it are full.
+  /// Discards the history up to `revision`; deltas from before it are full.
   void Reset(Revision revision);
-  /// Changes of `configuration` since `from`; full if the history does not reach back to it.
+  /// Delta of `configuration` since `from`; full if the history does not reach back that far.
   ConfigurationDelta Since(Revision from, const Configuration& configuration) const;
 
  private:
@@ -49,12 +49,12 @@
   };
 
   size_t max_changes_;
-  /// Revision before the oldest change held.
+  /// Revision just before the oldest retained change.
   Revision start_;
   std::deque<Change> changes_;
 };
 
-/// The whole of `configuration` as a delta.
+/// The complete `configuration` as a delta.
 ConfigurationDelta FullDelta(const Configuration& configuration);
 
 }  // namespace millstair
--- a/source/cluster/claim_table.cc
+++ b/source/cluster/claim_table.cc
@@ -50,7 +50,7 @@
     if (same_attempt) return Answer(ClusterResultCode::kOk);
     return Answer(ClusterResultCode::kClaimHeld, "the outcome of the key is not known");
   }
-  // A late copy of the attempt that gave the key back must not take it again.
+  // A delayed copy of the attempt that released the key must not claim it again.
   if (same_attempt) {
     return Answer(ClusterResultCode::kClaimHeld, "the attempt has given the key back");
   }
--- a/source/cluster/claim_table.h
+++ b/source/cluster/claim_table.h
@@ -1,4 +1,4 @@
-/// Once-only claims on the keys of non-repeatable requests.
+/// Claims on idempotency keys, so that a non-repeatable request runs at most once.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,16 @@
 namespace millstair {
 
 struct ClaimLimits {
-  /// How long a key is remembered, by the state machine's clock. No key is forgotten earlier.
+  /// Minimum time that a key is retained, by the state machine's clock.
   std::chrono::hours retention{24};
-  /// With so many keys remembered, new ones are refused until old ones may be forgotten.
+  /// At this number of retained keys, new ones are rejected until old ones expire.
   size_t max_claims = 250'000;
 };
 
 enum class ClaimState : uint8_t {
-  kHeld = 1,      ///< dispatched or about to be; the outcome is not known
+  kHeld = 1,      ///< dispatched or about to be; outcome unknown
   kDone = 2,      ///< ran
-  kReleased = 3,  ///< did not run; the key may be claimed again by another attempt
+  kReleased = 3,  ///< did not run; another attempt may claim the key again
 };
 
 struct Claim {
@@ -31,21 +31,21 @@
   std::string request_digest;
   ClaimState state = ClaimState::kHeld;
   int answer_status = 0;
-  /// When the key was first claimed, by the state machine's clock.
+  /// Time of the first claim of the key, by the state machine's clock.
   WallTime claimed_at;
-  /// Log index of the first claim; keys are forgotten in this order.
+  /// Log index of the first claim; keys expire in this order.
   LogIndex order;
   friend bool operator==(const Claim&, const Claim&) = default;
 };
 
-/// Part of the replicated state: bounded, deterministic.
+/// Part of the replicated state: deterministic, with bounded memory.
 class ClaimTable {
  public:
   explicit ClaimTable(ClaimLimits limits) : limits_(limits) {}
 
   ClusterResult Take(const ClaimKey& command, LogIndex index, WallTime now);
   ClusterResult Settle(const SettleClaim& command);
-  /// Forgets keys claimed longer ago than the retention.
+  /// Removes keys claimed longer ago than the retention.
   void Prune(WallTime now);
 
   const std::map<std::string, Claim>& claims() const { return claims_; }
--- a/source/cluster/session_table.h
+++ b/source/cluster/session_table.h
@@ -1,4 +1,4 @@
-/// Sessions of clients: the last answers of each, so that a resend gets its first answer.
+/// Client sessions: the last results of each client, so that a resend gets the first result.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +14,16 @@
 namespace millstair {
 
 struct SessionLimits {
-  /// The least recently used session makes room for a new one.
+  /// Beyond this number, the least recently used session is evicted.
   size_t max_sessions = 2048;
-  /// Answers kept for each session; older ones are forgotten.
+  /// Results retained per session; older ones are removed.
   size_t max_answers = 32;
-  /// A session unused for this long, by the state machine's clock, expires.
+  /// Sessions unused for this long, by the state machine's clock, expire.
   std::chrono::hours expiry{24};
 };
 
 struct SessionAnswer {
-  /// Digest of the operation, so that another command under the same sequence is refused.
+  /// Digest of the operation, used to reject another command with the same sequence.
   uint64_t command_digest = 0;
   /// Encoded ClusterResult.
   std::string result;
@@ -32,36 +32,36 @@
 
 struct Session {
   WallTime last_used;
-  /// Largest sequence whose answer was dropped; 0 is none.
+  /// Largest sequence whose result was removed; 0 if none.
   ClientSequence forgotten_through;
   std::map<ClientSequence, SessionAnswer> answers;
   friend bool operator==(const Session&, const Session&) = default;
 };
 
-/// Part of the replicated state: bounded, deterministic.
+/// Part of the replicated state: deterministic, with bounded memory.
 class SessionTable {
  public:
   enum class Lookup : uint8_t {
-    kNew,       ///< not seen: run it, then Store the answer
-    kAnswered,  ///< `*answer` is the first answer
-    kReused,    ///< the sequence was used for another command
-    kExpired,   ///< too old to be answered: neither run nor answered
+    kNew,       ///< not seen: run it, then Store the result
+    kAnswered,  ///< `*answer` is the first result
+    kReused,    ///< the sequence belongs to another command
+    kExpired,   ///< the first result is no longer stored; must not be run
   };
 
   explicit SessionTable(SessionLimits limits) : limits_(limits) {}
 
   void Open(const ClientId& client, WallTime now);
   Lookup Find(const SessionStamp& stamp, uint64_t command_digest, std::string* answer) const;
-  /// Keeps the answer of a command that Find called new.
+  /// Stores the result of a command for which Find returned kNew.
   void Store(const SessionStamp& stamp, SessionAnswer answer, WallTime now);
-  /// Drops sessions unused for longer than the expiry.
+  /// Removes sessions unused for longer than the expiry.
   void Expire(WallTime now);
 
   const std::map<ClientId, Session>& sessions() const { return sessions_; }
   void Replace(std::map<ClientId, Session> sessions);
 
  private:
-  /// Order of last use; ties are broken by name, so it is the same on every replica.
+  /// Ordered by last use; ties are broken by name, so the order is the same on every replica.
   struct Use {
     WallTime last_used;
     ClientId client;
--- a/source/cluster/task_leases.cc
+++ b/source/cluster/task_leases.cc
@@ -21,9 +21,9 @@
   std::erase_if(held_, over);
   std::erase_if(own_announcements_, over);
   held_.erase(announcement.subject);
-  // This node's own_announcement acts are no other holder's. It announces only what MayOperateOn
-  // allowed once all that earlier leaders committed was applied, so a lease before its announcement
-  // was over.
+  // This node's announcement ends any other holder's lease: it was only made when MayOperateOn
+  // allowed it, after all entries of earlier leaders were applied, so the earlier lease had
+  // expired.
   if (announcement.holder == self_) {
     own_announcements_[announcement.subject] = {announcement, now + kLeaseMargin};
     return;
--- a/source/cluster/task_leases.h
+++ b/source/cluster/task_leases.h
@@ -1,9 +1,10 @@
-/// Which subjects of a duty this node may act on: engines that take orders, or the platform's
-/// accounts. The holder of a subject is whoever announced the latest act in the group's log;
-/// another node waits until the holder's lease is over for that subject. Time is counted from when
-/// announcements are applied here, which is never before they were made; announcements of one term
-/// also tell how much of the holder's time passed between them, so that a node that applies an old
-/// log at once waits only for what is left.
+/// Decides which subjects of a leader task (engines that take orders, or the platform's accounts)
+/// this node may operate on. The lease holder of a subject is the node that made the latest
+/// announcement in the group's log; other nodes wait until its lease on that subject has expired.
+///
+/// The lease starts when the announcement is applied locally, which is never before it was made.
+/// Announcements of one term also carry the holder's steady time, so that a node that applies many
+/// old entries at once only waits for the remaining time.
 #pragma once
 
 #include <map>
@@ -14,38 +15,38 @@
 
 namespace millstair {
 
-/// An act is carried out within this time of its announcement or not at all: it covers a commit of
-/// the group and a slow scheduler, and is far below any lease.
+/// An operation starts within this time of its announcement or is dropped. Covers the commit and a
+/// slow scheduler, and is far shorter than any lease.
 inline constexpr Duration kAnnouncementValidity = std::chrono::milliseconds(250);
-/// Beyond the lease: an act on its way may arrive late by this, a new connection among it.
+/// Added to the lease, since an operation may arrive late, for example over a new connection.
 inline constexpr Duration kLeaseMargin = std::chrono::milliseconds(400) + kAnnouncementValidity;
 
-/// The holder is about to act on a subject, within kAnnouncementValidity.
+/// The lease holder is about to operate on a subject, within kAnnouncementValidity.
 struct LeaseAnnouncement {
   NodeId holder;
   std::string subject;
-  /// In which the holder leads the group; also the fence of its acts.
+  /// Term in which the holder leads the group; also the fencing token of its operations.
   Term term;
-  /// Steady time of the holder; comparable with its other announcements of the same term only.
+  /// Steady time of the holder, comparable only with its announcements of the same term.
   Duration announced_at{0};
   friend bool operator==(const LeaseAnnouncement&, const LeaseAnnouncement&) = default;
 };
 
-/// Lives on the node's serial executor. A new leader asks it only once everything that earlier
-/// leaders committed is applied here: the last announcement of another holder is among that.
+/// Used on the node's serial executor. A new leader may query it only after it has applied all
+/// entries committed by earlier leaders, which include the last announcements of other holders.
 class TaskLeases {
  public:
-  /// `lease` is counted from an announcement, and covers the time that its act may take.
+  /// `lease` starts at an announcement and must cover the duration of the operation.
   TaskLeases(Environment& environment, NodeId self, Duration lease);
 
-  /// An announcement was applied here, in the order of the log.
+  /// Handles an applied announcement. Must be called in log order.
   void OnAnnouncement(const LeaseAnnouncement& announcement);
-  /// Whether this node, which leads in `term`, may act on `subject`: not while another node may
-  /// hold it, nor while an act of this node's own from an earlier term may still be on its way,
-  /// which would arrive with a smaller fence after one of this term.
+  /// Whether this node, leader in `term`, may operate on `subject`. False while another node may
+  /// hold the lease, and while this node's own operation from an earlier term may still be in
+  /// flight: its smaller fencing token would arrive after one of this term.
   bool MayOperateOn(const std::string& subject, Term term) const;
-  /// The same for an act whose announcement, made at `announced_at`, is committed by now: not if
-  /// that took too long.
+  /// Same as MayOperateOn for an operation whose announcement, made at `announced_at`, has been
+  /// committed. Also false if the commit took longer than kAnnouncementValidity.
   bool MayStillOperateOn(const std::string& subject, Term term, TimePoint announced_at) const;
 
  private:
@@ -57,9 +58,9 @@
   Environment& environment_;
   const NodeId self_;
   const Duration lease_;
-  /// Leases of other nodes; those that are over go with the next announcement.
+  /// Leases of other nodes. Expired ones are removed at the next announcement.
   std::map<std::string, Entry> held_;
-  /// This node's own latest announcement of each subject, while its act may be on its way.
+  /// This node's latest announcement by subject, while its operation may be in flight.
   std::map<std::string, Entry> own_announcements_;
 };
 
