--- a/source/cluster/backend_instance_id.cc
+++ b/source/cluster/backend_instance_id.cc
@@ -14,7 +14,8 @@
   const std::string& name = server.value();
   if (started_at != StartTime())
     return InstanceId(name + kSeparator + std::to_string(started_at.value()));
-  // What follows the last sign is the time; a name that holds one needs an empty time.
+  // The start time follows the last separator, so a name that contains one needs an empty start
+  // time.
   if (name.find(kSeparator) != std::string::npos) return InstanceId(name + kSeparator);
   return InstanceId(name);
 }
--- a/source/cluster/cold_reports.cc
+++ b/source/cluster/cold_reports.cc
@@ -3,10 +3,9 @@
 namespace millstair {
 namespace {
 
-/// Reports are late by different times, some hundred milliseconds at most within a region. A server
-/// that is cold once more says seconds.
+/// Tolerates different delays of reports. A server that is cold again reports seconds.
 constexpr Duration kTolerance = std::chrono::milliseconds(500);
-/// Beyond so many entries (some 150 kB) those that are over are dropped.
+/// Expired entries are removed beyond this number.
 constexpr size_t kMaxEntriesBeforeCleanup = 1024;
 
 }  // namespace
--- a/source/cluster/cold_reports.h
+++ b/source/cluster/cold_reports.h
@@ -1,6 +1,6 @@
-/// Which reports of servers that are slow after their start tell something new. Such a server says
-/// with each heartbeat how much longer it stays so; nodes count that down by themselves, so only
-/// the first word of it, and one that says more than is left by the last, has to be committed.
+/// Decides which slow-start reports must be committed. A cold server reports the remaining
+/// slow-start period with each heartbeat. Nodes count it down themselves, so only the first report
+/// and one that extends the period need a commit.
 #pragma once
 
 #include <map>
@@ -10,17 +10,17 @@
 
 namespace millstair {
 
-/// Lives on the node's serial executor. Holds what came through this node alone: a first report
-/// here is news, though another node may have had it committed; that only sets the count anew.
+/// Used on the node's serial executor. Knows only reports received by this node: its first one is
+/// committed even if another node had one committed, which only restarts the countdown.
 class ColdReports {
  public:
-  /// Notes the report. `cold_left` 0 is never news.
+  /// Records the report. Always false for a `cold_left` of 0.
   bool NeedsCommit(const InstanceId& instance, Duration cold_left, TimePoint now);
 
  private:
   void ForgetExpired(TimePoint now);
 
-  /// Until when each is slow by its last report that was news.
+  /// End of the slow-start period by instance, from its last report that needed a commit.
   std::map<InstanceId, TimePoint> cold_until_;
 };
 
--- a/source/cluster/ended_instances.h
+++ b/source/cluster/ended_instances.h
@@ -1,6 +1,5 @@
-/// Lives of back ends that are over, in the order in which they were registered: which of them is
-/// to be forgotten next. Kept by change: 9,999 servers that register one after another were each
-/// followed by a walk through all that were known.
+/// Ended instances in order of registration, to find the next one to remove without scanning all
+/// known instances.
 #pragma once
 
 #include <map>
@@ -12,14 +11,14 @@
 
 namespace millstair {
 
-/// Derived from a configuration; the same on every replica.
+/// Derived from a configuration, so it is the same on every replica.
 class EndedInstances {
  public:
-  /// Takes over a whole configuration.
+  /// Rebuilds the index from a complete configuration.
   void Rebuild(const Configuration& configuration);
-  /// `instance` may have changed.
+  /// Must be called after a change of `instance`.
   void Update(const Configuration& configuration, const InstanceId& instance);
-  /// The one registered first, if there are more than `max_instances`.
+  /// The instance registered first, if there are more than `max_instances`.
   std::optional<InstanceId> OldestBeyond(size_t max_instances) const;
 
  private:
--- a/source/cluster/report_batch.cc
+++ b/source/cluster/report_batch.cc
@@ -3,10 +3,10 @@
 namespace millstair {
 namespace {
 
-/// Between two entries of reports. A server waits a second for its acknowledgement; at 1,600
-/// reports a second an entry holds some thirty.
+/// Minimum time between two entries, well below the second that a server waits for its
+/// acknowledgement.
 constexpr Duration kBatchInterval = std::chrono::milliseconds(20);
-/// An entry of so many reports takes some 50 kB.
+/// Keeps an entry at some 50 kB.
 constexpr size_t kMaxReports = 256;
 
 }  // namespace
--- a/source/cluster/report_batch.h
+++ b/source/cluster/report_batch.h
@@ -1,6 +1,5 @@
-/// Groups the reports of back ends that reach the leader in a few milliseconds into one entry of
-/// the log. 9,999 servers that register in six seconds were as many entries, each sent to nine
-/// other replicas and answered by them: the leader had no time left for its heartbeats.
+/// Groups back-end reports that reach the leader within a few milliseconds into one log entry, so
+/// that thousands of servers that register together don't delay the leader's heartbeats.
 #pragma once
 
 #include <functional>
@@ -12,11 +11,11 @@
 
 namespace millstair {
 
-/// Lives on the node's serial executor, on any control node; used while it leads.
+/// Used on the node's serial executor of each control node, while it leads.
 class ReportBatch {
  public:
   using Done = std::function<void(absl::StatusOr<std::string>)>;
-  /// Whether every live node reads entries of several reports.
+  /// Whether every live node can decode entries with several reports.
   using CanGroup = std::function<bool()>;
 
   ReportBatch(Environment& environment, ClusterReplica& cluster, CanGroup can_group)
@@ -25,8 +24,8 @@
         can_group_(std::move(can_group)),
         timer_(environment) {}
 
-  /// `done` hears the encoded result once the report is committed. One that comes alone is proposed
-  /// at once.
+  /// `done` gets the encoded result once the report is committed. A single report is proposed at
+  /// once.
   void Add(BackendInstance report, Done done);
 
  private:
