--- a/source/cluster/command_service.cc
+++ b/source/cluster/command_service.cc
@@ -5,8 +5,8 @@
 namespace millstair {
 namespace {
 
-/// A look at all nodes' feature levels holds for this long; a node that goes back to an earlier
-/// build takes longer to start.
+/// How long the minimum feature level is cached. Shorter than the restart of a node with an earlier
+/// build.
 constexpr Duration kLevelCacheLifetime = std::chrono::milliseconds(250);
 
 }  // namespace
@@ -28,9 +28,9 @@
   const RaftGroup* group = groups_->Find(streams_.Resolve(command->group));
   if (group == nullptr || !group->IsLeader()) return Forward(from, *std::move(command));
   const Running key{command->origin.value().empty() ? from : command->origin, command->id};
-  // A resend of a command that is under way is answered with it.
+  // A resend of a running command gets no reply of its own: the reply to the first one serves both.
   if (!running_.insert(key).second) return;
-  // The callback needs all but the body.
+  // The callback needs everything except the body.
   const std::string body = std::exchange(command->command, "");
   auto reply = alive_.Guard(
       [this, key, from, command = *command](const absl::StatusOr<std::string>& result) {
@@ -128,8 +128,8 @@
   clock_.AddSample(query.node, query.wall, now);
   const auto agreed = AgreedTime();
   if (!agreed) {
-    // Not Unavailable: a repeat of this call would tell a time that has passed.
-    return absl::FailedPreconditionError("too few clocks were heard of");
+    // Not Unavailable, because a retry of this call would return an outdated time.
+    return absl::FailedPreconditionError("samples of too few clocks");
   }
   return EncodeAgreedTime(*agreed);
 }
@@ -151,7 +151,7 @@
   if (result.ok()) {
     reply.result = *result;
   } else {
-    // Whether a proposal ran is not known then; the client repeats it under its own protection.
+    // The outcome of the proposal is unknown; the client retries it under its own deduplication.
     const bool try_again =
         absl::IsUnavailable(result.status()) || absl::IsDeadlineExceeded(result.status());
     reply.status = try_again ? absl::StatusCode::kUnavailable : result.status().code();
--- a/source/cluster/command_service.h
+++ b/source/cluster/command_service.h
@@ -1,5 +1,5 @@
-/// Commands of other nodes for a group: served if this node leads the group, else passed on to the
-/// leader, whose reply comes back this way.
+/// Handles group commands from other nodes: runs them if this node leads the group, otherwise
+/// forwards them to the leader and its reply back to the sender.
 #pragma once
 
 #include <set>
@@ -21,19 +21,19 @@
                  StreamHost& streams, const MembershipManager& membership, NodeId self);
 
   void Start(GroupHost& groups) { groups_ = &groups; }
-  /// A message of kind kCommand.
+  /// Handles a message of kind kCommand.
   void ReceiveCommand(const NodeId& from, const PeerMessage& message);
-  /// A message of kind kCommandReply; whether it was bound for another node and passed on.
+  /// Handles a message of kind kCommandReply. True if it was for another node and was forwarded.
   bool ForwardReply(const PeerMessage& message);
-  /// The cluster's time as this node keeps it; none unless it leads the cluster group and has heard
-  /// of enough clocks.
+  /// The agreed time of the cluster; nullopt unless this node leads the cluster group and has
+  /// samples of enough clocks.
   std::optional<WallTime> AgreedTime() const;
-  /// Runs a command of this node itself. Unavailable if it does not lead the group.
+  /// Runs a command of this node. Unavailable if it does not lead the group.
   void Run(const GroupId& wanted, CommandMode mode, const std::string& command,
            std::function<void(absl::StatusOr<std::string>)> done);
 
  private:
-  /// A command under way, told from its resends.
+  /// A running command, to recognize its resends.
   struct Running {
     NodeId from;
     uint64_t id = 0;
@@ -43,13 +43,14 @@
   void Forward(const NodeId& from, GroupCommand command);
   void ProposeToCluster(const std::string& command,
                         std::function<void(absl::StatusOr<std::string>)> done);
-  /// Whether every live node reads entries of several reports. On the leader only.
+  /// Whether every live node can decode entries with several reports. On the leader only.
   bool CanGroupReports();
   void QueryCluster(const std::string& query,
                     std::function<void(absl::StatusOr<std::string>)> done);
   absl::StatusOr<std::string> AnswerQuery(const ClusterQuery& query) const;
-  /// Notes the asking node's clock and tells the agreed time. Needs no confirmed read: a leader
-  /// that was deposed unawares still has the clocks that it heard, and its own steady clock.
+  /// Adds a sample of the querying node's clock and returns the agreed time. Needs no confirmed
+  /// read: a leader that does not know that it was deposed still has valid samples and its own
+  /// steady clock.
   absl::StatusOr<std::string> AnswerTime(const ClusterQuery& query);
   void Reply(const NodeId& to, const GroupCommand& command,
              const absl::StatusOr<std::string>& result);
