--- a/source/cluster/cluster_faults.h
+++ b/source/cluster/cluster_faults.h
@@ -1,21 +1,21 @@
-/// Switches for variants that are broken on purpose. Tests and the simulator use them to prove
-/// that their checks catch the fault; all are off in the product.
+/// Injected faults. Tests and the simulator enable them to prove that their checks detect the
+/// fault; all are off in production.
 #pragma once
 
 namespace millstair {
 
 struct ClusterFaults {
-  /// Snapshots leave the sessions out, and a stamp of an unknown session is taken for new.
+  /// Snapshots omit the sessions, and a stamp of an unknown session counts as new.
   bool sessions_not_in_snapshot = false;
-  /// Each claim is granted, whoever holds the key.
+  /// Every claim is granted, even if the key is claimed.
   bool claim_skipped = false;
-  /// Heartbeats are answered from the local state, without a confirmed read.
+  /// Heartbeats get a reply from the local state without a confirmed read.
   bool heartbeat_unconfirmed = false;
-  /// A node applies changes of a smaller revision than it holds.
+  /// Nodes apply deltas of a smaller revision than they hold.
   bool smaller_revision_accepted = false;
-  /// Compare-and-set does not look at the expected version.
+  /// Compare-and-set ignores the expected version.
   bool expected_version_ignored = false;
-  /// Heartbeats say no feature level, as those of the first builds.
+  /// Heartbeats carry no feature level, like those of the first builds.
   bool no_feature_level = false;
 };
 
--- a/source/cluster/command_codec.cc
+++ b/source/cluster/command_codec.cc
@@ -33,7 +33,7 @@
 int64_t ToMilliseconds(WallTime time) { return time.time_since_epoch().count(); }
 WallTime FromMilliseconds(int64_t count) { return WallTime(std::chrono::milliseconds(count)); }
 
-/// Fills the operation of a wire command; one overload an operation.
+/// Encodes an operation into a wire command; one overload per operation.
 struct OperationWriter {
   WireArena& arena;
   millstair_ClusterCommand& wire;
@@ -117,9 +117,9 @@
     target.deleted_nodes = NewStrings(arena, deleted, &target.deleted_nodes_count);
   }
 
-  void operator()(const BootstrapStreamGroup& found) const {
+  void operator()(const BootstrapStreamGroup& bootstrap) const {
     wire.which_operation = millstair_ClusterCommand_found_group_tag;
-    wire.operation.found_group = ToWire(arena, found);
+    wire.operation.found_group = ToWire(arena, bootstrap);
   }
 
   void operator()(const ReplaceRouting& replace) const {
@@ -137,9 +137,9 @@
     wire.operation.name_version = ToWire(arena, name.named);
   }
 
-  void operator()(const BootstrapJobGroup& found) const {
+  void operator()(const BootstrapJobGroup& bootstrap) const {
     wire.which_operation = millstair_ClusterCommand_found_job_group_tag;
-    wire.operation.found_job_group = ToWire(arena, found.group);
+    wire.operation.found_job_group = ToWire(arena, bootstrap.group);
   }
 
   void operator()(const PlaceJobGroup& place) const {
--- a/source/cluster/configuration_wire.cc
+++ b/source/cluster/configuration_wire.cc
@@ -13,7 +13,7 @@
   return true;
 }
 
-/// Values of strong string ids, for a `repeated string` field.
+/// Strings of strong string ids, for a `repeated string` field.
 template <class Id>
 char** NewIds(WireArena& arena, const std::vector<Id>& ids, pb_size_t* count) {
   std::vector<std::string> strings;
@@ -161,20 +161,20 @@
   return member.replica != ReplicaId();
 }
 
-millstair_FoundGroup ToWire(WireArena& arena, const BootstrapStreamGroup& found) {
+millstair_FoundGroup ToWire(WireArena& arena, const BootstrapStreamGroup& bootstrap) {
   millstair_FoundGroup wire = millstair_FoundGroup_init_zero;
-  wire.stream = arena.NewString(found.stream.value());
-  wire.generation = found.generation.value();
-  wire.founders =
-      NewWireArray<millstair_FoundingMember>(arena, found.initial_members, &wire.founders_count);
+  wire.stream = arena.NewString(bootstrap.stream.value());
+  wire.generation = bootstrap.generation.value();
+  wire.founders = NewWireArray<millstair_FoundingMember>(arena, bootstrap.initial_members,
+                                                         &wire.founders_count);
   return wire;
 }
 
-bool FromWire(const millstair_FoundGroup& wire, BootstrapStreamGroup& found) {
-  found.stream = StreamName(ToString(wire.stream));
-  found.generation = Revision(wire.generation);
-  return FromWireArray(wire.founders, wire.founders_count, found.initial_members) &&
-         !found.initial_members.empty();
+bool FromWire(const millstair_FoundGroup& wire, BootstrapStreamGroup& bootstrap) {
+  bootstrap.stream = StreamName(ToString(wire.stream));
+  bootstrap.generation = Revision(wire.generation);
+  return FromWireArray(wire.founders, wire.founders_count, bootstrap.initial_members) &&
+         !bootstrap.initial_members.empty();
 }
 
 millstair_RoutingDocument ToWire(WireArena& arena, const RoutingDocument& document) {
@@ -365,7 +365,7 @@
   delta.deleted_machines = StringsFromWire(wire.deleted_machines, wire.deleted_machines_count);
   delta.deleted_engines = IdsFromWire<EngineName>(wire.deleted_engines, wire.deleted_engines_count);
   if (wire.has_routing && !FromWire(wire.routing, delta.routing.emplace())) {
-    return absl::InvalidArgumentError("configuration delta with a faulty routing document");
+    return absl::InvalidArgumentError("configuration delta with an invalid routing document");
   }
   delta.deleted_instances =
       IdsFromWire<InstanceId>(wire.deleted_instances, wire.deleted_instances_count);
--- a/source/cluster/configuration_wire.h
+++ b/source/cluster/configuration_wire.h
@@ -1,4 +1,4 @@
-/// Members and models of the configuration as nanopb structs of api/cluster.proto.
+/// Conversion of the configuration to and from the nanopb structs of api/cluster.proto.
 #pragma once
 
 #include "api/generated/cluster.pb.h"
@@ -14,16 +14,16 @@
 millstair_MachineStatus ToWire(WireArena& arena, const MachineStatus& status);
 millstair_EngineStatus ToWire(WireArena& arena, const EngineStatus& status);
 millstair_FoundingMember ToWire(WireArena& arena, const GroupMember& member);
-millstair_FoundGroup ToWire(WireArena& arena, const BootstrapStreamGroup& found);
+millstair_FoundGroup ToWire(WireArena& arena, const BootstrapStreamGroup& bootstrap);
 
-/// False if an enumerator is unknown.
+/// False for an unknown enumerator.
 bool FromWire(const millstair_PublishedVersion& wire, PublishedVersion& version);
 bool FromWire(const millstair_ModelStatus& wire, ModelStatus& status);
 bool FromWire(const millstair_NodeRecord& wire, NodeRecord& record);
 bool FromWire(const millstair_MachineStatus& wire, MachineStatus& status);
 bool FromWire(const millstair_EngineStatus& wire, EngineStatus& status);
 bool FromWire(const millstair_FoundingMember& wire, GroupMember& member);
-bool FromWire(const millstair_FoundGroup& wire, BootstrapStreamGroup& found);
+bool FromWire(const millstair_FoundGroup& wire, BootstrapStreamGroup& bootstrap);
 
 millstair_RoutingDocument ToWire(WireArena& arena, const RoutingDocument& document);
 bool FromWire(const millstair_RoutingDocument& wire, RoutingDocument& document);
--- a/source/cluster/feature_level.h
+++ b/source/cluster/feature_level.h
@@ -1,7 +1,7 @@
-/// What a build reads of messages between nodes, entries of the cluster's log and its snapshots.
-/// Builds of two levels run side by side while a fleet is replaced: fields that are added are
-/// passed over by the build before; an entry of a new kind is not, so it is proposed only once
-/// every node that is live has said in its heartbeats that it reads it.
+/// Feature levels: which messages, log entries and snapshots a build can decode. Builds of two
+/// levels run side by side during an upgrade. An earlier build skips unknown fields but cannot
+/// decode unknown kinds of entries, so a new kind is proposed only once every live node has
+/// reported its support in heartbeats.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,19 @@
 
 using FeatureLevel = uint32_t;
 
-/// Heartbeats say no level: only what the first builds knew is read.
+/// Heartbeats without a level: only the features of the first builds are supported.
 inline constexpr FeatureLevel kFirstLevel = 0;
-/// Evacuated zones are read, and obeyed.
+/// Evacuated zones are decoded and get no requests.
 inline constexpr FeatureLevel kEvacuationLevel = 1;
-/// Reports of several back ends in one entry are read.
+/// Entries with the reports of several back ends are decoded.
 inline constexpr FeatureLevel kGroupedReportsLevel = 1;
-/// A control node without a replica relays, and a node that asks in a search turns to whoever can
-/// prove what it lacks.
+/// Control nodes without a replica relay, and a node that looks for a newer configuration uses any
+/// node that can confirm it.
 inline constexpr FeatureLevel kRelayLevel = 1;
-/// What this build reads.
+/// Level of this build.
 inline constexpr FeatureLevel kOwnLevel = kEvacuationLevel;
 
-/// The live node that reads least, which decides what may be proposed.
+/// The lowest level among live nodes, with its node; it limits what may be proposed.
 struct MinFeatureLevel {
   FeatureLevel level = kOwnLevel;
   NodeId node;
--- a/source/cluster/resource_wire.cc
+++ b/source/cluster/resource_wire.cc
@@ -64,7 +64,7 @@
   return FromWire(wire, selector.emplace());
 }
 
-/// Fills the spec of a wire resource; one overload a kind.
+/// Encodes a spec into a wire resource; one overload per kind.
 struct SpecWriter {
   WireArena& arena;
   millstair_Resource& wire;
--- a/source/cluster/resource_wire.h
+++ b/source/cluster/resource_wire.h
@@ -1,4 +1,4 @@
-/// Resources as nanopb structs of api/cluster.proto.
+/// Conversion of resources to and from the nanopb structs of api/cluster.proto.
 #pragma once
 
 #include "api/generated/cluster.pb.h"
@@ -14,11 +14,11 @@
 millstair_ResourceKey ToWire(WireArena& arena, const ResourceKey& key);
 bool FromWire(const millstair_ResourceKey& wire, ResourceKey& key);
 
-/// Array of strings for a `repeated string` field; `*count` gets its length.
+/// Array of strings for a `repeated string` field; `*count` is set to its length.
 char** NewStrings(WireArena& arena, const std::vector<std::string>& strings, pb_size_t* count);
 std::vector<std::string> StringsFromWire(char* const* strings, pb_size_t count);
 
-/// Array of the wire forms of `values`; `*count` gets its length.
+/// Array of the wire forms of `values`; `*count` is set to its length.
 template <class Wire, class Values>
 Wire* NewWireArray(WireArena& arena, const Values& values, pb_size_t* count) {
   Wire* array = arena.NewArray<Wire>(values.size());
@@ -28,7 +28,7 @@
   return array;
 }
 
-/// Appends the values of a wire array; false at the first that is not valid.
+/// Appends the values of a wire array; false at the first invalid one.
 template <class Value, class Wire>
 bool FromWireArray(const Wire* array, pb_size_t count, std::vector<Value>& values) {
   values.reserve(values.size() + count);
--- a/source/cluster/suspect_wire.h
+++ b/source/cluster/suspect_wire.h
@@ -1,4 +1,4 @@
-/// Suspect requests as nanopb structs of api/cluster.proto.
+/// Conversion of suspect requests to and from the nanopb structs of api/cluster.proto.
 #pragma once
 
 #include "api/generated/cluster.pb.h"
--- a/source/cluster/usage_wire.h
+++ b/source/cluster/usage_wire.h
@@ -1,4 +1,5 @@
-/// Usage reports, sums of usage and announcements of duties as nanopb structs of api/cluster.proto.
+/// Conversion of usage reports, usage sums and lease announcements to and from the nanopb structs
+/// of api/cluster.proto.
 #pragma once
 
 #include "api/generated/cluster.pb.h"
@@ -9,15 +10,15 @@
 namespace millstair {
 
 millstair_UsageReport ToWire(WireArena& arena, const UsageReport& report);
-/// False if the report names no gateway or has no number.
+/// False if the report has no gateway or no number.
 bool FromWire(const millstair_UsageReport& wire, UsageReport& report);
 
 millstair_AnnounceDuty ToWire(WireArena& arena, const LeaseAnnouncement& announcement);
-/// False if the holder or the subject is missing.
+/// False without a holder or a subject.
 bool FromWire(const millstair_AnnounceDuty& wire, LeaseAnnouncement& announcement);
 
 millstair_UsageLedger ToWire(WireArena& arena, const UsageLedger::State& state);
-/// False if a count or a reported gateway is not sound.
+/// False if a count or a reporting gateway is invalid.
 bool FromWire(const millstair_UsageLedger& wire, UsageLedger::State& state);
 
 }  // namespace millstair
