--- a/source/cluster/machine_retirement.cc
+++ b/source/cluster/machine_retirement.cc
@@ -7,7 +7,7 @@
 
 bool HoldsReplicas(const NodeRecord& record) { return record.control || record.storage; }
 
-/// Nodes with the role that stay if `machine` goes.
+/// Live nodes with the role that remain without `machine`.
 size_t CountLeft(const Configuration& configuration, const std::string& machine,
                  bool NodeRecord::*role) {
   size_t left = 0;
--- a/source/cluster/machine_retirement.h
+++ b/source/cluster/machine_retirement.h
@@ -1,5 +1,5 @@
-/// Emptying a machine for good: which of its nodes hold replicas, whether enough others are left,
-/// and whether all of them are emptied. The managers of the groups move the replicas.
+/// Retirement of a machine: which of its nodes hold replicas, whether enough other nodes remain,
+/// and whether all replicas have been moved off. The replica managers of the groups move them.
 #pragma once
 
 #include <optional>
@@ -11,21 +11,21 @@
 
 namespace millstair {
 
-/// How many replicas of each kind have to be left.
+/// Minimum number of nodes of each kind that must remain.
 struct MinReplicaNodes {
   size_t control = 0;
   size_t storage = 0;
 };
 
-/// The nodes on `machine` that hold replicas, or did.
+/// Nodes on `machine` that may hold replicas.
 std::vector<NodeId> ReplicaNodesOf(const Configuration& configuration, const std::string& machine);
 
-/// NotFound if no storage node is on `machine`; FailedPrecondition if too few control or storage
-/// nodes would be left. A machine that is being emptied already may be.
+/// NotFound if `machine` has no storage node; FailedPrecondition if too few control or storage
+/// nodes would remain. OK for a machine that is already being retired.
 absl::Status CheckRetirable(const Configuration& configuration, const std::string& machine,
                             const MinReplicaNodes& min_nodes);
 
-/// Whether no node on `machine` holds a replica any more; nothing if it is not being emptied.
+/// Whether all nodes on `machine` are emptied; nullopt if it is not being retired.
 std::optional<bool> IsMachineEmptied(const Configuration& configuration,
                                      const std::string& machine);
 
--- a/source/cluster/zone_evacuation.cc
+++ b/source/cluster/zone_evacuation.cc
@@ -24,7 +24,7 @@
     LogEvent(EventId::kFeatureNotRead, "node={} level={} needed={}", min_level->node,
              min_level->level, kEvacuationLevel);
     return done(absl::UnavailableError(
-        fmt::format("the build of {} does not obey evacuations", min_level->node)));
+        fmt::format("the build of node {} does not support evacuations", min_level->node)));
   }
   submitter_.ChangeRepeatable(order, std::move(done));
 }
--- a/source/cluster/zone_evacuation.h
+++ b/source/cluster/zone_evacuation.h
@@ -1,5 +1,5 @@
-/// Operators' orders that the back ends of a zone get nothing, and that this is over. Sent to the
-/// leader of the cluster group once every live node has said that it reads and obeys them.
+/// Starts and ends zone evacuations for operators. An order goes to the leader of the cluster group
+/// once every live node has reported that it supports evacuations.
 #pragma once
 
 #include <functional>
@@ -10,15 +10,15 @@
 
 namespace millstair {
 
-/// Lives on the node's serial executor.
+/// Used on the node's serial executor.
 class ZoneEvacuation {
  public:
   using Done = std::function<void(absl::StatusOr<ClusterResult>)>;
 
   explicit ZoneEvacuation(ClusterSubmitter& submitter) : submitter_(submitter) {}
 
-  /// May be sent again. NotFound for a zone in which nothing is known; Unavailable while the
-  /// outcome is not known, or while a node is live that would not obey.
+  /// Idempotent. NotFound for a zone without nodes, back ends or machines; Unavailable if the
+  /// outcome is unknown or a live node does not support evacuations.
   void Submit(const EvacuateZone& order, Done done);
 
  private:
