--- a/source/cluster/evacuation_routes.h
+++ b/source/cluster/evacuation_routes.h
@@ -1,5 +1,5 @@
-/// Operators' routes for zones whose back ends are to get nothing: PUT /v1/evacuations/{zone}
-/// begins an evacuation, DELETE ends it, GET /v1/evacuations lists those in force.
+/// Operators' routes for zone evacuations: PUT /v1/evacuations/{zone} starts one, DELETE ends it,
+/// GET /v1/evacuations lists those in force.
 #pragma once
 
 #include <boost/json.hpp>
@@ -9,7 +9,7 @@
 
 namespace millstair {
 
-/// The evacuations of `configuration`, as operators read them.
+/// The evacuations of `configuration` in the JSON form of the operators' API.
 boost::json::array EvacuationsToJson(const Configuration& configuration);
 
 class EvacuationRoutes {
@@ -17,9 +17,9 @@
   EvacuationRoutes(const ClusterReplica& cluster, ZoneEvacuation& evacuation)
       : cluster_(cluster), evacuation_(evacuation) {}
 
-  /// As this control node knows them; may be a moment behind.
+  /// From this control node's copy, which may lag behind.
   void List(const SharedWriter& writer) const;
-  /// May be sent again.
+  /// Idempotent.
   void Change(const EvacuateZone& order, const SharedWriter& writer);
 
  private:
--- a/source/cluster/operators_answer.cc
+++ b/source/cluster/operators_answer.cc
@@ -62,7 +62,7 @@
     case ClusterResultCode::kNotFound:
       return RespondRefused(writer, 404, "not found", result.message);
     case ClusterResultCode::kSessionExpired:
-      // Nothing was done now; whether an earlier send was is no longer known.
+      // This command changed nothing, but an earlier send of it may have run.
       return RespondProblem(
           writer, {410, "session expired", result.message, Outcome::kUnknown, std::nullopt});
     default:
--- a/source/cluster/operators_answer.h
+++ b/source/cluster/operators_answer.h
@@ -1,4 +1,4 @@
-/// Answers of the operators' HTTP API.
+/// Responses of the operators' HTTP API.
 #pragma once
 
 #include <memory>
@@ -15,12 +15,13 @@
 
 /// 200 with a JSON body, and `ETag: "N"` unless `version` is 0.
 void RespondJson(ResponseWriter& writer, std::string body, Revision version = Revision());
-/// A problem that is the caller's fault; nothing was done.
+/// Rejects a faulty request; nothing was done.
 void RespondRefused(ResponseWriter& writer, int status, const std::string& title,
                     const std::string& detail);
-/// The control nodes cannot serve it now. `outcome` tells whether a change may have been made.
+/// The control nodes cannot serve the request now. `outcome` tells whether a change may have been
+/// made.
 void RespondUnavailable(ResponseWriter& writer, const absl::Status& status, Outcome outcome);
-/// The result of a change: 200 with {"revision"} or the problem that it met.
+/// Result of a change: 200 with {"revision"}, or a problem.
 void RespondResult(ResponseWriter& writer, const ClusterResult& result);
 
 }  // namespace millstair
--- a/source/cluster/operators_api.cc
+++ b/source/cluster/operators_api.cc
@@ -9,7 +9,7 @@
 
 constexpr uint64_t kMaxWaitSeconds = 3600;
 
-/// Whether `path` is `parts` or, with `longer`, begins with them.
+/// Whether `path` equals `parts` or, with `longer`, starts with them.
 bool PathIs(const std::vector<std::string>& path, const std::vector<std::string>& parts,
             bool longer = false) {
   if (path.size() < parts.size() || (!longer && path.size() != parts.size())) return false;
--- a/source/cluster/operators_api.h
+++ b/source/cluster/operators_api.h
@@ -1,4 +1,4 @@
-/// The operators' HTTP API of a control node: finds the route of each request.
+/// Operators' HTTP API of a control node: dispatches requests to routes.
 #pragma once
 
 #include "cluster/evacuation_routes.h"
@@ -23,12 +23,12 @@
   void Start(GroupHost& groups) { status_.Start(groups); }
   void Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) override;
   void ConfigurationChanged() { status_.ConfigurationChanged(); }
-  /// Ends long polls, for a planned stop.
+  /// Ends long polls, for a planned shutdown.
   void Drain() { status_.EndWatches(); }
 
  private:
   void Watch(const OperatorsTarget& target, const SharedWriter& writer);
-  /// False if the request is none about evacuated zones.
+  /// False if the request is not for a route of evacuated zones.
   bool HandleEvacuation(const HttpRequest& request, const OperatorsTarget& target,
                         const SharedWriter& writer);
   void Lagging(const OperatorsTarget& target, const SharedWriter& writer);
--- a/source/cluster/operators_request.cc
+++ b/source/cluster/operators_request.cc
@@ -16,11 +16,11 @@
       continue;
     }
     unsigned value = 0;
-    if (i + 2 >= text.size()) return absl::InvalidArgumentError("broken percent encoding");
+    if (i + 2 >= text.size()) return absl::InvalidArgumentError("invalid percent encoding");
     const char* digits = text.data() + i + 1;
     const auto [end, error] = std::from_chars(digits, digits + 2, value, kHexBase);
     if (error != std::errc() || end != digits + 2) {
-      return absl::InvalidArgumentError("broken percent encoding");
+      return absl::InvalidArgumentError("invalid percent encoding");
     }
     decoded.push_back(static_cast<char>(value));
     i += 2;
@@ -28,7 +28,7 @@
   return decoded;
 }
 
-/// Parts of `text` between separators, without empty ones.
+/// Non-empty parts of `text` between separators.
 std::vector<std::string_view> Split(std::string_view text, char separator) {
   std::vector<std::string_view> parts;
   while (!text.empty()) {
@@ -81,7 +81,7 @@
 
 absl::StatusOr<std::optional<Revision>> ParseExpected(const HttpHeaders& headers) {
   if (const auto none_match = FindHeader(headers, "If-None-Match")) {
-    if (*none_match != "*") return absl::InvalidArgumentError("If-None-Match takes only *");
+    if (*none_match != "*") return absl::InvalidArgumentError("If-None-Match supports only *");
     return Revision();
   }
   const auto match = FindHeader(headers, "If-Match");
--- a/source/cluster/operators_request.h
+++ b/source/cluster/operators_request.h
@@ -13,23 +13,23 @@
 
 namespace millstair {
 
-/// Path and query of a request, decoded.
+/// Decoded path and query of a request.
 struct OperatorsTarget {
-  /// Parts of the path between slashes.
+  /// Path segments.
   std::vector<std::string> path;
   std::map<std::string, std::string> query;
 };
 
-/// InvalidArgument for a broken percent encoding.
+/// InvalidArgument for an invalid percent encoding.
 absl::StatusOr<OperatorsTarget> ParseTarget(const std::string& target);
 
-/// A whole number without sign; none otherwise.
+/// An unsigned decimal integer; nullopt for anything else.
 std::optional<uint64_t> ParseNumber(std::string_view text);
 
-/// The session stamp in `Idempotency-Key: <session>/<sequence>`; none without the header.
+/// The session stamp in `Idempotency-Key: <session>/<sequence>`; nullopt without the header.
 absl::StatusOr<std::optional<SessionStamp>> ParseSessionStamp(const HttpHeaders& headers);
 
-/// The version that `If-Match: "N"` or `If-None-Match: *` expects; none without either.
+/// The version expected by `If-Match: "N"` or `If-None-Match: *`; nullopt without either.
 absl::StatusOr<std::optional<Revision>> ParseExpected(const HttpHeaders& headers);
 
 }  // namespace millstair
--- a/source/cluster/status_routes.cc
+++ b/source/cluster/status_routes.cc
@@ -86,7 +86,8 @@
 
 void StatusRoutes::Status(const SharedWriter& writer) {
   cluster_.ConfirmRead(alive_.Guard([this, writer](const absl::Status& status) {
-    // The status is most wanted when there is no quorum, so it is told then too, marked as such.
+    // The status matters most without a quorum, so it is returned even then, with "confirmed"
+    // false.
     const Configuration& configuration = cluster_.configuration();
     boost::json::array groups;
     for (const RaftGroup* group : groups_->Groups()) groups.push_back(GroupToJson(*group));
--- a/source/cluster/status_routes.h
+++ b/source/cluster/status_routes.h
@@ -1,4 +1,5 @@
-/// Operators' routes that look at the fleet: GET /v1/status, /v1/revisions/{N}/lagging, /v1/watch.
+/// Operators' routes for the state of the fleet: GET /v1/status, /v1/revisions/{N}/lagging,
+/// /v1/watch.
 #pragma once
 
 #include <map>
@@ -21,11 +22,11 @@
   void Start(GroupHost& groups) { groups_ = &groups; }
   void Status(const SharedWriter& writer);
   void Lagging(Revision revision, const SharedWriter& writer);
-  /// Answers once the revision here is larger than `after`, or after `wait`.
+  /// Responds once the local revision exceeds `after`, or after `wait`.
   void Watch(Revision after, Duration wait, const SharedWriter& writer);
-  /// The configuration changed: answers the watches that waited for it.
+  /// Must be called when the configuration has changed: ends the watches that waited for it.
   void ConfigurationChanged();
-  /// Answers all watches, for a planned stop.
+  /// Ends all watches, for a planned shutdown.
   void EndWatches();
 
  private:
--- a/source/cluster/suspect_client.cc
+++ b/source/cluster/suspect_client.cc
@@ -5,9 +5,9 @@
 namespace millstair {
 namespace {
 
-/// What is not known to be committed by then is reported again, or does no harm.
+/// A change that may not be committed by then is reported again or is harmless to lose.
 constexpr Duration kTimeout = std::chrono::seconds(5);
-/// A caller waits for a trial; a commit takes some 10 ms.
+/// Short, because a caller waits for a trial; a commit takes some 10 ms.
 constexpr Duration kTrialTimeout = std::chrono::milliseconds(400);
 
 }  // namespace
--- a/source/cluster/suspect_client.h
+++ b/source/cluster/suspect_client.h
@@ -1,4 +1,4 @@
-/// Changes the cluster's record of suspect requests through a node's client of the cluster group.
+/// Changes the cluster's record of suspect requests through the node's cluster group client.
 #pragma once
 
 #include <vector>
@@ -9,7 +9,7 @@
 
 namespace millstair {
 
-/// Lives on the node's serial executor; `cluster` outlives it.
+/// Used on the node's serial executor; `cluster` must outlive it.
 class SuspectClient : public SuspectRegister {
  public:
   explicit SuspectClient(GroupClient& cluster) : cluster_(cluster) {}
@@ -19,7 +19,7 @@
   void Clear(const RequestFingerprint& request, size_t crashes, Done done) override;
 
  private:
-  /// `done` hears the revision of a change that is committed and was not refused.
+  /// `done` gets the revision of a change that was committed and accepted, otherwise nullopt.
   void Submit(ClusterOperation operation, Duration timeout, Reported done);
 
   GroupClient& cluster_;
--- a/source/cluster/suspect_routes.h
+++ b/source/cluster/suspect_routes.h
@@ -1,5 +1,5 @@
-/// Operators' routes for requests under which back ends ended: GET /v1/suspects lists them, DELETE
-/// /v1/suspects/{fingerprint} lifts what is held against one.
+/// Operators' routes for requests during which back ends crashed: GET /v1/suspects lists them,
+/// DELETE /v1/suspects/{fingerprint} clears one.
 #pragma once
 
 #include "cluster/cluster_replica.h"
@@ -13,9 +13,9 @@
   SuspectRoutes(ClusterReplica& cluster, ClusterSubmitter& submitter)
       : cluster_(cluster), submitter_(submitter) {}
 
-  /// As this control node knows them; may be a moment behind.
+  /// From this control node's copy, which may lag behind.
   void List(const SharedWriter& writer) const;
-  /// A request that crashes back ends will be held again after two more crashes.
+  /// A cleared request that crashes back ends is held again after two more crashes.
   void Clear(const RequestFingerprint& request, const SharedWriter& writer);
 
  private:
