--- a/source/metering/clock_agreement.cc
+++ b/source/metering/clock_agreement.cc
@@ -6,8 +6,7 @@
 namespace millstair {
 namespace {
 
-/// A sample counts for this long: some ten asks of a node, so that a lost one does not matter, and
-/// a node that is gone does not count for long.
+/// About ten query intervals of a node: tolerates lost queries, and drops a node that is gone soon.
 constexpr Duration kSampleLifetime = std::chrono::seconds(30);
 
 }  // namespace
--- a/source/metering/usage_counter.cc
+++ b/source/metering/usage_counter.cc
@@ -8,18 +8,17 @@
 namespace millstair {
 namespace {
 
-/// From a request until it is reported, together with those that came meanwhile: bounds what the
-/// loss of a gateway costs.
+/// Delay from the first unreported request to its report. Bounds the requests lost with a gateway.
 constexpr Duration kReportDelay = std::chrono::milliseconds(500);
-/// On a node that is leaving, which may end right after its last answer.
+/// Delay on a leaving node, which may stop right after its last response.
 constexpr Duration kLeavingReportDelay = std::chrono::milliseconds(20);
-/// Before a report that may not be committed is sent again.
+/// Delay before a report that may not be committed is sent again.
 constexpr Duration kRetryDelay = std::chrono::milliseconds(200);
-/// How often the agreed time is asked for, and how often until it is first known. Steady clocks
-/// drift apart by far less than a millisecond in that time.
+/// Interval of queries for the agreed time, and until it is first known. Drift between steady
+/// clocks is far below a millisecond in that time.
 constexpr Duration kTimeQueryInterval = std::chrono::seconds(3);
 constexpr Duration kInitialTimeQueryInterval = std::chrono::milliseconds(500);
-/// An answer that took longer may be off by half of it, and does not replace a time that is known.
+/// A reply may be off by half its round trip; one that took longer does not replace a known time.
 constexpr Duration kMaxRoundTrip = std::chrono::milliseconds(100);
 
 }  // namespace
--- a/source/metering/usage_counter.h
+++ b/source/metering/usage_counter.h
@@ -1,8 +1,8 @@
-/// Counts, on a gateway, the requests that began to run, and hands them on as numbered reports.
+/// Counts the started requests on a gateway and submits them as numbered reports.
 ///
-/// A request is placed in its window by the cluster's agreed time: the gateway asks for it now and
-/// then and counts on by its own steady clock, so that a jump of its wall clock changes nothing.
-/// What was counted before the time is known waits.
+/// A request belongs to the window of its start in the cluster's agreed time. The gateway queries
+/// that time at intervals and advances it with its own steady clock, so jumps of its wall clock
+/// have no effect. Requests counted before the time is known are reported later.
 #pragma once
 
 #include <functional>
@@ -19,27 +19,28 @@
 struct UsageCounterOptions {
   NodeId gateway;
   Incarnation incarnation;
-  /// Length of a window; 0 counts nothing.
+  /// Length of a window; 0 disables counting.
   Duration window{0};
 };
 
-/// Lives on the node's serial executor.
+/// Used on the node's serial executor.
 class UsageCounter {
  public:
-  /// Has a report committed; `done` tells whether it is, and false leaves it unknown.
+  /// Submits a report for commit. `done` gets whether it was committed; false means that the
+  /// outcome is unknown.
   using Submit = std::function<void(const UsageReport&, std::function<void(bool)> done)>;
-  /// Asks for the agreed time, telling the own wall time; none if it is not known now.
+  /// Queries the agreed time and sends the node's own wall time; nullopt if it is not known.
   using QueryTime = std::function<void(WallTime own, std::function<void(std::optional<WallTime>)>)>;
 
   UsageCounter(Environment& environment, UsageCounterOptions options, Submit submit, QueryTime ask);
 
   void Start();
-  /// A request of `tenant` began to run at `at`. Requests of nobody are not metered.
+  /// A request of `tenant` started at `at`. Requests without a tenant are not metered.
   void OnRequestStarted(const TenantName& tenant, TimePoint at);
-  /// The node is leaving: what is counted is handed on at once from now on.
+  /// The node is leaving: counts are reported without the usual delay from now on.
   void SetLeaving();
 
-  /// Requests that are counted and not known to be committed.
+  /// Counted requests that are not known to be committed.
   size_t uncommitted() const;
 
  private:
@@ -59,11 +60,11 @@
   const UsageCounterOptions options_;
   const Submit submit_;
   const QueryTime query_time_;
-  /// Agreed time less the own steady time.
+  /// Agreed time minus this node's steady time.
   std::optional<Duration> offset_;
-  /// Counted, and in no report yet.
+  /// Counted requests that are in no report yet.
   std::vector<StartedRequest> unreported_;
-  /// Being committed.
+  /// The report being committed.
   std::optional<UsageReport> report_;
   uint64_t sequence_ = 0;
   bool leaving_ = false;
--- a/source/metering/usage_ledger.cc
+++ b/source/metering/usage_ledger.cc
@@ -17,8 +17,8 @@
 }
 
 bool UsageLedger::RecordReport(const UsageReport& report) {
-  // Each life by itself: one that seems to begin before the last one, by a clock that jumped, would
-  // otherwise count nothing at all.
+  // Incarnations are tracked separately: after a clock jump, a new one may seem older than the last
+  // one and would otherwise count nothing.
   LastReport& last = state_.reported[{report.gateway, report.incarnation}];
   if (report.sequence <= last.sequence) return false;
   last = {report.sequence, ++state_.order};
@@ -37,8 +37,8 @@
   const auto first_open = FirstOpen();
   if (!first_open || through < *first_open) return;
   UsageWindow first = *first_open;
-  // Windows without a request are reported as well; after a long stop of the whole cluster the
-  // latest of them are enough.
+  // Windows without requests are reported as well; after a long outage of the whole cluster only
+  // the latest ones are.
   const uint64_t max_windows = limits_.max_windows;
   if (through.value() - first.value() >= max_windows)
     first = UsageWindow(through.value() - max_windows + 1);
--- a/source/metering/usage_ledger.h
+++ b/source/metering/usage_ledger.h
@@ -1,13 +1,11 @@
-/// The replicated sums of usage: what gateways reported, by window, until the platform has taken
-/// it.
+/// Replicated sums of usage reported by gateways, by window, until the platform has accepted them.
 ///
-/// Invariants. A report counts once, however often it is sent (its number is remembered for each
-/// life of a gateway, in whatever order their clocks put these lives). The sum of a closed window
-/// never changes, so that every holder of the duty sends the same. A window that was accepted is
-/// never given out again.
+/// Invariants: A report counts once, however often it is sent; its number is stored per incarnation
+/// of a gateway, regardless of how clocks order the incarnations. The sum of a closed window never
+/// changes, so every lease holder sends the same sum. An accepted window is never returned again.
 ///
-/// Off the truth by at most what gateways that died had not had committed: a gateway reports
-/// within half a second of a request, so that its loss costs the requests of that time.
+/// The error is bounded by the uncommitted counts of gateways that crashed: a gateway reports
+/// within half a second of a request.
 #pragma once
 
 #include <cstdint>
@@ -19,14 +17,15 @@
 namespace millstair {
 
 struct UsageLimits {
-  /// Windows kept that the platform has not taken: nearly three hours of 5 s. The oldest go first.
+  /// Maximum number of windows that the platform has not accepted: nearly three hours of 5 s. The
+  /// oldest are removed first.
   size_t max_windows = 2000;
-  /// Lives of gateways whose last report is remembered; the one that reported longest ago goes
-  /// first. 400 gateways that start anew ten times a day.
+  /// Maximum number of gateway incarnations whose last report is stored; the one that reported
+  /// longest ago is removed first. Enough for 400 gateways that restart ten times a day.
   size_t max_incarnations = 4096;
 };
 
-/// Part of the replicated state: bounded, deterministic.
+/// Part of the replicated state: deterministic, with bounded memory.
 class UsageLedger {
  public:
   struct Reporter {
@@ -34,14 +33,14 @@
     Incarnation incarnation;
     friend auto operator<=>(const Reporter&, const Reporter&) = default;  // NOLINT
   };
-  /// The last report of one life of a gateway that counted.
+  /// The last counted report of one gateway incarnation.
   struct LastReport {
     uint64_t sequence = 0;
-    /// Grows with each report of any gateway.
+    /// Increases with each report of any gateway.
     uint64_t order = 0;
     friend bool operator==(const LastReport&, const LastReport&) = default;
   };
-  /// As a snapshot holds it.
+  /// State as stored in snapshots.
   struct State {
     std::map<UsageWindow, TenantCounts> windows;
     std::map<Reporter, LastReport> reported;
@@ -53,30 +52,30 @@
 
   explicit UsageLedger(UsageLimits limits = {}) : limits_(limits) {}
 
-  /// Counts a report, once. What it says of windows that are closed is dropped and counted as late.
+  /// Adds a report, once. Counts of closed windows are dropped and added to late_requests.
   void Add(const UsageReport& report);
-  /// Fixes the sums of all windows up to `through`, those without a request among them, from the
-  /// first window on of which anything was reported.
+  /// Closes all windows up to `through`, including those without requests, starting at the first
+  /// window with a report.
   void Close(UsageWindow through);
-  /// The platform has taken the sum of a closed window.
+  /// The platform has accepted the sum of a closed window.
   void Accept(UsageWindow window);
 
-  /// Windows that are open, and closed ones that the platform has not taken.
+  /// Open windows, and closed ones that the platform has not accepted.
   const std::map<UsageWindow, TenantCounts>& windows() const { return state_.windows; }
-  /// 0 before any window was closed.
+  /// 0 if no window was closed yet.
   UsageWindow closed_through() const { return state_.closed_through; }
-  /// The first window that is not closed; none before anything was reported.
+  /// The first open window; nullopt before the first report.
   std::optional<UsageWindow> FirstOpen() const;
-  /// The oldest closed window that the platform has not taken.
+  /// The oldest closed window that the platform has not accepted.
   std::optional<UsageWindow> OldestUnreported() const;
-  /// Requests that were reported after their window was closed.
+  /// Requests that were reported after their window had been closed.
   uint64_t late_requests() const { return state_.late_requests; }
 
   const State& state() const { return state_; }
   void Restore(State state) { state_ = std::move(state); }
 
  private:
-  /// Whether the report is a new one of its life; notes it.
+  /// Whether the report is new for its incarnation; records it.
   bool RecordReport(const UsageReport& report);
   void ForgetOldestIncarnation();
 
--- a/source/metering/usage_types.h
+++ b/source/metering/usage_types.h
@@ -1,4 +1,4 @@
-/// Metered usage: how many requests of each tenant began to run in each window of true time.
+/// Metered usage: number of started requests by tenant and window of agreed time.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,13 @@
 
 namespace millstair {
 
-/// Number of a window: window k begins k times the windows' length after the epoch.
+/// Number of a window: window k starts k window lengths after the epoch.
 using UsageWindow = StrongId<struct UsageWindowTag, uint64_t>;
 
-/// Requests that began, by tenant.
+/// Started requests by tenant.
 using TenantCounts = std::map<TenantName, uint64_t>;
 
-/// A part of what one gateway counted.
+/// Started requests of one tenant in one window.
 struct UsageCount {
   UsageWindow window;
   TenantName tenant;
@@ -24,8 +24,8 @@
   friend bool operator==(const UsageCount&, const UsageCount&) = default;
 };
 
-/// What one life of a gateway counted since its last report. Reports of one life are numbered from
-/// 1 on, and one is repeated unchanged until it is committed.
+/// Counts of one gateway incarnation since its last report. Its reports are numbered from 1, and
+/// each is resent unchanged until it is committed.
 struct UsageReport {
   NodeId gateway;
   Incarnation incarnation;
@@ -34,7 +34,7 @@
   friend bool operator==(const UsageReport&, const UsageReport&) = default;
 };
 
-/// The window that holds `time`.
+/// The window that contains `time`.
 constexpr UsageWindow WindowAt(WallTime time, Duration length) {
   const Duration since_epoch = time.time_since_epoch();
   return UsageWindow(static_cast<uint64_t>(since_epoch / length));
