--- a/source/cluster/configuration_editor.cc
+++ b/source/cluster/configuration_editor.cc
@@ -188,8 +188,8 @@
   if (found != configuration_.nodes.end()) {
     // Any incarnation may replace one that is gone, because the clock that orders incarnations may
     // have jumped.
-    const bool began_earlier = record.incarnation < found->second.incarnation;
-    if (began_earlier && found->second.state != MemberState::kGone) return;
+    const bool started_earlier = record.incarnation < found->second.incarnation;
+    if (started_earlier && found->second.state != MemberState::kGone) return;
     if (record == found->second) return;
   }
   configuration_.nodes[record.node] = record;
@@ -308,9 +308,9 @@
   const bool newer = reported.sequence > known.sequence && !reported.address.empty();
   if (newer) merged = reported;
   // Without a new value, the period reported earlier keeps counting down.
-  const bool tells_cold = newer && reported.cold_left > Duration(0);
-  merged.cold_left = tells_cold ? reported.cold_left : known.cold_left;
-  merged.cold_at = tells_cold ? index_ : known.cold_at;
+  const bool reports_cold = newer && reported.cold_left > Duration(0);
+  merged.cold_left = reports_cold ? reported.cold_left : known.cold_left;
+  merged.cold_at = reports_cold ? index_ : known.cold_at;
   merged.id = known.id;
   merged.registered_at = known.registered_at;
   merged.superseded = known.superseded;
--- a/source/cluster/operators_request.cc
+++ b/source/cluster/operators_request.cc
@@ -43,15 +43,15 @@
 
 absl::StatusOr<OperatorsTarget> ParseTarget(const std::string& target) {
   OperatorsTarget result;
-  const std::string_view whole = target;
-  const size_t mark = std::min(whole.find('?'), whole.size());
-  for (const std::string_view part : Split(whole.substr(0, mark), '/')) {
+  const std::string_view text = target;
+  const size_t mark = std::min(text.find('?'), text.size());
+  for (const std::string_view part : Split(text.substr(0, mark), '/')) {
     auto decoded = PercentDecode(part);
     if (!decoded.ok()) return decoded.status();
     result.path.push_back(*std::move(decoded));
   }
-  if (mark == whole.size()) return result;
-  for (const std::string_view field : Split(whole.substr(mark + 1), '&')) {
+  if (mark == text.size()) return result;
+  for (const std::string_view field : Split(text.substr(mark + 1), '&')) {
     const size_t equals = std::min(field.find('='), field.size());
     auto decoded = PercentDecode(field.substr(std::min(equals + 1, field.size())));
     if (!decoded.ok()) return decoded.status();
