--- a/test/cluster/cluster_properties_test.cc
+++ b/test/cluster/cluster_properties_test.cc
@@ -1,4 +1,4 @@
-/// Properties of the state machine over random commands, and decoders fed with broken bytes.
+/// Properties of the state machine under random commands, and decoders fed with corrupt bytes.
 #include <rapidcheck/catch.h>
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 /// RapidCheck reads its seed from the environment at its first use.
 const int kFixedSeed = setenv("RC_PARAMS", "seed=20261202", 0);
 
-/// Draws commands over few names, so that they meet.
+/// Generates random commands with few names, so that they conflict.
 class CommandSource {
  public:
   explicit CommandSource(uint64_t seed) : random_(seed) {}
@@ -121,7 +121,7 @@
 
 constexpr int kCommands = 120;
 
-TEST_CASE("random commands: replicas agree, also one that was restored on the way") {
+TEST_CASE("random commands: replicas agree, also one restored from a snapshot in between") {
   rc::prop("restore anywhere", [](uint64_t seed, uint8_t restore_at) {
     CommandSource source(seed);
     StateMachineDriver straight;
@@ -147,7 +147,7 @@
   });
 }
 
-TEST_CASE("random commands: a resend at once changes nothing and gets the same answer") {
+TEST_CASE("random commands: an immediate resend changes nothing and gets the same result") {
   rc::prop("resend equals", [](uint64_t seed) {
     CommandSource source(seed);
     StateMachineDriver driver;
@@ -163,7 +163,7 @@
   });
 }
 
-TEST_CASE("random commands: applying encoded deltas at any pace gives the whole state") {
+TEST_CASE("random commands: applying encoded deltas at any intervals gives the complete state") {
   rc::prop("deltas add up", [](uint64_t seed) {
     CommandSource source(seed);
     ClusterLimits limits;
@@ -181,7 +181,7 @@
   });
 }
 
-TEST_CASE("random commands come back from their encoding") {
+TEST_CASE("random commands round-trip through their encoding") {
   rc::prop("command codec", [](uint64_t seed) {
     CommandSource source(seed);
     const ClusterCommand command{source.Operation(), source.Stamp(5), AtSecond(3)};
@@ -196,7 +196,7 @@
   });
 }
 
-TEST_CASE("decoders refuse or survive broken bytes") {
+TEST_CASE("decoders reject or survive corrupt bytes") {
   std::mt19937_64 random(20261);
   CommandSource source(7);
   StateMachineDriver driver;
--- a/test/cluster/cluster_state_machine_test.cc
+++ b/test/cluster/cluster_state_machine_test.cc
@@ -23,7 +23,9 @@
   return {claim.key, claim.gateway, claim.incarnation, released, 200, claim.attempt};
 }
 
-TEST_CASE("of two writers at the same version one wins and the other is shown the winner") {
+TEST_CASE(
+    "of two writers that expect the same version one succeeds and the other gets the stored "
+    "resource") {
   StateMachineDriver driver;
   const Revision created = driver.Apply(Put(MakeResource("m", MachineAt("1")))).revision;
   CHECK(driver.Apply(Put(MakeResource("m", MachineAt("2")), created)).code ==
@@ -35,7 +37,7 @@
   CHECK(lost.conflicting[0].version == driver.state.configuration().revision);
 }
 
-TEST_CASE("expecting absence fails once the resource is there") {
+TEST_CASE("a put that expects absence fails once the resource exists") {
   StateMachineDriver driver;
   CHECK(driver.Apply(Put(MakeResource("m", MachineAt("1")), Revision())).code ==
         ClusterResultCode::kOk);
@@ -43,7 +45,7 @@
         ClusterResultCode::kConflict);
 }
 
-TEST_CASE("a change of several resources happens as a whole or not at all") {
+TEST_CASE("a put of several resources is atomic") {
   StateMachineDriver driver;
   PutResources put;
   put.items.push_back({MakeResource("m", MachineAt("1")), std::nullopt});
@@ -57,7 +59,7 @@
   CHECK(driver.state.configuration().resources.size() == 2);
 }
 
-TEST_CASE("what others name is not deleted") {
+TEST_CASE("a resource that others refer to is not deleted") {
   StateMachineDriver driver;
   driver.Apply(Put(MakeResource("x", ModelSpec{})));
   driver.Apply(Put(MakeResource("p", PoolSpec{ModelName("x"), 1, 1})));
@@ -71,7 +73,7 @@
         ClusterResultCode::kNotFound);
 }
 
-TEST_CASE("a resend gets its first answer, also after others changed the resource") {
+TEST_CASE("a resend gets the first result, also after others changed the resource") {
   StateMachineDriver driver;
   const ClientId client = driver.Apply(OpenSession{}).session;
   const SessionStamp stamp{client, ClientSequence(1)};
@@ -85,7 +87,7 @@
         "2");
 }
 
-TEST_CASE("a sequence used for another change is refused") {
+TEST_CASE("a sequence used for another command is rejected") {
   StateMachineDriver driver;
   const SessionStamp stamp{driver.Apply(OpenSession{}).session, ClientSequence(1)};
   driver.Apply(Put(MakeResource("m", MachineAt("1"))), stamp);
@@ -93,7 +95,7 @@
         ClusterResultCode::kInvalid);
 }
 
-TEST_CASE("unknown, forgotten and expired stamps are refused without effect") {
+TEST_CASE("stamps of unknown or expired sessions and removed results are rejected without effect") {
   ClusterLimits limits;
   limits.sessions.max_answers = 2;
   StateMachineDriver driver(limits);
@@ -108,7 +110,7 @@
   }
   CHECK(driver.Apply(put, SessionStamp{client, ClientSequence(1)}).code ==
         ClusterResultCode::kSessionExpired);
-  // The clock moves at most a minute a command.
+  // The clock advances by at most a minute per command.
   for (int i = 0; i < 24 * 60 + 2; ++i) {
     driver.second += 60;
     driver.Apply(UpdateMembers{});
@@ -118,7 +120,7 @@
   CHECK(driver.state.sessions().sessions().empty());
 }
 
-TEST_CASE("the number of sessions is bounded and the least recently used goes first") {
+TEST_CASE("the number of sessions is bounded and the least recently used is evicted first") {
   ClusterLimits limits;
   limits.sessions.max_sessions = 2;
   StateMachineDriver driver(limits);
@@ -133,7 +135,7 @@
   CHECK_FALSE(driver.state.sessions().sessions().contains(second));
 }
 
-TEST_CASE("sessions survive a snapshot; the variant that leaves them out runs a resend twice") {
+TEST_CASE("sessions survive a snapshot; the fault that omits them runs a resend twice") {
   for (const bool broken : {false, true}) {
     ClusterFaults faults;
     faults.sessions_not_in_snapshot = broken;
@@ -147,7 +149,7 @@
   }
 }
 
-TEST_CASE("a claimed key is given once; only its own attempt settles it") {
+TEST_CASE("a key is claimed once; only its own attempt settles it") {
   StateMachineDriver driver;
   const ClaimKey claim = ClaimOf("k", "g1", 7);
   CHECK(driver.Apply(claim).code == ClusterResultCode::kOk);
@@ -170,7 +172,7 @@
   CHECK(driver.Apply(ClaimOf("k", "g1", 0)).code == ClusterResultCode::kClaimHeld);
 }
 
-TEST_CASE("a released key may be claimed by a new attempt, and late copies change nothing") {
+TEST_CASE("a released key may be claimed by a new attempt, and delayed copies have no effect") {
   StateMachineDriver driver;
   const ClaimKey first = ClaimOf("k", "g1", 1);
   const ClaimKey second = ClaimOf("k", "g1", 2);
@@ -182,7 +184,7 @@
   CHECK(driver.Apply(ClaimOf("k", "g2", 3)).code == ClusterResultCode::kClaimHeld);
 }
 
-TEST_CASE("keys are forgotten only after the retention, and too old ones are refused") {
+TEST_CASE("keys expire only after the retention, and older ones are rejected") {
   ClusterLimits limits;
   limits.claims.max_claims = 1;
   StateMachineDriver driver(limits);
@@ -200,14 +202,14 @@
   CHECK(driver.Apply(ClaimOf("full", "g1", 1)).code == ClusterResultCode::kOk);
 }
 
-TEST_CASE("a wall clock that jumps far ahead does not forget keys at once") {
+TEST_CASE("a wall clock that jumps far ahead does not expire keys at once") {
   StateMachineDriver driver;
   driver.Apply(ClaimOf("k", "g1", 1));
   driver.second += 1'000'000;
   CHECK(driver.Apply(ClaimOf("k", "g2", 1)).code == ClusterResultCode::kClaimHeld);
 }
 
-TEST_CASE("versions of a model count up, keep their digest and are bounded") {
+TEST_CASE("versions of a model increase, keep their digest and are bounded") {
   ClusterLimits limits;
   limits.max_published_versions = 3;
   StateMachineDriver driver(limits);
@@ -236,7 +238,7 @@
   CHECK(driver.Apply(PublishVersion{model, version(4, "d")}).code == ClusterResultCode::kConflict);
 }
 
-TEST_CASE("an earlier life of a node or an engine does not replace a later one") {
+TEST_CASE("an earlier incarnation of a node or an engine does not replace a later one") {
   StateMachineDriver driver;
   driver.Apply(Put(MakeResource("m", MachineAt("1"))));
   driver.Apply(Put(MakeResource("e", EngineSpec{EngineType::kModel, "m", "1:1", false})));
@@ -256,7 +258,7 @@
   CHECK(EffectiveState(configuration, EngineName("e")) == MemberState::kLeaving);
 }
 
-TEST_CASE("a life of a node that is gone gives way to any other") {
+TEST_CASE("any incarnation replaces a node that is gone") {
   StateMachineDriver driver;
   UpdateMembers update;
   update.nodes = {{NodeId("n"), Incarnation(2), Zone("a"), "1:2", false, true, MemberState::kLive}};
@@ -270,7 +272,7 @@
   CHECK(record.state == MemberState::kLive);
 }
 
-TEST_CASE("the most cautious word about a back end wins") {
+TEST_CASE("the most cautious state of a back end wins") {
   StateMachineDriver driver;
   const EngineName engine("e");
   const auto state = [&] { return EffectiveState(driver.state.configuration(), engine); };
@@ -304,7 +306,7 @@
   CHECK(delta.changed_resources.size() == 2);
 }
 
-TEST_CASE("deltas that skip or go back are refused without effect") {
+TEST_CASE("deltas that skip or go back are rejected without effect") {
   StateMachineDriver driver;
   driver.Apply(Put(MakeResource("m", MachineAt("1"))));
   Configuration held;
@@ -343,7 +345,7 @@
   CHECK(driver.state.configuration().revision == before);
 }
 
-TEST_CASE("usage and the holders of duties last over a snapshot") {
+TEST_CASE("usage and lease announcements survive a snapshot") {
   StateMachineDriver driver;
   driver.Apply(UsageOf(1, 7, 2));
   driver.Apply(UsageOf(2, 9, 3));
@@ -360,7 +362,7 @@
   CHECK(heard == std::vector{announced});
 }
 
-TEST_CASE("a usage report without a gateway, a number or a tenant is refused") {
+TEST_CASE("a usage report without a gateway, a number or a tenant is rejected") {
   StateMachineDriver driver;
   AddUsage nameless = UsageOf(1, 7, 2);
   nameless.report.gateway = NodeId();
@@ -372,7 +374,7 @@
   CHECK(driver.state.usage().windows().empty());
 }
 
-TEST_CASE("broken variants grant what the product refuses") {
+TEST_CASE("injected faults accept what is otherwise rejected") {
   ClusterFaults faults;
   faults.claim_skipped = true;
   faults.expected_version_ignored = true;
--- a/test/cluster/cluster_test_support.h
+++ b/test/cluster/cluster_test_support.h
@@ -1,4 +1,4 @@
-/// Short ways to write commands and resources in the tests of the cluster.
+/// Helpers that build commands and resources in the cluster tests.
 #pragma once
 
 #include <string>
@@ -21,7 +21,7 @@
   return {{{std::move(resource), expected}}};
 }
 
-/// Applies commands with growing indexes and times.
+/// Applies commands with increasing indexes.
 class StateMachineDriver {
  public:
   explicit StateMachineDriver(ClusterLimits limits = {}, ClusterFaults faults = {})
--- a/test/cluster/registration_test.cc
+++ b/test/cluster/registration_test.cc
@@ -1,5 +1,5 @@
-/// Routing documents, self-registered back ends, named versions, job groups and retired nodes in
-/// the state of the cluster group.
+/// Routing documents, self-registered back ends, announced versions, job groups and retired nodes
+/// in the cluster state.
 #include <catch2/catch.hpp>
 
 #include "test/cluster/cluster_test_support.h"
@@ -23,7 +23,7 @@
   return instance;
 }
 
-TEST_CASE("the highest routing version holds, and a resend of any changes nothing") {
+TEST_CASE("the highest routing version wins, and resends have no effect") {
   StateMachineDriver driver;
   CHECK(Replace(driver, 5, "five") == ClusterResultCode::kOk);
   CHECK(Replace(driver, 3, "three") == ClusterResultCode::kOk);
@@ -34,7 +34,7 @@
   CHECK(driver.state.configuration().routing == RoutingDocument{9, "nine"});
 }
 
-TEST_CASE("other content under the routing version held is refused") {
+TEST_CASE("different content with the current routing version is rejected") {
   StateMachineDriver driver;
   Replace(driver, 5, "five");
   CHECK(Replace(driver, 5, "other") == ClusterResultCode::kConflict);
@@ -42,7 +42,7 @@
   CHECK(Replace(driver, 0, "none") == ClusterResultCode::kInvalid);
 }
 
-TEST_CASE("a late report of a back end changes nothing") {
+TEST_CASE("a late report of a back end has no effect") {
   StateMachineDriver driver;
   driver.Apply(UpdateInstance{Reported("i", 4, MemberState::kLive)});
   BackendInstance late = Reported("i", 3, MemberState::kLive);
@@ -51,7 +51,7 @@
   CHECK(driver.state.configuration().instances.at(InstanceId("i")).address == "1.1.1.1:1");
 }
 
-TEST_CASE("a back end that said it is leaving never comes back under the same id") {
+TEST_CASE("a leaving back end never returns under the same id") {
   StateMachineDriver driver;
   driver.Apply(UpdateInstance{Reported("i", 4, MemberState::kLeaving)});
   driver.Apply(UpdateInstance{Reported("i", 5, MemberState::kLive)});
@@ -66,7 +66,7 @@
   CHECK(instances.at(InstanceId("i")).address == "1.1.1.1:1");
 }
 
-TEST_CASE("a back end that left before its first report came is gone for good") {
+TEST_CASE("a back end whose deregistration precedes its first report stays gone") {
   StateMachineDriver driver;
   BackendInstance gone;
   gone.id = InstanceId("i");
@@ -76,7 +76,7 @@
   CHECK(driver.state.configuration().instances.at(InstanceId("i")).state == MemberState::kGone);
 }
 
-TEST_CASE("ended lives of back ends are remembered in a bounded number") {
+TEST_CASE("a bounded number of ended instances is retained") {
   StateMachineDriver driver;
   for (int i = 0; i < 1100; ++i) {
     driver.Apply(UpdateInstance{Reported("i" + std::to_string(i), 1, MemberState::kGone)});
@@ -88,7 +88,7 @@
   CHECK_FALSE(instances.contains(InstanceId("i0")));
 }
 
-TEST_CASE("named versions only rise") {
+TEST_CASE("announced versions only increase") {
   StateMachineDriver driver;
   const auto name = [&](uint64_t version) {
     driver.Apply(NameVersion{{ModelName("m"), WeightVersion(version)}});
@@ -99,7 +99,7 @@
   CHECK(name(4) == WeightVersion(4));
 }
 
-TEST_CASE("the first founders of a job group stay") {
+TEST_CASE("the first initial members of a job group are kept") {
   StateMachineDriver driver;
   const JobGroup first{GroupId("jobs/0"), {{ReplicaId(1), NodeId("a"), "a", true}}, {}};
   const JobGroup second{GroupId("jobs/0"), {{ReplicaId(2), NodeId("b"), "b", true}}, {}};
@@ -108,7 +108,7 @@
   CHECK(driver.state.configuration().job_groups.at(GroupId("jobs/0")) == first);
 }
 
-TEST_CASE("the placement of a job group is what its latest leader said last") {
+TEST_CASE("the placement of a job group is the last report of its latest leader") {
   StateMachineDriver driver;
   const GroupId group("jobs/0");
   const auto place = [&](uint64_t term, uint64_t sequence, const char* leader) {
@@ -134,7 +134,7 @@
   CHECK(leader() == NodeId("c"));
 }
 
-TEST_CASE("only nodes that may hold replicas are retired, and stay so") {
+TEST_CASE("only nodes that may hold replicas are retired, and they stay retired") {
   StateMachineDriver driver;
   CHECK(driver.Apply(RetireNode{{NodeId("a"), false}}).code == ClusterResultCode::kNotFound);
   NodeRecord record;
@@ -155,7 +155,7 @@
   CHECK(driver.Apply(RetireNode{{NodeId("gateway"), false}}).code == ClusterResultCode::kNotFound);
 }
 
-TEST_CASE("all of it reaches a node that follows by deltas, and one that starts from a snapshot") {
+TEST_CASE("deltas and snapshots carry all registration state") {
   StateMachineDriver driver;
   Configuration follower;
   const auto follow = [&] {
@@ -186,13 +186,13 @@
   REQUIRE(restored.Restore(LogIndex(99), driver.state.TakeSnapshot()).ok());
   for (const Configuration* held :
        {static_cast<const Configuration*>(&follower), &restored.configuration()}) {
-    const Configuration& truth = driver.state.configuration();
-    CHECK(held->routing == truth.routing);
-    CHECK(held->instances == truth.instances);
-    CHECK(held->versions == truth.versions);
-    CHECK(held->job_groups == truth.job_groups);
-    CHECK(held->retired_nodes == truth.retired_nodes);
-    CHECK(held->nodes == truth.nodes);
+    const Configuration& expected = driver.state.configuration();
+    CHECK(held->routing == expected.routing);
+    CHECK(held->instances == expected.instances);
+    CHECK(held->versions == expected.versions);
+    CHECK(held->job_groups == expected.job_groups);
+    CHECK(held->retired_nodes == expected.retired_nodes);
+    CHECK(held->nodes == expected.nodes);
   }
 }
 
--- a/test/cluster/task_leases_test.cc
+++ b/test/cluster/task_leases_test.cc
@@ -26,7 +26,7 @@
   CHECK(leases.MayOperateOn("e0", Term(4)));
 }
 
-TEST_CASE("An act of an earlier term of one's own is waited for, and none of the same term") {
+TEST_CASE("A node waits for its own operation of an earlier term, not for one of the same term") {
   VirtualScheduler scheduler{1};
   VirtualEnvironment environment{scheduler, 1};
   TaskLeases leases(environment, NodeId("self"), seconds(3));
