--- a/test/cluster/evacuation_test.cc
+++ b/test/cluster/evacuation_test.cc
@@ -1,5 +1,5 @@
-/// Zones whose back ends are to get nothing: operators' orders, how they reach every node, and what
-/// outlives them. Told by control nodes and gateways' clients in virtual time.
+/// Zone evacuations: operators' orders, their distribution to every node, and the failures that
+/// they survive. Control nodes and gateways' clients run in virtual time.
 #include <catch2/catch.hpp>
 
 #include "cluster/cold_reports.h"
@@ -16,8 +16,8 @@
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
-/// Operators want an order acknowledged within a second.
-constexpr Duration kAcknowledged = seconds(1);
+/// An order must be acknowledged within this time.
+constexpr Duration kAcknowledgementTimeout = seconds(1);
 
 bool Evacuated(ClusterFleet& fleet, const std::string& gateway, const std::string& zone) {
   const auto& zones = fleet.Process(gateway).configuration->configuration().evacuated_zones;
@@ -31,10 +31,10 @@
   return true;
 }
 
-/// Sends the order as operators do: to the next node after a refusal or a second of silence.
-bool OrderAnywhere(ClusterFleet& fleet, const std::string& method, const std::string& zone) {
-  for (int turn = 0; turn < 30; ++turn) {
-    const std::string node = fmt::format("c{}", turn % 3 + 1);
+/// Sends the order as operators do: to the next node after an error or a second without a response.
+bool SubmitToAnyNode(ClusterFleet& fleet, const std::string& method, const std::string& zone) {
+  for (int attempt = 0; attempt < 30; ++attempt) {
+    const std::string node = fmt::format("c{}", attempt % 3 + 1);
     if (!fleet.Running(node)) continue;
     const auto answer = fleet.Request(node, method, "/v1/evacuations/" + zone);
     fleet.RunUntil([&] { return answer->finished; }, seconds(1));
@@ -51,7 +51,7 @@
   fleet.RunFor(seconds(5));
   for (const char* node : {"c1", "c2", "c3"}) {
     const auto answer = fleet.Request(node, "PUT", "/v1/evacuations/z2");
-    CHECK(fleet.RunUntil([&] { return answer->finished; }, kAcknowledged));
+    CHECK(fleet.RunUntil([&] { return answer->finished; }, kAcknowledgementTimeout));
     CHECK(answer->status == kOk);
     CHECK(fleet.RunUntil([&] { return EvacuatedEverywhere(fleet, kGateways, "z2"); },
                          milliseconds(100)));
@@ -63,8 +63,7 @@
   }
 }
 
-TEST_CASE(
-    "orders that are sent again, or say nothing new, are acknowledged; unknown zones are not") {
+TEST_CASE("resent and redundant orders are acknowledged; orders for unknown zones are not") {
   ClusterFleet fleet({});
   fleet.AwaitLeader();
   fleet.RunFor(seconds(5));
@@ -76,13 +75,14 @@
   CHECK(Evacuated(fleet, "g1", "z2"));
 }
 
-TEST_CASE("an evacuation outlives a leader that is cut off, the kill of all, and snapshots") {
+TEST_CASE(
+    "an evacuation survives an isolated leader, the kill of all control nodes, and snapshots") {
   const uint64_t seed = GENERATE(range(1, 6));
   ClusterFleet fleet({.seed = seed, .snapshot_after_entries = 10});
   fleet.AwaitLeader();
   fleet.RunFor(seconds(5));
-  REQUIRE(OrderAnywhere(fleet, "PUT", "z3"));
-  SECTION("the leader is cut off right after it") {
+  REQUIRE(SubmitToAnyNode(fleet, "PUT", "z3"));
+  SECTION("the leader is isolated right after it") {
     const std::string lost = fleet.Leader();
     fleet.Isolate(lost);
     fleet.AwaitLeader();
@@ -94,7 +94,7 @@
     for (const char* node : {"c1", "c2", "c3"}) fleet.Start(node);
     fleet.AwaitLeader();
   }
-  SECTION("a snapshot takes the place of its entry, and a gateway starts anew") {
+  SECTION("a snapshot replaces its entry, and a gateway restarts") {
     for (int i = 0; i < 30; ++i) fleet.PutMachine(fmt::format("m{}", i));
     fleet.Crash("g1");
     fleet.Start("g1");
@@ -104,39 +104,39 @@
     CHECK(fleet.Process(gateway).configuration->LeaseValid());
     CHECK(Evacuated(fleet, gateway, "z3"));
   }
-  REQUIRE(OrderAnywhere(fleet, "DELETE", "z3"));
+  REQUIRE(SubmitToAnyNode(fleet, "DELETE", "z3"));
   fleet.RunFor(seconds(1));
   CHECK_FALSE(Evacuated(fleet, "g1", "z3"));
 }
 
-/// The build before reads no entry of an evacuation: its replica would pass over it, and its
-/// gateways would go on sending.
-TEST_CASE("an evacuation is refused while a node is live whose build does not obey it") {
+/// An earlier build cannot decode evacuations: its replica would skip the entry, and its gateways
+/// would keep sending requests to the zone.
+TEST_CASE("an evacuation is rejected while a live node does not support it") {
   ClusterFleet fleet({});
-  const std::string earlier = GENERATE("c2", "g1");
-  fleet.Crash(earlier);
-  fleet.SetFirstBuild(earlier, true);
-  fleet.Start(earlier);
+  const std::string earlier_node = GENERATE("c2", "g1");
+  fleet.Crash(earlier_node);
+  fleet.SetFirstBuild(earlier_node, true);
+  fleet.Start(earlier_node);
   fleet.AwaitLeader();
   fleet.RunFor(seconds(10));
   for (const char* node : {"c1", "c2", "c3"}) {
     const RecordedAnswer answer = fleet.Ask(node, "PUT", "/v1/evacuations/z2");
     CHECK(answer.status == kUnavailable);
-    CHECK(answer.body.find(earlier) != std::string::npos);
+    CHECK(answer.body.find(earlier_node) != std::string::npos);
   }
-  fleet.Crash(earlier);
-  fleet.SetFirstBuild(earlier, false);
-  fleet.Start(earlier);
-  CHECK(OrderAnywhere(fleet, "PUT", "z2"));
-  // One machine goes back to the build before: what it would not read is not proposed.
-  fleet.Crash(earlier);
-  fleet.SetFirstBuild(earlier, true);
-  fleet.Start(earlier);
+  fleet.Crash(earlier_node);
+  fleet.SetFirstBuild(earlier_node, false);
+  fleet.Start(earlier_node);
+  CHECK(SubmitToAnyNode(fleet, "PUT", "z2"));
+  // After the downgrade of one node, no evacuation may be proposed.
+  fleet.Crash(earlier_node);
+  fleet.SetFirstBuild(earlier_node, true);
+  fleet.Start(earlier_node);
   fleet.RunFor(seconds(10));
   CHECK(fleet.Ask("c1", "PUT", "/v1/evacuations/z1").status == kUnavailable);
 }
 
-TEST_CASE("back ends of the own interface leave while their zone is evacuated") {
+TEST_CASE("engines of an evacuated zone are leaving") {
   Configuration configuration;
   const Resource machine = MakeResource("m", MachineSpec{Zone("z1"), "127.0.0.1", false});
   const Resource engine = MakeResource("e", EngineSpec{EngineType::kHttp, "m", "127.0.0.1:1"});
@@ -146,7 +146,7 @@
   CHECK(EffectiveState(configuration, EngineName("e")) == MemberState::kLeaving);
 }
 
-TEST_CASE("a server that is slow after its start is told once, and again when it is slow anew") {
+TEST_CASE("a slow-start report needs a commit once, and again when the server is cold again") {
   ColdReports reports;
   const InstanceId server("i");
   TimePoint now = TimePoint() + seconds(100);
--- a/test/cluster/golden_bytes_test.cc
+++ b/test/cluster/golden_bytes_test.cc
@@ -1,5 +1,5 @@
-/// Messages, entries and a snapshot as the build before the one with relays wrote them (a6b60c8):
-/// they are read, and mean what they meant. test/cluster/golden holds their bytes.
+/// Messages, entries and a snapshot written by the last build without relays (a6b60c8) must still
+/// be decoded with the same meaning. Their bytes are in test/cluster/golden.
 #include <catch2/catch.hpp>
 #include <fstream>
 #include <string>
@@ -37,7 +37,7 @@
   CHECK(server.service == ServiceName("pages"));
   CHECK(server.slots == 8);
   CHECK(server.models == std::vector<NamedVersion>{{ModelName("m"), WeightVersion(3)}});
-  // What that build does not say.
+  // Not encoded by that build.
   CHECK(server.cold_left == Duration(0));
 }
 
@@ -55,7 +55,7 @@
   CHECK(delta.changed_evacuations.empty());
 }
 
-TEST_CASE("messages of the build before are read") {
+TEST_CASE("messages of the earlier build are decoded") {
   const auto heartbeat = DecodeHeartbeat(Golden("heartbeat"));
   REQUIRE(heartbeat.ok());
   CHECK(heartbeat->nonce == 4711);
@@ -63,7 +63,8 @@
   CHECK(heartbeat->sender.applied == Revision(41));
   REQUIRE(heartbeat->forwarded.size() == 1);
   CHECK(heartbeat->forwarded[0].replica == ReplicaId(77));
-  // Such a node obeys no evacuation, can't relay, and is not told to use another control node.
+  // Such a node supports neither evacuations nor relaying, and is not redirected to another control
+  // node.
   CHECK(heartbeat->sender.feature_level == kFirstLevel);
   CHECK_FALSE(heartbeat->sender.relays);
   CHECK_FALSE(heartbeat->redirect);
@@ -80,7 +81,7 @@
   CHECK(DecodeHeartbeatReply(Golden("refusal"))->refusal == HeartbeatRefusal::kNoQuorum);
 }
 
-TEST_CASE("entries of the build before are read") {
+TEST_CASE("entries of the earlier build are decoded") {
   const auto update = DecodeCommand(Golden("command_update_instance"));
   REQUIRE(update.ok());
   CheckServer(std::get<UpdateInstance>(update->operation).instance);
@@ -92,7 +93,7 @@
   CheckNodes(std::get<UpdateMembers>(members->operation).nodes);
 }
 
-TEST_CASE("a snapshot of the build before is restored") {
+TEST_CASE("a snapshot of the earlier build is restored") {
   ClusterStateMachine state;
   REQUIRE(state.Restore(LogIndex(6), Golden("snapshot")).ok());
   const Configuration& held = state.configuration();
@@ -106,8 +107,8 @@
   CHECK(held.evacuated_zones.empty());
 }
 
-/// What this build writes where nothing of its own is said is what the build before wrote.
-TEST_CASE("nothing new is written where nothing new is said") {
+/// Without new fields, this build must encode the same bytes as the earlier one.
+TEST_CASE("values without new fields are encoded as by the earlier build") {
   const auto delta = DecodeDelta(Golden("delta"));
   REQUIRE(delta.ok());
   CHECK(EncodeDelta(*delta) == Golden("delta"));
--- a/test/cluster/replica_spread_test.cc
+++ b/test/cluster/replica_spread_test.cc
@@ -20,18 +20,18 @@
   return counts;
 }
 
-TEST_CASE("The candidate in the emptiest zone is the best, the first of equals") {
+TEST_CASE("The best candidate is the first one in the least crowded zone") {
   CHECK(LeastCrowded(Zones({"a", "b", "c"}), Zones({"a", "b", "b"})) == 2);
   CHECK(LeastCrowded(Zones({"b", "a", "c"}), Zones({"b"})) == 1);
   CHECK(LeastCrowded({}, Zones({"a"})) == std::nullopt);
 }
 
-TEST_CASE("The last replica of the most crowded zone is the worst placed") {
+TEST_CASE("The worst placed replica is the last one in the most crowded zone") {
   CHECK(MostCrowded(Zones({"a", "b", "a", "c"})) == 2);
   CHECK(MostCrowded({}) == std::nullopt);
 }
 
-TEST_CASE("One too many goes from the most crowded zone, but never the leader's own") {
+TEST_CASE("A surplus replica is removed from the most crowded zone, but never the leader's own") {
   CHECK(PickSurplus(Zones({"a", "b", "a", "c"}), std::nullopt) == 2);
   CHECK(PickSurplus(Zones({"a", "b", "a", "c"}), 2) == 0);
   CHECK(PickSurplus(Zones({"a"}), 0) == std::nullopt);
@@ -45,7 +45,7 @@
   CHECK_FALSE(ImprovesSpread(Zone("a"), {}));
 }
 
-TEST_CASE("Picked nodes lie in as many zones as can be, for any numbers of zones and nodes") {
+TEST_CASE("Picked nodes cover as many zones as possible, for any numbers of zones and nodes") {
   std::mt19937 random(20261202);
   for (int round = 0; round < 2000; ++round) {
     const size_t zone_count = 1 + random() % 7;
@@ -62,7 +62,7 @@
     const auto available = CountsOf(candidates);
     const auto taken = CountsOf(zones);
     REQUIRE(taken.size() == std::min(picked.size(), available.size()));
-    // A zone holds more than one above another only if the other has no node left.
+    // A zone may hold more than one replica above another only if the other has no node left.
     for (const auto& [zone, count] : taken) {
       for (const auto& [other, left] : available) {
         const auto held = taken.find(other);
@@ -79,7 +79,7 @@
     const size_t zone_count = 3 + random() % 5;
     const size_t voters = 3 + 2 * (random() % 3);
     std::vector<Zone> candidates;
-    // Nodes of one zone may all come before those of the next; each zone has enough of them.
+    // The candidates are either shuffled or sorted by zone; each zone has enough of them.
     for (size_t zone = 0; zone < zone_count; ++zone) {
       for (size_t node = 0; node < voters; ++node) candidates.emplace_back(std::to_string(zone));
     }
@@ -93,7 +93,8 @@
   }
 }
 
-TEST_CASE("Exchanges that spread better come to an end, with no zone two above a free one") {
+TEST_CASE(
+    "Exchanges that improve the spread terminate with the voters in as many zones as possible") {
   std::mt19937 random(7);
   for (int round = 0; round < 500; ++round) {
     const size_t zone_count = 1 + random() % 6;
--- a/test/cluster/report_batch_test.cc
+++ b/test/cluster/report_batch_test.cc
@@ -1,5 +1,5 @@
-/// Many servers that register in a moment: what that costs the log, and what builds of two levels
-/// read.
+/// Many servers that register at the same time: number of log entries, and compatibility with nodes
+/// of an earlier build.
 #include <catch2/catch.hpp>
 
 #include "fmt/format.h"
@@ -23,8 +23,8 @@
   return server;
 }
 
-/// Registers `count` servers at all control nodes in turn, one each 600 us; how many were
-/// acknowledged within a second.
+/// Registers `count` servers at the control nodes in turn, one every 600 us. Returns how many were
+/// acknowledged within a second of the last one.
 int Register(ClusterFleet& fleet, int control_nodes, int count) {
   int acknowledged = 0;
   for (int i = 0; i < count; ++i) {
@@ -43,8 +43,7 @@
   return groups.Find(GroupId("cluster"))->AppliedIndex().value();
 }
 
-/// 9,999 servers registered in six seconds with an entry each; the leader of 150 control nodes lost
-/// its leadership over them.
+/// With one entry per server, a mass registration made the leader lose its leadership.
 TEST_CASE("servers that register together take few entries, and each is acknowledged in time") {
   constexpr int kControlNodes = 6;
   constexpr int kServers = 2000;
@@ -53,15 +52,15 @@
   fleet.RunFor(seconds(10));
   const uint64_t before = Entries(fleet);
   CHECK(Register(fleet, kControlNodes, kServers) == kServers);
-  // An entry each 20 ms; twice for what else is written.
-  constexpr uint64_t kMost = 2 * (kServers * 600 / 20'000);
-  CHECK(Entries(fleet) - before <= kMost);
+  // One entry every 20 ms, with a factor of two for other entries.
+  constexpr uint64_t kMaxEntries = 2 * (kServers * 600 / 20'000);
+  CHECK(Entries(fleet) - before <= kMaxEntries);
   for (const char* gateway : {"g1", "g2"}) {
     CHECK(fleet.Process(gateway).configuration->configuration().instances.size() == kServers);
   }
 }
 
-TEST_CASE("a report that comes alone waits for no other") {
+TEST_CASE("a single report is proposed at once") {
   ClusterFleet fleet({});
   fleet.AwaitLeader();
   fleet.RunFor(seconds(10));
@@ -72,7 +71,7 @@
   CHECK(fleet.RunUntil([&] { return acknowledged; }, milliseconds(15)));
 }
 
-TEST_CASE("reports are written one by one while a node of the build before is live") {
+TEST_CASE("reports are written one by one while a node of an earlier build is live") {
   constexpr int kServers = 100;
   ClusterFleet fleet({});
   fleet.Crash("c2");
@@ -85,7 +84,7 @@
   CHECK(Entries(fleet) - before >= kServers);
 }
 
-TEST_CASE("reports in one entry do what they would do one by one") {
+TEST_CASE("grouped reports have the same effect as single ones") {
   StateMachineDriver grouped;
   StateMachineDriver single;
   UpdateInstances update;
