--- a/test/metering/usage_counter_test.cc
+++ b/test/metering/usage_counter_test.cc
@@ -12,7 +12,8 @@
 
 const TenantName kTenant("a");
 
-/// A cluster whose agreed time is `ahead` of the node's steady clock, and that commits reports.
+/// Simulates a cluster that commits reports and whose agreed time is `ahead` of the node's steady
+/// clock.
 class Fixture {
  public:
   Fixture()
@@ -23,12 +24,12 @@
               scheduler.Schedule(milliseconds(3), [this, done] { done(commits); });
             },
             [this](WallTime, std::function<void(std::optional<WallTime>)> done) {
-              ++asked;
+              ++queries;
               scheduler.Schedule(milliseconds(2), [this, done] { done(Agreed(-milliseconds(1))); });
             }) {}
 
   std::optional<WallTime> Agreed(Duration since) const {
-    if (!knows_time) return std::nullopt;
+    if (!time_known) return std::nullopt;
     const Duration now = environment.Now().time_since_epoch() + since + ahead;
     return WallTime(std::chrono::duration_cast<milliseconds>(now));
   }
@@ -36,14 +37,15 @@
   VirtualScheduler scheduler{1};
   VirtualEnvironment environment{scheduler, 2};
   bool commits = true;
-  bool knows_time = true;
+  bool time_known = true;
   Duration ahead = seconds(1'000'000);
-  int asked = 0;
+  int queries = 0;
   std::vector<UsageReport> sent;
   UsageCounter counter;
 };
 
-TEST_CASE("Requests are reported once, in their windows, together with those that come meanwhile") {
+TEST_CASE(
+    "Requests are reported once, in their windows, together with those that start meanwhile") {
   Fixture fixture;
   fixture.counter.Start();
   fixture.scheduler.RunFor(milliseconds(10));
@@ -85,32 +87,33 @@
   CHECK(fixture.counter.uncommitted() == 0);
 }
 
-TEST_CASE("What is counted before the time is known waits, and is placed by when it began") {
+TEST_CASE(
+    "Requests counted before the time is known are reported later, in the window of their start") {
   Fixture fixture;
-  fixture.knows_time = false;
+  fixture.time_known = false;
   fixture.counter.Start();
   fixture.counter.OnRequestStarted(kTenant, fixture.environment.Now());
-  const WallTime began = WallTime(std::chrono::duration_cast<milliseconds>(
+  const WallTime started_at = WallTime(std::chrono::duration_cast<milliseconds>(
       fixture.environment.Now().time_since_epoch() + fixture.ahead));
   fixture.scheduler.RunFor(seconds(8));
   CHECK(fixture.sent.empty());
-  fixture.knows_time = true;
+  fixture.time_known = true;
   fixture.scheduler.RunFor(seconds(2));
   REQUIRE(fixture.sent.size() == 1);
-  CHECK(fixture.sent[0].counts[0].window == WindowAt(began, seconds(5)));
+  CHECK(fixture.sent[0].counts[0].window == WindowAt(started_at, seconds(5)));
 }
 
-TEST_CASE("The time is asked for often until it is known, and seldom then") {
+TEST_CASE("The time is queried often until it is known, and rarely afterwards") {
   Fixture fixture;
-  fixture.knows_time = false;
+  fixture.time_known = false;
   fixture.counter.Start();
   fixture.scheduler.RunFor(milliseconds(2600));
-  CHECK(fixture.asked == 6);
-  fixture.knows_time = true;
+  CHECK(fixture.queries == 6);
+  fixture.time_known = true;
   fixture.scheduler.RunFor(milliseconds(500));
-  fixture.asked = 0;
+  fixture.queries = 0;
   fixture.scheduler.RunFor(seconds(30));
-  CHECK(fixture.asked == 10);
+  CHECK(fixture.queries == 10);
 }
 
 TEST_CASE("A node that leaves reports at once") {
@@ -126,7 +129,7 @@
   CHECK(fixture.sent.size() == 2);
 }
 
-TEST_CASE("Requests of nobody are not metered, and nothing is where no window is set") {
+TEST_CASE("Requests without a tenant are not metered, and none are without a window") {
   Fixture fixture;
   fixture.counter.Start();
   fixture.counter.OnRequestStarted(TenantName(), fixture.environment.Now());
--- a/test/metering/usage_ledger_test.cc
+++ b/test/metering/usage_ledger_test.cc
@@ -7,9 +7,9 @@
 namespace millstair {
 namespace {
 
-UsageReport Report(const std::string& gateway, uint64_t life, uint64_t sequence,
+UsageReport Report(const std::string& gateway, uint64_t incarnation, uint64_t sequence,
                    std::vector<UsageCount> counts) {
-  return {NodeId(gateway), Incarnation(life), sequence, std::move(counts)};
+  return {NodeId(gateway), Incarnation(incarnation), sequence, std::move(counts)};
 }
 
 UsageCount Count(uint64_t window, const std::string& tenant, uint64_t requests) {
@@ -32,19 +32,19 @@
   CHECK(Held(ledger, 8, "a") == 4);
 }
 
-TEST_CASE("A report counts once, in whatever order clocks put the lives of its gateway") {
+TEST_CASE("A report counts once, however clocks order the incarnations of its gateway") {
   UsageLedger ledger;
   ledger.Add(Report("g1", 5, 1, {Count(7, "a", 2)}));
   ledger.Add(Report("g1", 5, 1, {Count(7, "a", 2)}));
   CHECK(Held(ledger, 7, "a") == 2);
   ledger.Add(Report("g1", 6, 1, {Count(7, "a", 1)}));
   CHECK(Held(ledger, 7, "a") == 3);
-  // A life with a smaller number may be the present one, whose clock was set back.
+  // An incarnation with a smaller number may be the present one after its clock was set back.
   ledger.Add(Report("g1", 5, 2, {Count(7, "a", 9)}));
   ledger.Add(Report("g1", 4, 1, {Count(7, "a", 20)}));
   CHECK(Held(ledger, 7, "a") == 32);
-  for (const uint64_t life : {4, 5, 6}) {
-    ledger.Add(Report("g1", life, 1, {Count(7, "a", 100)}));
+  for (const uint64_t incarnation : {4, 5, 6}) {
+    ledger.Add(Report("g1", incarnation, 1, {Count(7, "a", 100)}));
   }
   ledger.Add(Report("g1", 5, 2, {Count(7, "a", 100)}));
   CHECK(Held(ledger, 7, "a") == 32);
@@ -62,7 +62,7 @@
   CHECK(ledger.closed_through() == UsageWindow(7));
 }
 
-TEST_CASE("Closed windows are given out in order until they are accepted, also empty ones") {
+TEST_CASE("Closed windows are reported in order until they are accepted, also empty ones") {
   UsageLedger ledger;
   CHECK_FALSE(ledger.OldestUnreported().has_value());
   ledger.Close(UsageWindow(5));
@@ -82,7 +82,7 @@
   CHECK(ledger.OldestUnreported() == UsageWindow(9));
 }
 
-TEST_CASE("Windows and gateways are bounded; the oldest go first") {
+TEST_CASE("Windows and gateways are bounded; the oldest are removed first") {
   UsageLedger ledger({3, 2});
   for (uint64_t window = 1; window <= 5; ++window) {
     ledger.Add(Report("g", 1, window, {Count(window, "a", 1)}));
@@ -108,7 +108,8 @@
     UsageLedger ledger;
     uint64_t next = 0;
     for (const uint8_t pick : order) {
-      // A gateway sends a report only once the one before is committed, but copies may linger.
+      // A gateway sends a report only after the previous one is committed, but copies may arrive
+      // later.
       if (pick % 2 == 0 && next < reports.size()) ledger.Add(reports[next++]);
       if (next > 0) ledger.Add(reports[pick % next]);
     }
