--- a/source/cluster/cluster_commands.h
+++ b/source/cluster/cluster_commands.h
@@ -55,7 +55,7 @@
   /// Creation time of the key, if given by the caller. A key older than the retention is rejected.
   std::optional<WallTime> issued;
   /// Random id that the gateway assigns to each request of a caller. A resend of this command with
-  /// the same attempt gets the first result; with 0, every resend gets kClaimHeld.
+  /// the same attempt gets the first result; with 0, a resend counts as another attempt.
   uint64_t attempt = 0;
 };
 
--- a/source/cluster/evacuation_routes.cc
+++ b/source/cluster/evacuation_routes.cc
@@ -12,8 +12,8 @@
 }
 
 void EvacuationRoutes::List(const SharedWriter& writer) const {
-  const boost::json::object page{{"evacuations", EvacuationsToJson(cluster_.configuration())}};
-  RespondJson(*writer, boost::json::serialize(page));
+  const boost::json::object body{{"evacuations", EvacuationsToJson(cluster_.configuration())}};
+  RespondJson(*writer, boost::json::serialize(body));
 }
 
 void EvacuationRoutes::Change(const EvacuateZone& order, const SharedWriter& writer) {
--- a/source/cluster/suspect_routes.cc
+++ b/source/cluster/suspect_routes.cc
@@ -17,16 +17,16 @@
         {"trials", suspect.trials},
         {"changed_milliseconds", suspect.changed_time.time_since_epoch().count()}});
   }
-  const boost::json::object page{{"suspects", std::move(suspects)}};
-  RespondJson(*writer, boost::json::serialize(page));
+  const boost::json::object body{{"suspects", std::move(suspects)}};
+  RespondJson(*writer, boost::json::serialize(body));
 }
 
 void SuspectRoutes::Clear(const RequestFingerprint& request, const SharedWriter& writer) {
   if (!cluster_.configuration().suspects.contains(request)) {
-    return RespondRefused(*writer, 404, "not found", "nothing is held against such a request");
+    return RespondRefused(*writer, 404, "not found", "no such suspect request");
   }
-  constexpr uint32_t kHoweverMany = std::numeric_limits<uint32_t>::max();
-  submitter_.ChangeRepeatable(ClearSuspect{request, kHoweverMany},
+  constexpr uint32_t kAnyCrashCount = std::numeric_limits<uint32_t>::max();
+  submitter_.ChangeRepeatable(ClearSuspect{request, kAnyCrashCount},
                               [writer](const absl::StatusOr<ClusterResult>& result) {
                                 if (result.ok()) return RespondResult(*writer, *result);
                                 RespondUnavailable(*writer, result.status(), Outcome::kUnknown);
