--- a/source/ingress/request_guard.cc
+++ b/source/ingress/request_guard.cc
@@ -220,12 +220,12 @@
     found->second.reported_at = at;
     if (!at) found->second.reported.clear();
   }
-  if (!at) return ScheduleReport();
+  if (!at) return ReportSoon();
   // A record that was cleared before it was pushed here is never seen as such.
   DropAccounted();
 }
 
-void RequestGuard::ScheduleReport() {
+void RequestGuard::ReportSoon() {
   report_timer_.Arm(kReportPause, [this] {
     std::vector<RequestFingerprint> waiting;
     for (const auto& [request, seen] : seen_) {
--- a/source/ingress/request_guard.h
+++ b/source/ingress/request_guard.h
@@ -144,7 +144,7 @@
   void OnChecked(const InstanceId& instance, LifeVerdict verdict);
   void Report(const std::vector<RequestFingerprint>& requests);
   bool WantsReport(const Seen& seen) const;
-  void ScheduleReport();
+  void ReportSoon();
   void OnReported(const std::vector<RequestFingerprint>& requests, std::optional<Revision> at);
   /// What the configuration held accounts for is not this node's to hold against a request: the
   /// cluster's record does, or has been cleared since.
