--- a/test/jobs/job_group_founder_test.cc
+++ b/test/jobs/job_group_founder_test.cc
@@ -31,7 +31,7 @@
 
   std::set<Zone> ZonesOfFounders() const {
     std::set<Zone> zones;
-    for (const GroupMember& founder : founded->founders) {
+    for (const GroupMember& founder : founded->initial_members) {
       zones.insert(configuration.nodes.at(founder.node).zone);
     }
     return zones;
@@ -56,7 +56,7 @@
   }
   fixture.Run(3);
   REQUIRE(fixture.founded);
-  CHECK(fixture.founded->founders.size() == 5);
+  CHECK(fixture.founded->initial_members.size() == 5);
   CHECK(fixture.ZonesOfFounders().size() == 5);
 }
 
@@ -78,7 +78,7 @@
   CHECK_FALSE(fixture.founded);
   fixture.Run(1);
   REQUIRE(fixture.founded);
-  CHECK(fixture.founded->founders.size() == 1);
+  CHECK(fixture.founded->initial_members.size() == 1);
 }
 
 }  // namespace
