--- a/source/cluster/task_leases.cc
+++ b/source/cluster/task_leases.cc
@@ -17,9 +17,9 @@
     const Duration passed = announcement.announced_at - held.announcement.announced_at;
     held.until = std::min(held.until, now + lease_ - passed);
   }
-  const auto over = [now](const auto& entry) { return entry.second.until <= now; };
-  std::erase_if(held_, over);
-  std::erase_if(own_announcements_, over);
+  const auto expired = [now](const auto& entry) { return entry.second.until <= now; };
+  std::erase_if(held_, expired);
+  std::erase_if(own_announcements_, expired);
   held_.erase(announcement.subject);
   // This node's announcement ends any other holder's lease: it was only made when MayOperateOn
   // allowed it, after all entries of earlier leaders were applied, so the earlier lease had
@@ -36,9 +36,9 @@
   const auto held = held_.find(subject);
   if (held != held_.end() && now < held->second.until) return false;
   const auto own_announcement = own_announcements_.find(subject);
-  const bool on_its_way =
+  const bool in_flight =
       own_announcement != own_announcements_.end() && now < own_announcement->second.until;
-  return !on_its_way || own_announcement->second.announcement.term >= term;
+  return !in_flight || own_announcement->second.announcement.term >= term;
 }
 
 bool TaskLeases::MayStillOperateOn(const std::string& subject, Term term,
