--- a/source/cluster/operators_answer.cc
+++ b/source/cluster/operators_answer.cc
@@ -9,7 +9,7 @@
 namespace millstair {
 namespace {
 
-constexpr Duration kComeBackAfter = std::chrono::seconds(1);
+constexpr Duration kRetryAfter = std::chrono::seconds(1);
 
 void RespondConflict(ResponseWriter& writer, const ClusterResult& result) {
   Problem problem;
@@ -48,8 +48,8 @@
 
 void RespondUnavailable(ResponseWriter& writer, const absl::Status& status, Outcome outcome) {
   const int code = absl::IsDeadlineExceeded(status) ? 504 : 503;
-  RespondProblem(
-      writer, {code, "no control quorum", std::string(status.message()), outcome, kComeBackAfter});
+  RespondProblem(writer,
+                 {code, "no control quorum", std::string(status.message()), outcome, kRetryAfter});
 }
 
 void RespondResult(ResponseWriter& writer, const ClusterResult& result) {
@@ -62,7 +62,7 @@
     case ClusterResultCode::kNotFound:
       return RespondRefused(writer, 404, "not found", result.message);
     case ClusterResultCode::kSessionExpired:
-      // Nothing was done now; whether an earlier send was is no longer known.
+      // This command changed nothing, but an earlier send of it may have run.
       return RespondProblem(
           writer, {410, "session expired", result.message, Outcome::kUnknown, std::nullopt});
     default:
--- a/source/cluster/operators_api.cc
+++ b/source/cluster/operators_api.cc
@@ -9,7 +9,7 @@
 
 constexpr uint64_t kMaxWaitSeconds = 3600;
 
-/// Whether `path` is `parts` or, with `longer`, begins with them.
+/// Whether `path` equals `parts` or, with `longer`, starts with them.
 bool PathIs(const std::vector<std::string>& path, const std::vector<std::string>& parts,
             bool longer = false) {
   if (path.size() < parts.size() || (!longer && path.size() != parts.size())) return false;
@@ -43,7 +43,7 @@
   if (HandleEvacuation(request, *target, writer)) return;
   if (get && PathIs(path, {"v1", "suspects"})) return suspects_.List(writer);
   if (request.method == "DELETE" && path.size() == 3 && PathIs(path, {"v1", "suspects"}, true)) {
-    return suspects_.Lift(RequestFingerprint(path[2]), writer);
+    return suspects_.Clear(RequestFingerprint(path[2]), writer);
   }
   const bool one_replica = path.size() == 3 && PathIs(path, {"v1", "replicas"}, true);
   if (request.method == "DELETE" && one_replica) return replicas_.Remove(NodeId(path[2]), writer);
--- a/source/jobs/job_replica_manager.cc
+++ b/source/jobs/job_replica_manager.cc
@@ -107,7 +107,7 @@
   // Only a group with all its voters is rebalanced.
   if (voters.size() != options_.voters) return false;
   const auto learner = BestLearner(members);
-  if (!learner || !SpreadsBetter(ZoneOf(learner->node), ZonesOf(voters))) return false;
+  if (!learner || !ImprovesSpread(ZoneOf(learner->node), ZonesOf(voters))) return false;
   Promote(*learner);
   return true;
 }
@@ -163,7 +163,7 @@
 bool JobReplicaManager::NeedsOtherZone(const std::vector<GroupMember>& members) const {
   const std::vector<Zone> occupied = ZonesOf(HealthyVoters(members));
   const auto learner = BestLearner(members);
-  return !learner || !SpreadsBetter(ZoneOf(learner->node), occupied);
+  return !learner || !ImprovesSpread(ZoneOf(learner->node), occupied);
 }
 
 bool JobReplicaManager::AddNewLearner(const std::vector<GroupMember>& members) {
@@ -188,7 +188,7 @@
   const size_t wanted = options_.voters + options_.spare_learners;
   // One additional learner is allowed to relieve a crowded zone.
   const bool relieves = healthy == wanted && NeedsOtherZone(members) &&
-                        SpreadsBetter(zones[*best], ZonesOf(HealthyVoters(members)));
+                        ImprovesSpread(zones[*best], ZonesOf(HealthyVoters(members)));
   if (healthy >= wanted && !relieves) return false;
   const GroupMember& candidate = candidates[*best];
   LogEvent(EventId::kReplicaJoined, "group={} node={} replica={}", group_->id(), candidate.node,
--- a/source/jobs/load_scheduler.cc
+++ b/source/jobs/load_scheduler.cc
@@ -351,7 +351,7 @@
 
 void LoadScheduler::HandleReport(const InstanceId& instance, const ReportedEngine& report) {
   // Another incarnation of the server replied, so this one has ended.
-  const bool other_incarnation = report.born != BirthTime() && report.born != BirthOf(instance);
+  const bool other_incarnation = report.born != StartTime() && report.born != StartTimeOf(instance);
   if (other_incarnation) return directory_.NoteOver(instance);
   EngineLoadState& engine = engines_.at(instance);
   for (const NamedVersion& held : report.models) {
@@ -395,7 +395,7 @@
 }
 
 bool LoadScheduler::MayOrder(const InstanceId& instance) const {
-  return group_ != nullptr && leases_.MayAct(LeaseSubject(instance), group_->CurrentTerm());
+  return group_ != nullptr && leases_.MayOperateOn(LeaseSubject(instance), group_->CurrentTerm());
 }
 
 void LoadScheduler::ProposeOrder(const InstanceId& instance, const NamedVersion& wanted,
@@ -426,7 +426,7 @@
   // Every earlier announcement is applied here by now.
   const bool leads = group_ != nullptr && group_->IsLeader();
   const bool may_order =
-      leads && leases_.MayStillAct(LeaseSubject(instance), group_->CurrentTerm(), announced_at);
+      leads && leases_.MayStillOperateOn(LeaseSubject(instance), group_->CurrentTerm(), announced_at);
   if (!may_order || target == nullptr) {
     found->second.loading.reset();
     return;
--- a/source/jobs/load_scheduler.h
+++ b/source/jobs/load_scheduler.h
@@ -13,7 +13,7 @@
 #include <string>
 
 #include "cluster/configuration.h"
-#include "cluster/holder_leases.h"
+#include "cluster/task_leases.h"
 #include "common/alive_flag.h"
 #include "common/environment.h"
 #include "common/scoped_timer.h"
@@ -72,8 +72,8 @@
   void SetLeading(RaftGroup* group);
   /// Called for each applied announcement, in log order.
   void RecordAnnouncement(const AnnounceOrder& announcement) {
-    leases_.NoteAnnouncement({announcement.holder, LeaseSubject(announcement.instance),
-                              announcement.term, announcement.announced_at});
+    leases_.OnAnnouncement({announcement.holder, LeaseSubject(announcement.instance),
+                            announcement.term, announcement.announced_at});
   }
   void Update(const Configuration& configuration, const RouteTable* routes);
   /// A job of `model` was submitted; `work` is its expected number of output tokens.
@@ -104,7 +104,7 @@
  private:
   /// Subject of the lease on the orders to a server: the same for all its incarnations, so that two
   /// lease holders never alternate at one server.
-  static std::string LeaseSubject(const InstanceId& instance) { return ServerOf(instance).value(); }
+  static std::string LeaseSubject(const InstanceId& instance) { return ServerNameOf(instance).value(); }
 
   using EngineGroup = std::vector<EngineLoadState*>;
 
@@ -157,7 +157,7 @@
   const NodeId self_;
   const LoadOptions options_;
   RaftGroup* group_ = nullptr;
-  HolderLeases leases_;
+  TaskLeases leases_;
   bool caught_up_ = false;
   /// Smoothed duration of recent loads.
   Duration load_time_;
--- a/source/jobs/storage_node.cc
+++ b/source/jobs/storage_node.cc
@@ -148,9 +148,9 @@
   void OpenBootstrappedGroup() {
     const auto group = configuration().job_groups.find(kJobGroup);
     if (group == configuration().job_groups.end() || groups_->Find(kJobGroup) != nullptr) return;
-    for (const GroupMember& member : group->second.founders) {
+    for (const GroupMember& member : group->second.initial_members) {
       if (member.replica != replica_) continue;
-      const auto opened = groups_->OpenGroup(kJobGroup, group->second.founders);
+      const auto opened = groups_->OpenGroup(kJobGroup, group->second.initial_members);
       if (opened.ok()) continue;
       LogEvent(EventId::kReplicaHalted, "group={} error=\"{}\"", kJobGroup,
                std::string(opened.status().message()));
--- a/test/jobs/job_group_bootstrapper_test.cc
+++ b/test/jobs/job_group_bootstrapper_test.cc
@@ -31,7 +31,7 @@
 
   std::set<Zone> ZonesOfInitialMembers() const {
     std::set<Zone> zones;
-    for (const GroupMember& founder : bootstrapped->founders) {
+    for (const GroupMember& founder : bootstrapped->initial_members) {
       zones.insert(configuration.nodes.at(founder.node).zone);
     }
     return zones;
@@ -43,7 +43,7 @@
   std::optional<JobGroup> bootstrapped;
   std::unique_ptr<ClusterDuty> task = MakeJobGroupBootstrapper(
       environment, JobGroupBootstrapperOptions{5}, [this](ClusterCommand command) {
-        bootstrapped = std::get<FoundJobGroup>(command.operation).group;
+        bootstrapped = std::get<BootstrapJobGroup>(command.operation).group;
       });
 };
 
@@ -56,7 +56,7 @@
   }
   fixture.Run(3);
   REQUIRE(fixture.bootstrapped);
-  CHECK(fixture.bootstrapped->founders.size() == 5);
+  CHECK(fixture.bootstrapped->initial_members.size() == 5);
   CHECK(fixture.ZonesOfInitialMembers().size() == 5);
 }
 
@@ -78,7 +78,7 @@
   CHECK_FALSE(fixture.bootstrapped);
   fixture.Run(1);
   REQUIRE(fixture.bootstrapped);
-  CHECK(fixture.bootstrapped->founders.size() == 1);
+  CHECK(fixture.bootstrapped->initial_members.size() == 1);
 }
 
 }  // namespace
--- a/test/metering/usage_counter_test.cc
+++ b/test/metering/usage_counter_test.cc
@@ -12,7 +12,8 @@
 
 const TenantName kTenant("a");
 
-/// A cluster whose agreed time is `ahead` of the node's steady clock, and that commits reports.
+/// Simulates a cluster that commits reports and whose agreed time is `ahead` of the node's steady
+/// clock.
 class Fixture {
  public:
   Fixture()
@@ -23,12 +24,12 @@
               scheduler.Schedule(milliseconds(3), [this, done] { done(commits); });
             },
             [this](WallTime, std::function<void(std::optional<WallTime>)> done) {
-              ++asked;
+              ++queries;
               scheduler.Schedule(milliseconds(2), [this, done] { done(Agreed(-milliseconds(1))); });
             }) {}
 
   std::optional<WallTime> Agreed(Duration since) const {
-    if (!knows_time) return std::nullopt;
+    if (!time_known) return std::nullopt;
     const Duration now = environment.Now().time_since_epoch() + since + ahead;
     return WallTime(std::chrono::duration_cast<milliseconds>(now));
   }
@@ -36,21 +37,22 @@
   VirtualScheduler scheduler{1};
   VirtualEnvironment environment{scheduler, 2};
   bool commits = true;
-  bool knows_time = true;
+  bool time_known = true;
   Duration ahead = seconds(1'000'000);
-  int asked = 0;
+  int queries = 0;
   std::vector<UsageReport> sent;
   UsageCounter counter;
 };
 
-TEST_CASE("Requests are reported once, in their windows, together with those that come meanwhile") {
+TEST_CASE(
+    "Requests are reported once, in their windows, together with those that start meanwhile") {
   Fixture fixture;
   fixture.counter.Start();
   fixture.scheduler.RunFor(milliseconds(10));
   const TimePoint now = fixture.environment.Now();
-  fixture.counter.NoteBegun(kTenant, now);
-  fixture.counter.NoteBegun(kTenant, now);
-  fixture.counter.NoteBegun(TenantName("b"), now - seconds(5));
+  fixture.counter.OnRequestStarted(kTenant, now);
+  fixture.counter.OnRequestStarted(kTenant, now);
+  fixture.counter.OnRequestStarted(TenantName("b"), now - seconds(5));
   fixture.scheduler.RunFor(milliseconds(490));
   CHECK(fixture.sent.empty());
   CHECK(fixture.counter.uncommitted() == 3);
@@ -72,9 +74,9 @@
   fixture.counter.Start();
   fixture.scheduler.RunFor(milliseconds(10));
   fixture.commits = false;
-  fixture.counter.NoteBegun(kTenant, fixture.environment.Now());
+  fixture.counter.OnRequestStarted(kTenant, fixture.environment.Now());
   fixture.scheduler.RunFor(milliseconds(600));
-  fixture.counter.NoteBegun(kTenant, fixture.environment.Now());
+  fixture.counter.OnRequestStarted(kTenant, fixture.environment.Now());
   fixture.scheduler.RunFor(seconds(2));
   REQUIRE(fixture.sent.size() >= 3);
   for (const UsageReport& report : fixture.sent) CHECK(report == fixture.sent[0]);
@@ -85,58 +87,59 @@
   CHECK(fixture.counter.uncommitted() == 0);
 }
 
-TEST_CASE("What is counted before the time is known waits, and is placed by when it began") {
+TEST_CASE(
+    "Requests counted before the time is known are reported later, in the window of their start") {
   Fixture fixture;
-  fixture.knows_time = false;
+  fixture.time_known = false;
   fixture.counter.Start();
-  fixture.counter.NoteBegun(kTenant, fixture.environment.Now());
-  const WallTime began = WallTime(std::chrono::duration_cast<milliseconds>(
+  fixture.counter.OnRequestStarted(kTenant, fixture.environment.Now());
+  const WallTime started_at = WallTime(std::chrono::duration_cast<milliseconds>(
       fixture.environment.Now().time_since_epoch() + fixture.ahead));
   fixture.scheduler.RunFor(seconds(8));
   CHECK(fixture.sent.empty());
-  fixture.knows_time = true;
+  fixture.time_known = true;
   fixture.scheduler.RunFor(seconds(2));
   REQUIRE(fixture.sent.size() == 1);
-  CHECK(fixture.sent[0].counts[0].window == WindowAt(began, seconds(5)));
+  CHECK(fixture.sent[0].counts[0].window == WindowAt(started_at, seconds(5)));
 }
 
-TEST_CASE("The time is asked for often until it is known, and seldom then") {
+TEST_CASE("The time is queried often until it is known, and rarely afterwards") {
   Fixture fixture;
-  fixture.knows_time = false;
+  fixture.time_known = false;
   fixture.counter.Start();
   fixture.scheduler.RunFor(milliseconds(2600));
-  CHECK(fixture.asked == 6);
-  fixture.knows_time = true;
+  CHECK(fixture.queries == 6);
+  fixture.time_known = true;
   fixture.scheduler.RunFor(milliseconds(500));
-  fixture.asked = 0;
+  fixture.queries = 0;
   fixture.scheduler.RunFor(seconds(30));
-  CHECK(fixture.asked == 10);
+  CHECK(fixture.queries == 10);
 }
 
 TEST_CASE("A node that leaves reports at once") {
   Fixture fixture;
   fixture.counter.Start();
   fixture.scheduler.RunFor(milliseconds(10));
-  fixture.counter.NoteBegun(kTenant, fixture.environment.Now());
+  fixture.counter.OnRequestStarted(kTenant, fixture.environment.Now());
   fixture.counter.SetLeaving();
   CHECK(fixture.sent.size() == 1);
   fixture.scheduler.RunFor(milliseconds(10));
-  fixture.counter.NoteBegun(kTenant, fixture.environment.Now());
+  fixture.counter.OnRequestStarted(kTenant, fixture.environment.Now());
   fixture.scheduler.RunFor(milliseconds(25));
   CHECK(fixture.sent.size() == 2);
 }
 
-TEST_CASE("Requests of nobody are not metered, and nothing is where no window is set") {
+TEST_CASE("Requests without a tenant are not metered, and none are without a window") {
   Fixture fixture;
   fixture.counter.Start();
-  fixture.counter.NoteBegun(TenantName(), fixture.environment.Now());
+  fixture.counter.OnRequestStarted(TenantName(), fixture.environment.Now());
   CHECK(fixture.counter.uncommitted() == 0);
   UsageCounter off(
       fixture.environment, {NodeId("g"), Incarnation(1), Duration(0)},
       [](const UsageReport&, const std::function<void(bool)>&) { FAIL("reported"); },
       [](WallTime, const std::function<void(std::optional<WallTime>)>&) { FAIL("asked"); });
   off.Start();
-  off.NoteBegun(kTenant, fixture.environment.Now());
+  off.OnRequestStarted(kTenant, fixture.environment.Now());
   fixture.scheduler.RunFor(seconds(5));
   CHECK(off.uncommitted() == 0);
 }
