--- a/source/cluster/configuration_client.cc
+++ b/source/cluster/configuration_client.cc
@@ -8,7 +8,7 @@
 
 #include "cluster/control_endpoints.h"
 #include "cluster/control_messages.h"
-#include "cluster/proof_gate.h"
+#include "cluster/freshness_gate.h"
 #include "common/event_log.h"
 #include "common/random.h"
 #include "common/scoped_timer.h"
@@ -132,7 +132,7 @@
     // Where nothing is held there is nothing that could be behind, and nobody to ask without
     // control nodes.
     if (configuration_.revision == Revision() || sources_.empty()) return work();
-    gate_.Pass(std::move(work));
+    gate_.Submit(std::move(work));
   }
 
   std::optional<TimePoint> ProvenSince() const override {
@@ -352,7 +352,7 @@
     std::erase_if(unanswered_,
                   [&](const auto& entry) { return now - entry.second.at > timing_.lease; });
     unanswered_[heartbeat.nonce] = {to, now};
-    gate_.NoteAsked();
+    gate_.OnHeartbeatSent();
     transport_.Send(to, {MessageKind::kHeartbeat, EncodeHeartbeat(heartbeat)});
   }
 
@@ -395,7 +395,7 @@
     // would hand on a new revision without its changes.
     if (proven_at && relay_) EndReads(*proven_at);
     // After the listeners for the same reason: who waits would go by what was replaced.
-    if (proven_at && LeaseValid()) gate_.NoteProven();
+    if (proven_at && LeaseValid()) gate_.OnConfirmed();
   }
 
   /// When the heartbeat was sent by which the configuration held is proven; none if it is not.
@@ -560,7 +560,7 @@
   TimePoint no_redirect_until_;
   /// In the order in which they were asked for.
   std::vector<PendingRead> reads_;
-  ProofGate gate_;
+  FreshnessGate gate_;
   ScopedTimer timer_;
   ScopedTimer search_timer_;
   ScopedTimer read_timer_;
--- a/source/cluster/proof_gate.h
+++ b/source/cluster/freshness_gate.h
@@ -17,45 +17,45 @@
 
 namespace millstair {
 
-struct ProofGateTiming {
+struct FreshnessGateTiming {
   /// A heartbeat without an answer for this long was asked in vain.
-  Duration patience{0};
+  Duration reply_timeout{0};
   /// Heartbeats go out more often than this: a longer pause between two means that the node stood
   /// still.
-  Duration longest_pause{0};
+  Duration max_heartbeat_interval{0};
 };
 
 /// Lives on the node's serial executor.
-class ProofGate {
+class FreshnessGate {
  public:
-  /// `proven`: whether the configuration held is proven fresh. `ask` sends a heartbeat now, which
-  /// is told by NoteAsked.
-  ProofGate(Environment& environment, ProofGateTiming timing, std::function<bool()> proven,
-            std::function<void()> ask);
+  /// `confirmed`: whether the configuration held is confirmed fresh. `send_heartbeat` sends a
+  /// heartbeat now, which is told by OnHeartbeatSent.
+  FreshnessGate(Environment& environment, FreshnessGateTiming timing,
+                std::function<bool()> confirmed, std::function<void()> send_heartbeat);
 
-  /// Runs `work` at once if the configuration is proven or no proof is to be had, else as soon as
-  /// one of the two is so; in the order in which it came.
-  void Pass(std::function<void()> work);
+  /// Runs `work` at once if the configuration is confirmed or no proof is to be had, else as soon
+  /// as one of the two is so; in the order in which it came.
+  void Submit(std::function<void()> work);
   /// A heartbeat was sent.
-  void NoteAsked();
-  /// The configuration is proven, and all who use it have heard what changed.
-  void NoteProven();
+  void OnHeartbeatSent();
+  /// The configuration is confirmed, and all who use it have heard what changed.
+  void OnConfirmed();
 
  private:
-  bool StoodStill() const;
+  bool WasPaused() const;
   /// Whether an answer to what was asked may still come.
-  bool MayStillCome() const;
-  void Wait();
-  void GiveUp(TimePoint due);
+  bool ReplyMayArrive() const;
+  void ArmTimer();
+  void OnTimeout(TimePoint due);
   void Release();
 
   Environment& environment_;
-  const ProofGateTiming timing_;
-  const std::function<bool()> proven_;
-  const std::function<void()> ask_;
-  std::optional<TimePoint> last_asked_;
+  const FreshnessGateTiming timing_;
+  const std::function<bool()> confirmed_;
+  const std::function<void()> send_heartbeat_;
+  std::optional<TimePoint> last_sent_;
   /// When the first heartbeat was sent since the last proof, or since the node last stood still.
-  std::optional<TimePoint> asked_since_;
+  std::optional<TimePoint> unanswered_since_;
   std::vector<std::function<void()>> waiting_;
   TimePoint waiting_since_;
   ScopedTimer timer_;
