--- a/source/cluster/configuration_client.cc
+++ b/source/cluster/configuration_client.cc
@@ -20,46 +20,46 @@
 constexpr int kHeartbeatsPerFullReport = 5;
 /// How often a node that uses a control node of another zone asks one of its own zone beside it.
 /// One more heartbeat (some 100 bytes) each time.
-constexpr Duration kAskOwnZone = std::chrono::seconds(10);
+constexpr Duration kOwnZoneProbeInterval = std::chrono::seconds(10);
 constexpr double kHeartbeatJitter = 0.1;
 /// A node that runs sends a heartbeat within so many of their intervals.
-constexpr int kHeartbeatsUntilStoodStill = 2;
-/// Between two control nodes that are asked while none answers. They are not waited for one by one:
+constexpr int kHeartbeatsUntilPaused = 2;
+/// Between two control nodes that are sent while none answers. They are not waited for one by one:
 /// one that is cut off or has no power says nothing, a connection to it hangs for a second, and
 /// several of a zone fall silent together. With a time-out of 0.9 s for each, three in a row left a
 /// gateway of 13 control nodes without a proof for 5 to 7 s. An answer takes some ten milliseconds,
-/// a whole configuration a few tens. All of 13 are asked within 1.8 s.
-constexpr Duration kSearchStep = std::chrono::milliseconds(150);
+/// a whole configuration a few tens. All of 13 are sent within 1.8 s.
+constexpr Duration kSearchInterval = std::chrono::milliseconds(150);
 /// An observation that changed is sent at most this much later, together with others by then.
-constexpr Duration kReportDelay = std::chrono::milliseconds(150);
+constexpr Duration kObservationDelay = std::chrono::milliseconds(150);
 
 /// Cut off: silent for this many leases. On the platform (1.75 s) that is 3.5 s, in which a search
 /// asks 13 control nodes twice; a kill of all of them with their restart stays below it.
-constexpr int kLeasesUntilCutOff = 2;
-/// A node without a proof says this often what it asked and what came back.
-constexpr Duration kStillUnprovenPause = std::chrono::seconds(5);
+constexpr int kLeasesUntilIsolated = 2;
+/// A node without a proof says this often what it sent and what came back.
+constexpr Duration kUnconfirmedLogInterval = std::chrono::seconds(5);
 
-/// Control nodes that are asked before the pauses of a search are doubled: where so many do not
+/// Control nodes that are sent before the pauses of a search are doubled: where so many do not
 /// answer it is not their fault.
-constexpr size_t kAsksBeforeDoubling = 13;
+constexpr size_t kMaxRequestsPerRound = 13;
 /// The pauses of a search are not doubled more often than this; no heartbeat is that far apart.
-constexpr size_t kMostDoublings = 8;
+constexpr size_t kMaxDoublings = 8;
 
 /// Reads of so short a time share one heartbeat.
-constexpr Duration kReadDelay = std::chrono::milliseconds(2);
+constexpr Duration kReadBatchDelay = std::chrono::milliseconds(2);
 /// A read that no replica confirmed by then is given up; those that wait for it have turned to
 /// another control node by then.
-constexpr Duration kReadPatience = std::chrono::seconds(1);
+constexpr Duration kReadTimeout = std::chrono::seconds(1);
 /// After a control node that was named did not answer, the node stays with whoever does for this
 /// long: by then one that is gone is not named any more.
-constexpr Duration kNoRedirect = std::chrono::seconds(5);
+constexpr Duration kNoRedirectPeriod = std::chrono::seconds(5);
 
 /// A node follows the word of a control node that names another one this often at most.
-constexpr Duration kRedirectPause = std::chrono::seconds(1);
+constexpr Duration kMinRedirectInterval = std::chrono::seconds(1);
 
 /// A read that waits for a proof.
 struct PendingRead {
-  TimePoint asked_at;
+  TimePoint requested_at;
   std::function<void(absl::Status)> done;
 };
 
@@ -69,19 +69,19 @@
 };
 
 /// What came of a node's heartbeats, for its log.
-struct ProofTally {
-  int asked = 0;
+struct HeartbeatCounts {
+  int sent = 0;
   /// Answered in time with a proof or with changes that lead to it.
-  int answered = 0;
+  int confirmed = 0;
   /// Answered after the heartbeat was given up.
-  int late = 0;
+  int too_late = 0;
   /// Answered without a proof, and why the last time.
   int refused = 0;
   HeartbeatRefusal refusal = HeartbeatRefusal::kNone;
   /// Replies and pushes that can't be read.
   int unreadable = 0;
-  /// Changes that start after the revision held, or lead back.
-  int unfit = 0;
+  /// Changes that start after the revision in_configuration, or lead back.
+  int inapplicable = 0;
   int pushes = 0;
 };
 
@@ -106,8 +106,8 @@
         timing_(timing),
         faults_(faults),
         gate_(
-            environment, {timing.answer_patience, kHeartbeatsUntilStoodStill * timing.heartbeat},
-            [this] { return LeaseValid(); }, [this] { AskNow(); }),
+            environment, {timing.reply_timeout, kHeartbeatsUntilPaused * timing.heartbeat},
+            [this] { return LeaseValid(); }, [this] { RequestConfirmation(); }),
         timer_(environment),
         search_timer_(environment),
         read_timer_(environment) {}
@@ -117,11 +117,11 @@
     for (const ControlEndpoint& endpoint : sources_.all()) {
       transport_.SetAddress(endpoint.node, endpoint.address);
     }
-    answered_at_ = environment_.Now();
-    heard_at_ = answered_at_;
-    tally_told_at_ = answered_at_;
-    search_timer_.Arm(SearchStep(), [this] { Search(); });
-    Beat();
+    source_replied_at_ = environment_.Now();
+    last_message_at_ = source_replied_at_;
+    counts_logged_at_ = source_replied_at_;
+    search_timer_.Arm(SearchInterval(), [this] { Search(); });
+    SendRegularHeartbeat();
   }
 
   const Configuration& configuration() const override { return configuration_; }
@@ -129,35 +129,38 @@
   bool LeaseValid() const override { return leased_ && environment_.Now() < lease_until_; }
 
   void WhenCurrent(std::function<void()> work) override {
-    // Where nothing is held there is nothing that could be behind, and nobody to ask without
-    // control nodes.
+    // Where nothing is in_configuration there is nothing that could be behind, and nobody to ask
+    // without control nodes.
     if (configuration_.revision == Revision() || sources_.empty()) return work();
     gate_.Submit(std::move(work));
   }
 
-  std::optional<TimePoint> ProvenSince() const override {
-    return LeaseValid() ? std::optional(proven_since_) : std::nullopt;
+  std::optional<TimePoint> ConfirmedSince() const override {
+    return LeaseValid() ? std::optional(confirmed_since_) : std::nullopt;
   }
 
-  std::optional<Duration> ProofAge() const override {
+  std::optional<Duration> ConfirmationAge() const override {
     if (!leased_) return std::nullopt;
     return environment_.Now() - (lease_until_ - timing_.lease);
   }
 
-  bool CutOff() const override {
-    return !LeaseValid() && environment_.Now() - heard_at_ > kLeasesUntilCutOff * timing_.lease;
+  bool IsIsolated() const override {
+    return !LeaseValid() &&
+           environment_.Now() - last_message_at_ > kLeasesUntilIsolated * timing_.lease;
   }
 
   void ConfirmRead(std::function<void(absl::Status)> done) override {
     reads_.push_back({environment_.Now(), std::move(done)});
-    if (!read_timer_.armed()) read_timer_.Arm(kReadDelay, [this] { SendForReads(); });
+    if (!read_timer_.armed()) read_timer_.Arm(kReadBatchDelay, [this] { SendReadHeartbeat(); });
   }
 
   std::optional<NodeId> Leader() const override {
     return leader_ == NodeId() ? std::nullopt : std::optional(leader_);
   }
 
-  void OnCutOff(std::function<void(bool)> callback) override { on_cut_off_ = std::move(callback); }
+  void OnIsolationChange(std::function<void(bool)> callback) override {
+    on_isolation_change_ = std::move(callback);
+  }
 
   void OnChange(ChangeListener callback) override { listeners_.push_back(std::move(callback)); }
 
@@ -165,14 +168,15 @@
     const EngineName engine = observation.engine;
     unsent_.insert(engine);
     observations_[engine] = std::move(observation);
-    const bool beats = timer_.armed();
-    if (beats && next_beat_ - environment_.Now() > kReportDelay) BeatAfter(kReportDelay);
+    const bool started = timer_.armed();
+    if (started && next_heartbeat_ - environment_.Now() > kObservationDelay)
+      ScheduleHeartbeat(kObservationDelay);
   }
 
   void SetLeaving() override {
     if (self_.state == MemberState::kLeaving) return;
     self_.state = MemberState::kLeaving;
-    if (!sources_.empty()) Beat();
+    if (!sources_.empty()) SendRegularHeartbeat();
   }
 
   void Receive(const NodeId& from, const PeerMessage& message) override {
@@ -181,164 +185,167 @@
   }
 
  private:
-  void SendForReads() {
+  void SendReadHeartbeat() {
     SendHeartbeat(sources_.current().node, {}, false);
-    read_timer_.Arm(kReadPatience, [this] { FailOldReads(); });
+    read_timer_.Arm(kReadTimeout, [this] { FailExpiredReads(); });
   }
 
-  /// Those that were asked for before `proven_at` are confirmed.
-  void EndReads(TimePoint proven_at) {
-    for (const PendingRead& read : TakeReads(proven_at)) read.done(absl::OkStatus());
+  /// Those that were sent for before `confirmed_at` are confirmed.
+  void CompleteReads(TimePoint confirmed_at) {
+    for (const PendingRead& read : TakeReads(confirmed_at)) read.done(absl::OkStatus());
   }
 
-  void FailOldReads() {
-    const std::vector<PendingRead> failed = TakeReads(environment_.Now() - kReadPatience);
-    if (!reads_.empty()) read_timer_.Arm(kReadPatience, [this] { FailOldReads(); });
+  void FailExpiredReads() {
+    const std::vector<PendingRead> failed = TakeReads(environment_.Now() - kReadTimeout);
+    if (!reads_.empty()) read_timer_.Arm(kReadTimeout, [this] { FailExpiredReads(); });
     for (const PendingRead& read : failed) {
       read.done(absl::UnavailableError("no replica confirmed the read in time"));
     }
   }
 
-  /// Those that were asked for until then, in their order; they wait no more.
+  /// Those that were sent for until then, in their order; they wait no more.
   std::vector<PendingRead> TakeReads(TimePoint until) {
     const auto first_later =
         std::find_if(reads_.begin(), reads_.end(),
-                     [&](const PendingRead& read) { return read.asked_at > until; });
-    std::vector<PendingRead> taken(std::make_move_iterator(reads_.begin()),
-                                   std::make_move_iterator(first_later));
+                     [&](const PendingRead& read) { return read.requested_at > until; });
+    std::vector<PendingRead> collected(std::make_move_iterator(reads_.begin()),
+                                       std::make_move_iterator(first_later));
     reads_.erase(reads_.begin(), first_later);
-    return taken;
+    return collected;
   }
 
-  void Beat() {
-    NoteLease();
-    NoteCutOff();
-    TellUnproven();
-    SendHeartbeat(sources_.current().node, TakeObservations(), false);
-    AskOwnZoneIfDue();
+  void SendRegularHeartbeat() {
+    LogLeaseChange();
+    UpdateIsolation();
+    LogUnconfirmed();
+    SendHeartbeat(sources_.current().node, CollectObservations(), false);
+    ProbeOwnZoneIfDue();
     const double jitter = 1 + kHeartbeatJitter * (2 * DrawUnit(environment_.Random()) - 1);
-    BeatAfter(FromSeconds(ToSeconds(timing_.heartbeat) * jitter));
+    ScheduleHeartbeat(FromSeconds(ToSeconds(timing_.heartbeat) * jitter));
   }
 
   /// The control node in use and another one, without waiting for the first.
-  void AskNow() {
-    Beat();
+  void RequestConfirmation() {
+    SendRegularHeartbeat();
     Search();
   }
 
-  void BeatAfter(Duration delay) {
-    next_beat_ = environment_.Now() + delay;
-    timer_.Arm(delay, [this] { Beat(); });
+  void ScheduleHeartbeat(Duration delay) {
+    next_heartbeat_ = environment_.Now() + delay;
+    timer_.Arm(delay, [this] { SendRegularHeartbeat(); });
   }
 
   /// The control node in use is silent: asks another one too, and goes on until one answers.
   void Search() {
-    if (steps_ == 0) {
+    if (search_requests_ == 0) {
       // One that was named and does not answer is not to be named again at once.
-      if (sources_.current().node == named_) no_redirect_until_ = environment_.Now() + kNoRedirect;
+      if (sources_.current().node == redirect_target_)
+        no_redirect_until_ = environment_.Now() + kNoRedirectPeriod;
       LogEvent(EventId::kConfigurationSourceLost,
                "node={} source={} silent_ms={} revision={} proof_ms={}", self_.node,
-               sources_.current().node, Milliseconds(environment_.Now() - answered_at_),
-               configuration_.revision, ProofMilliseconds());
+               sources_.current().node, Milliseconds(environment_.Now() - source_replied_at_),
+               configuration_.revision, ConfirmationAgeMilliseconds());
     }
-    const ControlEndpoint& next = steps_ == 0 ? sources_.FirstToAsk() : sources_.NextToAsk();
-    ++steps_;
-    last_asked_ = next.node;
+    const ControlEndpoint& next =
+        search_requests_ == 0 ? sources_.FirstCandidate() : sources_.NextCandidate();
+    ++search_requests_;
+    last_requested_ = next.node;
     SendHeartbeat(next.node, {}, true);
-    search_timer_.Arm(SearchStep(), [this] { Search(); });
+    search_timer_.Arm(SearchInterval(), [this] { Search(); });
   }
 
   /// Doubles with each round of so many control nodes: while there is no majority nobody answers,
   /// and a whole fleet would go on asking all of them.
-  Duration SearchStep() const {
-    const size_t asked = std::min(sources_.size(), kAsksBeforeDoubling);
-    const size_t rounds = std::min<size_t>(steps_ / asked, kMostDoublings);
-    return std::min(kSearchStep * (1 << rounds), std::max(timing_.heartbeat, kSearchStep));
+  Duration SearchInterval() const {
+    const size_t sent = std::min(sources_.size(), kMaxRequestsPerRound);
+    const size_t rounds = std::min<size_t>(search_requests_ / sent, kMaxDoublings);
+    return std::min(kSearchInterval * (1 << rounds), std::max(timing_.heartbeat, kSearchInterval));
   }
 
   /// Beside the control node in use, which stays in use unless the other one answers: giving it up
   /// for a zone that is silent took the node its proof for seconds.
-  void AskOwnZoneIfDue() {
+  void ProbeOwnZoneIfDue() {
     const TimePoint now = environment_.Now();
-    if (!sources_.AwayFromOwnZone()) {
-      ask_own_zone_at_ = now + kAskOwnZone;
-    } else if (now >= ask_own_zone_at_) {
-      ask_own_zone_at_ = now + kAskOwnZone;
+    if (!sources_.InForeignZone()) {
+      next_own_zone_probe_ = now + kOwnZoneProbeInterval;
+    } else if (now >= next_own_zone_probe_) {
+      next_own_zone_probe_ = now + kOwnZoneProbeInterval;
       SendHeartbeat(sources_.NextOfOwnZone().node, {}, true);
     }
   }
 
-  /// Uses the control node `source`, which is known, in place of the present one.
+  /// Uses the control node `source`, which is known, in position of the present one.
   void UseSource(const NodeId& source) {
     LogEvent(EventId::kConfigurationSourceChosen, "node={} source={} before={} asked={}",
-             self_.node, source, sources_.current().node, steps_);
+             self_.node, source, sources_.current().node, search_requests_);
     sources_.Choose(source);
     // What was reported to the one before may be lost.
     for (const auto& [engine, observation] : observations_) unsent_.insert(engine);
     // From the next heartbeat on it pushes changes.
-    BeatAfter(Duration(0));
+    ScheduleHeartbeat(Duration(0));
   }
 
   /// A control node has proven the configuration.
-  void NoteAnswer(const NodeId& from) {
-    const bool returns = sources_.AwayFromOwnZone() && sources_.IsOfOwnZone(from);
-    if (from != sources_.current().node && (steps_ > 0 || returns)) {
+  void OnSourceReplied(const NodeId& from) {
+    const bool returns = sources_.InForeignZone() && sources_.IsInOwnZone(from);
+    if (from != sources_.current().node && (search_requests_ > 0 || returns)) {
       UseSource(from);
     }
-    steps_ = 0;
-    answered_at_ = environment_.Now();
+    search_requests_ = 0;
+    source_replied_at_ = environment_.Now();
     search_timer_.Arm(timing_.source_timeout, [this] { Search(); });
   }
 
   /// For logs; -1 before the first proof.
-  int64_t ProofMilliseconds() const {
-    const auto age = ProofAge();
+  int64_t ConfirmationAgeMilliseconds() const {
+    const auto age = ConfirmationAge();
     return age ? Milliseconds(*age) : -1;
   }
 
   /// Logs that the lease is over, or valid again.
-  void NoteLease() {
-    if (LeaseValid() == lease_noted_) return;
-    lease_noted_ = !lease_noted_;
-    tally_ = {};
-    tally_told_at_ = environment_.Now();
-    LogEvent(lease_noted_ ? EventId::kConfigurationProven : EventId::kConfigurationUnproven,
+  void LogLeaseChange() {
+    if (LeaseValid() == logged_lease_valid_) return;
+    logged_lease_valid_ = !logged_lease_valid_;
+    counts_ = {};
+    counts_logged_at_ = environment_.Now();
+    LogEvent(logged_lease_valid_ ? EventId::kConfigurationProven : EventId::kConfigurationUnproven,
              "node={} source={} revision={} proof_ms={}", self_.node, sources_.current().node,
-             configuration_.revision, ProofMilliseconds());
+             configuration_.revision, ConfirmationAgeMilliseconds());
   }
 
-  void NoteCutOff() {
-    if (CutOff() == cut_off_noted_) return;
-    cut_off_noted_ = !cut_off_noted_;
-    LogEvent(cut_off_noted_ ? EventId::kControlNodesSilent : EventId::kControlNodesHeard,
+  void UpdateIsolation() {
+    if (IsIsolated() == reported_isolated_) return;
+    reported_isolated_ = !reported_isolated_;
+    LogEvent(reported_isolated_ ? EventId::kControlNodesSilent : EventId::kControlNodesHeard,
              "node={} silent_ms={} control_nodes={} revision={} proof_ms={}", self_.node,
-             Milliseconds(environment_.Now() - heard_at_), sources_.size(), configuration_.revision,
-             ProofMilliseconds());
-    if (on_cut_off_) on_cut_off_(cut_off_noted_);
+             Milliseconds(environment_.Now() - last_message_at_), sources_.size(),
+             configuration_.revision, ConfirmationAgeMilliseconds());
+    if (on_isolation_change_) on_isolation_change_(reported_isolated_);
   }
 
   /// Logs once in a while what came of the heartbeats since the lease was over.
-  void TellUnproven() {
+  void LogUnconfirmed() {
     const TimePoint now = environment_.Now();
-    if (lease_noted_ || now - tally_told_at_ < kStillUnprovenPause) return;
+    if (logged_lease_valid_ || now - counts_logged_at_ < kUnconfirmedLogInterval) return;
     LogEvent(
         EventId::kConfigurationStillUnproven,
         "node={} incarnation={} source={} revision={} proof_ms={} asked={} answered={} late={} "
         "refused={} refusal={} unreadable={} unfit={} pushes={}",
         self_.node, self_.incarnation, sources_.current().node, configuration_.revision,
-        ProofMilliseconds(), tally_.asked, tally_.answered, tally_.late, tally_.refused,
-        static_cast<int>(tally_.refusal), tally_.unreadable, tally_.unfit, tally_.pushes);
-    tally_ = {};
-    tally_told_at_ = now;
+        ConfirmationAgeMilliseconds(), counts_.sent, counts_.confirmed, counts_.too_late,
+        counts_.refused, static_cast<int>(counts_.refusal), counts_.unreadable,
+        counts_.inapplicable, counts_.pushes);
+    counts_ = {};
+    counts_logged_at_ = now;
   }
 
-  /// `proof_only`: `to` is not the control node in use. Each one that is asked in a search would
-  /// otherwise push every change for seconds: 160 pushes in place of 80 for 10 changes to 8
-  /// gateways after a change of leader, and the more the slower the control nodes are already.
+  /// `confirmation_only`: `to` is not the control node in use. Each one that is sent in a search
+  /// would otherwise push every change for seconds: 160 pushes in position of 80 for 10 changes to
+  /// 8 gateways after a change of leader, and the more the slower the control nodes are already.
   void SendHeartbeat(const NodeId& to, std::vector<ReportedObservation> observations,
-                     bool proof_only) {
+                     bool confirmation_only) {
     const TimePoint now = environment_.Now();
-    ++tally_.asked;
+    ++counts_.sent;
     NodeHeartbeat heartbeat;
     heartbeat.nonce = environment_.Random()() | 1;
     heartbeat.sender.record = self_;
@@ -346,8 +353,8 @@
     heartbeat.sender.feature_level = faults_.no_feature_level ? kFirstLevel : kOwnLevel;
     heartbeat.sender.relays = relay_.has_value();
     if (relay_) heartbeat.sender.replica = *relay_;
-    heartbeat.proof_only = proof_only;
-    heartbeat.redirect = !proof_only && now >= no_redirect_until_;
+    heartbeat.confirmation_only = confirmation_only;
+    heartbeat.redirect = !confirmation_only && now >= no_redirect_until_;
     heartbeat.observations = std::move(observations);
     std::erase_if(unanswered_,
                   [&](const auto& entry) { return now - entry.second.at > timing_.lease; });
@@ -356,9 +363,9 @@
     transport_.Send(to, {MessageKind::kHeartbeat, EncodeHeartbeat(heartbeat)});
   }
 
-  std::vector<ReportedObservation> TakeObservations() {
-    std::vector<ReportedObservation> taken;
-    const bool all = beats_++ % kHeartbeatsPerFullReport == 0;
+  std::vector<ReportedObservation> CollectObservations() {
+    std::vector<ReportedObservation> collected;
+    const bool all = heartbeats_sent_++ % kHeartbeatsPerFullReport == 0;
     for (auto it = observations_.begin(); it != observations_.end();) {
       const bool configured =
           configuration_.resources.contains({ResourceKind::kEngine, it->first.value()});
@@ -366,113 +373,115 @@
         it = observations_.erase(it);
         continue;
       }
-      if (all || unsent_.contains(it->first)) taken.push_back({NodeId(), it->second});
+      if (all || unsent_.contains(it->first)) collected.push_back({NodeId(), it->second});
       ++it;
     }
     unsent_.clear();
-    return taken;
+    return collected;
   }
 
   void ReceiveReply(const NodeId& from, const std::string& payload) {
     const auto reply = DecodeHeartbeatReply(payload);
     if (!reply.ok()) {
-      ++tally_.unreadable;
+      ++counts_.unreadable;
       return;
     }
-    heard_at_ = environment_.Now();
-    if (reply->refusal == HeartbeatRefusal::kUseAnother) return UseAnother(from, reply->use);
-    if (reply->refusal != HeartbeatRefusal::kNone) return NoteRefusal(from, reply->refusal);
-    if (reply->leader != NodeId()) NoteLeader(reply->leader);
+    last_message_at_ = environment_.Now();
+    if (reply->refusal == HeartbeatRefusal::kUseAnother) return FollowRedirect(from, reply->use);
+    if (reply->refusal != HeartbeatRefusal::kNone) return OnRefused(from, reply->refusal);
+    if (reply->leader != NodeId()) UpdateLeader(reply->leader);
     absl::StatusOr<ConfigurationDelta> changes = absl::NotFoundError("nothing changed");
     if (!reply->delta.empty()) changes = DecodeDelta(reply->delta);
-    if (!reply->delta.empty() && !changes.ok()) ++tally_.unreadable;
-    // Changes hold whenever they come. Dropped with a proof that came too late, they would be sent
-    // whole again with each further heartbeat, to a node that is slow already.
+    if (!reply->delta.empty() && !changes.ok()) ++counts_.unreadable;
+    // Changes hold whenever they come. Dropped with a proof that came too too_late, they would be
+    // sent whole again with each further heartbeat, to a node that is slow already.
     const bool changed = changes.ok() && ApplyChanges(*changes);
-    const auto proven_at = TakeProof(*reply);
+    const auto confirmed_at = HandleConfirmation(*reply);
     if (changed) NotifyListeners(*changes);
     // Those who wait for the read hand on what the listeners have noted: told before them, they
     // would hand on a new revision without its changes.
-    if (proven_at && relay_) EndReads(*proven_at);
+    if (confirmed_at && relay_) CompleteReads(*confirmed_at);
     // After the listeners for the same reason: who waits would go by what was replaced.
-    if (proven_at && LeaseValid()) gate_.OnConfirmed();
+    if (confirmed_at && LeaseValid()) gate_.OnConfirmed();
   }
 
-  /// When the heartbeat was sent by which the configuration held is proven; none if it is not.
-  std::optional<TimePoint> TakeProof(const NodeHeartbeatReply& reply) {
+  /// When the heartbeat was sent by which the configuration in_configuration is proven; none if it
+  /// is not.
+  std::optional<TimePoint> HandleConfirmation(const NodeHeartbeatReply& reply) {
     const auto found = unanswered_.find(reply.nonce);
     if (found == unanswered_.end()) {
-      ++tally_.late;
+      ++counts_.too_late;
       return std::nullopt;
     }
-    ++tally_.answered;
+    ++counts_.confirmed;
     const SentHeartbeat sent = found->second;
     unanswered_.erase(found);
     if (configuration_.revision < reply.confirmed) {
-      NoteBehind(sent.to);
+      OnBehind(sent.to);
       return std::nullopt;
     }
-    NoteAnswer(sent.to);
+    OnSourceReplied(sent.to);
     ExtendLease(sent.at);
     return sent.at;
   }
 
-  /// A control node that was asked in a search can prove what is not held here: it is used from now
-  /// on, and tells what is missing. All that are asked in a search would each tell all of it.
-  void NoteBehind(const NodeId& from) {
-    if (steps_ == 0 || from == sources_.current().node) return;
+  /// A control node that was sent in a search can prove what is not in_configuration here: it is
+  /// used from now on, and tells what is missing. All that are sent in a search would each tell all
+  /// of it.
+  void OnBehind(const NodeId& from) {
+    if (search_requests_ == 0 || from == sources_.current().node) return;
     UseSource(from);
-    steps_ = 0;
+    search_requests_ = 0;
     search_timer_.Arm(timing_.source_timeout, [this] { Search(); });
   }
 
   /// A relay asks replicas alone, and few control nodes have one: those that its settings name,
   /// that it was told to use, and the leader.
-  void NoteLeader(const NodeId& leader) {
+  void UpdateLeader(const NodeId& leader) {
     if (std::exchange(leader_, leader) == leader || !relay_) return;
     const auto record = configuration_.nodes.find(leader);
     if (record == configuration_.nodes.end()) return;
-    LearnSource({leader, record->second.address, record->second.zone});
+    AddSource({leader, record->second.address, record->second.zone});
   }
 
-  void LearnSource(const ControlEndpoint& source) {
+  void AddSource(const ControlEndpoint& source) {
     transport_.SetAddress(source.node, source.address);
     std::vector<ControlEndpoint> known = sources_.all();
     std::erase_if(known, [&](const ControlEndpoint& each) { return each.node == source.node; });
     known.push_back(source);
-    sources_.Learn(known, environment_.Random());
+    sources_.Update(known, environment_.Random());
   }
 
-  /// The control node asked has too many nodes, or is not of this one's zone.
-  void UseAnother(const NodeId& from, const ControlEndpoint& other) {
+  /// The control node sent has too many nodes, or is not of this one's zone.
+  void FollowRedirect(const NodeId& from, const ControlEndpoint& other) {
     if (from != sources_.current().node || other.node == from) return;
-    LearnSource(other);
+    AddSource(other);
     UseSource(other.node);
-    named_ = other.node;
+    redirect_target_ = other.node;
     // Two that hold different configurations could send a node to and fro.
-    no_redirect_until_ = environment_.Now() + kRedirectPause;
+    no_redirect_until_ = environment_.Now() + kMinRedirectInterval;
     search_timer_.Arm(timing_.source_timeout, [this] { Search(); });
   }
 
   /// The proof may still follow, so the heartbeat stays open.
-  void NoteRefusal(const NodeId& from, HeartbeatRefusal refusal) {
-    ++tally_.refused;
-    tally_.refusal = refusal;
+  void OnRefused(const NodeId& from, HeartbeatRefusal refusal) {
+    ++counts_.refused;
+    counts_.refusal = refusal;
     // Without a quorum the others mostly have none either: to ask them at once, from all gateways,
     // would load the control nodes in the middle of their election. Nor does it help to ask round
     // after round without pauses where no control node has a replica yet.
     if (refusal != HeartbeatRefusal::kNoReplica) return;
-    const bool first_round = steps_ < sources_.size();
-    const bool asked_last = steps_ > 0 && from == last_asked_;
-    const bool in_use = steps_ == 0 && from == sources_.current().node;
+    const bool first_round = search_requests_ < sources_.size();
+    const bool asked_last = search_requests_ > 0 && from == last_requested_;
+    const bool in_use = search_requests_ == 0 && from == sources_.current().node;
     if (first_round && (asked_last || in_use)) Search();
   }
 
   void ReceivePush(const NodeId&, const std::string& payload) {
-    heard_at_ = environment_.Now();
+    last_message_at_ = environment_.Now();
     const auto delta = DecodeConfigurationPush(payload);
-    ++tally_.pushes;
-    if (!delta.ok()) ++tally_.unreadable;
+    ++counts_.pushes;
+    if (!delta.ok()) ++counts_.unreadable;
     if (delta.ok() && ApplyChanges(*delta)) NotifyListeners(*delta);
   }
 
@@ -483,35 +492,35 @@
       configuration_.revision = delta.from;
     }
     const bool applied = ApplyDelta(configuration_, delta);
-    if (!applied) ++tally_.unfit;
+    if (!applied) ++counts_.inapplicable;
     return applied && configuration_.revision != before;
   }
 
   void ExtendLease(TimePoint sent_at) {
     const TimePoint until = sent_at + timing_.lease;
     if (leased_ && until <= lease_until_) return;
-    if (!LeaseValid()) proven_since_ = environment_.Now();
+    if (!LeaseValid()) confirmed_since_ = environment_.Now();
     leased_ = true;
     lease_until_ = until;
-    NoteLease();
-    NoteCutOff();
+    LogLeaseChange();
+    UpdateIsolation();
   }
 
-  /// Control nodes that joined later are sources too; those that are gone are asked last.
-  void LearnSources() {
+  /// Control nodes that joined later are sources too; those that are gone are sent last.
+  void UpdateSources() {
     std::vector<ControlEndpoint> known;
     for (const auto& [node, record] : configuration_.nodes) {
       if (!record.control || record.state == MemberState::kGone) continue;
       known.push_back({node, record.address, record.zone});
     }
-    if (known.empty() || !sources_.Learn(known, environment_.Random())) return;
+    if (known.empty() || !sources_.Update(known, environment_.Random())) return;
     for (const ControlEndpoint& endpoint : known) {
       transport_.SetAddress(endpoint.node, endpoint.address);
     }
   }
 
   void NotifyListeners(const ConfigurationDelta& changes) {
-    if (TouchesNodes(changes) && !relay_) LearnSources();
+    if (TouchesNodes(changes) && !relay_) UpdateSources();
     // A listener may destroy this client.
     const auto listeners = listeners_;
     for (const auto& listener : listeners) listener(changes);
@@ -530,35 +539,35 @@
   bool leased_ = false;
   TimePoint lease_until_;
   /// When the lease last became valid.
-  TimePoint proven_since_;
+  TimePoint confirmed_since_;
   /// What the log last said of the lease.
-  bool lease_noted_ = false;
+  bool logged_lease_valid_ = false;
   /// Since the lease was last noted over, or the last line about it.
-  ProofTally tally_;
-  TimePoint tally_told_at_;
+  HeartbeatCounts counts_;
+  TimePoint counts_logged_at_;
   /// When a control node last proved the configuration.
-  TimePoint answered_at_;
-  /// Control nodes asked since the one in use is silent; 0 while it is not.
-  size_t steps_ = 0;
+  TimePoint source_replied_at_;
+  /// Control nodes sent since the one in use is silent; 0 while it is not.
+  size_t search_requests_ = 0;
   /// In the search.
-  NodeId last_asked_;
+  NodeId last_requested_;
   /// When a control node last said anything.
-  TimePoint heard_at_;
-  bool cut_off_noted_ = false;
-  std::function<void(bool)> on_cut_off_;
-  TimePoint ask_own_zone_at_;
+  TimePoint last_message_at_;
+  bool reported_isolated_ = false;
+  std::function<void(bool)> on_isolation_change_;
+  TimePoint next_own_zone_probe_;
   /// By nonce.
   std::map<uint64_t, SentHeartbeat> unanswered_;
-  int beats_ = 0;
-  TimePoint next_beat_;
+  int heartbeats_sent_ = 0;
+  TimePoint next_heartbeat_;
   std::map<EngineName, EngineObservation> observations_;
   std::set<EngineName> unsent_;
   /// By the replies.
   NodeId leader_;
   /// The control node that another one has named last.
-  NodeId named_;
+  NodeId redirect_target_;
   TimePoint no_redirect_until_;
-  /// In the order in which they were asked for.
+  /// In the order in which they were sent for.
   std::vector<PendingRead> reads_;
   FreshnessGate gate_;
   ScopedTimer timer_;
--- a/source/cluster/control_endpoints.cc
+++ b/source/cluster/control_endpoints.cc
@@ -25,26 +25,26 @@
   return endpoints;
 }
 
-bool ControlEndpoints::Learn(const std::vector<ControlEndpoint>& known, RandomEngine& random) {
+bool ControlEndpoints::Update(const std::vector<ControlEndpoint>& known, RandomEngine& random) {
   bool changed = false;
   for (const ControlEndpoint& endpoint : known) {
     if (Entry* entry = Find(endpoint.node)) {
-      if (entry->held && entry->endpoint == endpoint) continue;
+      if (entry->in_configuration && entry->endpoint == endpoint) continue;
       // A node that was told its first control nodes by address alone learns their zones here.
       *entry = {endpoint};
     } else {
-      const size_t place = DrawBelow(random, ordered_.size() + 1);
-      ordered_.insert(ordered_.begin() + static_cast<std::ptrdiff_t>(place), {endpoint});
-      if (place <= current_ && ordered_.size() > 1) ++current_;
+      const size_t position = DrawBelow(random, ordered_.size() + 1);
+      ordered_.insert(ordered_.begin() + static_cast<std::ptrdiff_t>(position), {endpoint});
+      if (position <= current_ && ordered_.size() > 1) ++current_;
     }
     changed = true;
   }
   for (Entry& entry : ordered_) {
-    const bool held = std::any_of(
+    const bool in_configuration = std::any_of(
         known.begin(), known.end(),
         [&entry](const ControlEndpoint& endpoint) { return endpoint.node == entry.endpoint.node; });
-    changed = changed || entry.held != held;
-    entry.held = held;
+    changed = changed || entry.in_configuration != in_configuration;
+    entry.in_configuration = in_configuration;
   }
   if (changed) Sort();
   return changed;
@@ -55,35 +55,35 @@
   if (entry != nullptr) current_ = static_cast<size_t>(entry - ordered_.data());
 }
 
-bool ControlEndpoints::AwayFromOwnZone() const {
+bool ControlEndpoints::InForeignZone() const {
   return OwnZoneCount() > 0 && RankOf(ordered_[current_]) != Rank::kOwnZone;
 }
 
-bool ControlEndpoints::IsOfOwnZone(const NodeId& node) const {
+bool ControlEndpoints::IsInOwnZone(const NodeId& node) const {
   return std::any_of(ordered_.begin(), ordered_.end(), [&](const Entry& entry) {
     return entry.endpoint.node == node && RankOf(entry) == Rank::kOwnZone;
   });
 }
 
-const ControlEndpoint& ControlEndpoints::FirstToAsk() {
-  asked_ = ordered_.size() - 1;
-  return NextToAsk();
+const ControlEndpoint& ControlEndpoints::FirstCandidate() {
+  candidate_ = ordered_.size() - 1;
+  return NextCandidate();
 }
 
-const ControlEndpoint& ControlEndpoints::NextToAsk() {
-  asked_ = (asked_ + 1) % ordered_.size();
+const ControlEndpoint& ControlEndpoints::NextCandidate() {
+  candidate_ = (candidate_ + 1) % ordered_.size();
   // The one in use has heartbeats under way already.
-  if (asked_ == current_) asked_ = (asked_ + 1) % ordered_.size();
-  return ordered_[asked_].endpoint;
+  if (candidate_ == current_) candidate_ = (candidate_ + 1) % ordered_.size();
+  return ordered_[candidate_].endpoint;
 }
 
 const ControlEndpoint& ControlEndpoints::NextOfOwnZone() {
-  asked_of_own_zone_ = (asked_of_own_zone_ + 1) % OwnZoneCount();
-  return ordered_[asked_of_own_zone_].endpoint;
+  own_zone_candidate_ = (own_zone_candidate_ + 1) % OwnZoneCount();
+  return ordered_[own_zone_candidate_].endpoint;
 }
 
 ControlEndpoints::Rank ControlEndpoints::RankOf(const Entry& entry) const {
-  if (!entry.held) return Rank::kNotHeld;
+  if (!entry.in_configuration) return Rank::kNotInConfiguration;
   return entry.endpoint.zone == own_zone_ ? Rank::kOwnZone : Rank::kOtherZone;
 }
 
--- a/source/cluster/control_endpoints.h
+++ b/source/cluster/control_endpoints.h
@@ -1,4 +1,4 @@
-/// The control nodes that a node knows: the one in use, and the order in which others are asked.
+/// The control nodes that a node knows: the one in use, and the order in which others are sent.
 #pragma once
 
 #include <vector>
@@ -9,7 +9,7 @@
 namespace millstair {
 
 /// Those of the own zone stand first, then the others, last those that the configuration does not
-/// hold or calls gone: its word may be wrong, and they are asked before nobody is. Within each part
+/// hold or calls gone: its word may be wrong, and they are sent before nobody is. Within each part
 /// the order is random, so that nodes of one zone spread over its control nodes, and one that falls
 /// silent is not followed by the same other one everywhere. Not empty once it was not.
 class ControlEndpoints {
@@ -20,33 +20,33 @@
   size_t size() const { return ordered_.size(); }
   /// Undefined if empty.
   const ControlEndpoint& current() const { return ordered_[current_].endpoint; }
-  /// In the order in which they are asked.
+  /// In the order in which they are sent.
   std::vector<ControlEndpoint> all() const;
 
   /// Takes over what the configuration says of control nodes; the one in use stays in use. Whether
   /// anything is new.
-  bool Learn(const std::vector<ControlEndpoint>& known, RandomEngine& random);
+  bool Update(const std::vector<ControlEndpoint>& known, RandomEngine& random);
 
   /// Uses another one; a node that is not known changes nothing.
   void Choose(const NodeId& node);
   /// True if the one in use is of another zone although the own zone has one.
-  bool AwayFromOwnZone() const;
-  bool IsOfOwnZone(const NodeId& node) const;
+  bool InForeignZone() const;
+  bool IsInOwnZone(const NodeId& node) const;
 
   /// The first to ask when the one in use is silent; then one after another, from the first again
   /// after the last.
-  const ControlEndpoint& FirstToAsk();
-  const ControlEndpoint& NextToAsk();
+  const ControlEndpoint& FirstCandidate();
+  const ControlEndpoint& NextCandidate();
   /// One of the own zone, another at each call. Undefined if there is none.
   const ControlEndpoint& NextOfOwnZone();
 
  private:
   /// Parts of the order.
-  enum class Rank : uint8_t { kOwnZone, kOtherZone, kNotHeld };
+  enum class Rank : uint8_t { kOwnZone, kOtherZone, kNotInConfiguration };
 
   struct Entry {
     ControlEndpoint endpoint;
-    bool held = true;
+    bool in_configuration = true;
   };
 
   Rank RankOf(const Entry& entry) const;
@@ -58,8 +58,8 @@
   Zone own_zone_;
   std::vector<Entry> ordered_;
   size_t current_ = 0;
-  size_t asked_ = 0;
-  size_t asked_of_own_zone_ = 0;
+  size_t candidate_ = 0;
+  size_t own_zone_candidate_ = 0;
 };
 
 }  // namespace millstair
--- a/source/jobs/ingress_node.cc
+++ b/source/jobs/ingress_node.cc
@@ -48,11 +48,11 @@
       ready_timer_(environment) {
   ingress_.SetColdBound(options.cold_bound);
   ingress_.directory().SetColdTurn([this](const InstanceId& instance) {
-    return cold_turns_.IsOurs(instance.value(), configuration_->ProvenSince());
+    return cold_turns_.IsOurs(instance.value(), configuration_->ConfirmedSince());
   });
   ingress_.SetSuspectRegister(suspects_);
   ingress_.SetFresh([this] { return LeaseValid(); });
-  ingress_.SetProofAge([this] { return ProofAge(); });
+  ingress_.SetProofAge([this] { return ConfirmationAge(); });
   ingress_.SetWhenCurrent(
       [this](std::function<void()> work) { configuration_->WhenCurrent(std::move(work)); });
   ingress_.OnBegun(
@@ -62,7 +62,7 @@
 void IngressNode::Start() {
   configuration_->OnChange(
       [this](const ConfigurationDelta& changes) { ConfigurationChanged(changes); });
-  configuration_->OnCutOff([this](bool cut_off) {
+  configuration_->OnIsolationChange([this](bool cut_off) {
     if (on_cut_off_) on_cut_off_(cut_off);
   });
   configuration_->Start();
--- a/source/jobs/ingress_node.h
+++ b/source/jobs/ingress_node.h
@@ -54,7 +54,7 @@
   /// The routes are known, were proven fresh in this life, and control nodes are heard. A gateway
   /// that hears none forwards what still comes by the routes it has, but others serve callers by
   /// routes that they can prove; where the cluster has no majority all stay ready.
-  bool Ready() const { return ready_ && !configuration_->CutOff(); }
+  bool Ready() const { return ready_ && !configuration_->IsIsolated(); }
   /// Hears when control nodes fall silent for this node alone, and when they are heard again.
   void OnCutOff(std::function<void(bool cut_off)> callback) { on_cut_off_ = std::move(callback); }
   void SetLeaving();
@@ -78,7 +78,7 @@
   const Configuration& configuration() const { return configuration_->configuration(); }
   bool LeaseValid() const { return configuration_->LeaseValid(); }
   /// How long ago the routes held were last known to be the newest; nothing if they never were.
-  std::optional<Duration> ProofAge() const { return configuration_->ProofAge(); }
+  std::optional<Duration> ConfirmationAge() const { return configuration_->ConfirmationAge(); }
 
  private:
   void ConfigurationChanged(const ConfigurationDelta& changes);
--- a/source/server/node_options.cc
+++ b/source/server/node_options.cc
@@ -33,7 +33,7 @@
   ConfigurationTiming configuration;
   configuration.lease = timing.leave_bound * 7 / 10;
   configuration.heartbeat = configuration.lease / 4;
-  configuration.source_timeout = configuration.heartbeat + configuration.answer_patience;
+  configuration.source_timeout = configuration.heartbeat + configuration.reply_timeout;
   return configuration;
 }
 
--- a/source/server/server_node.cc
+++ b/source/server/server_node.cc
@@ -261,7 +261,7 @@
         .Set(routes == nullptr ? 0 : static_cast<double>(routes->version));
     stats_.NewGauge({"millstair_lease_valid", "1 while the gateway's routes are proven fresh."})
         .Set(ingress_->LeaseValid() ? 1 : 0);
-    const auto proof_age = ingress_->ProofAge();
+    const auto proof_age = ingress_->ConfirmationAge();
     stats_
         .NewGauge({"millstair_proof_age_seconds",
                    "Since the gateway's routes were last known to be the newest; -1 is never."})
--- a/test/cluster/control_clients_test.cc
+++ b/test/cluster/control_clients_test.cc
@@ -153,12 +153,12 @@
   std::map<NodeId, int> heartbeats;
   for (const SentMessage& sent : fixture.transport.sent) ++heartbeats[sent.to];
   CHECK(heartbeats.size() == 3);
-  // Once all were asked, further refusals hurry nobody.
-  const size_t asked = fixture.transport.sent.size();
+  // Once all were sent, further refusals hurry nobody.
+  const size_t sent = fixture.transport.sent.size();
   for (int i = 0; i < 20; ++i) {
     fixture.Refuse(fixture.transport.sent.back().to, 1, HeartbeatRefusal::kNoReplica);
   }
-  CHECK(fixture.transport.sent.size() <= asked + 1);
+  CHECK(fixture.transport.sent.size() <= sent + 1);
 }
 
 TEST_CASE("a refusal for want of a quorum hurries nobody, and a proof may follow it") {
@@ -186,19 +186,19 @@
 TEST_CASE("a node is cut off when all control nodes are silent, not when they refuse") {
   ClientFixture fixture;
   std::vector<bool> told;
-  fixture.client->OnCutOff([&told](bool cut_off) { told.push_back(cut_off); });
+  fixture.client->OnIsolationChange([&told](bool isolated) { told.push_back(isolated); });
   fixture.Answer(fixture.LastHeartbeat().nonce, 0);
   for (int i = 0; i < 30; ++i) {
     fixture.Refuse(NodeId("c1"), 1, HeartbeatRefusal::kNoQuorum);
     fixture.scheduler.RunFor(seconds(1));
   }
   CHECK_FALSE(fixture.client->LeaseValid());
-  CHECK_FALSE(fixture.client->CutOff());
+  CHECK_FALSE(fixture.client->IsIsolated());
   fixture.scheduler.RunFor(seconds(10));
-  CHECK(fixture.client->CutOff());
+  CHECK(fixture.client->IsIsolated());
   CHECK(told == std::vector<bool>{true});
   fixture.Answer(fixture.LastHeartbeat().nonce, 0);
-  CHECK_FALSE(fixture.client->CutOff());
+  CHECK_FALSE(fixture.client->IsIsolated());
   CHECK(told == std::vector<bool>{true, false});
 }
 
@@ -229,7 +229,7 @@
 
 /// Nodes near a relay get their proofs by its reads, of which one message serves all of 10 ms
 /// (docs/design/fleet.md). The timer that gives a read up stays armed once the read is confirmed,
-/// and the next read is sent only with the relay's own heartbeat: 919 and 1,059 ms late by the
+/// and the next read is sent only with the relay's own heartbeat: 919 and 1,059 ms too_late by the
 /// default timing, of a lease of 4 s.
 TEST_CASE("a relay sends each further read at once") {
   constexpr Duration kSentWithin = milliseconds(10);
@@ -277,12 +277,12 @@
     return SentMessage();
   };
   while (other().to == NodeId()) fixture.scheduler.RunFor(milliseconds(10));
-  const SentMessage asked = other();
+  const SentMessage sent = other();
   fixture.transport.sent.clear();
-  fixture.Answer(DecodeHeartbeat(asked.message.payload)->nonce, 100);
+  fixture.Answer(DecodeHeartbeat(sent.message.payload)->nonce, 100);
   fixture.scheduler.RunFor(milliseconds(10));
   REQUIRE_FALSE(fixture.transport.sent.empty());
-  CHECK(fixture.transport.sent.back().to == asked.to);
+  CHECK(fixture.transport.sent.back().to == sent.to);
   CHECK(fixture.LastHeartbeat().observations.size() == 1);
 }
 
--- a/test/cluster/fake_configuration_client.h
+++ b/test/cluster/fake_configuration_client.h
@@ -1,4 +1,4 @@
-/// A node's configuration as a test sets it, in place of what control nodes tell.
+/// A node's configuration as a test sets it, in position of what control nodes tell.
 #pragma once
 
 #include <functional>
@@ -17,10 +17,10 @@
   const Configuration& configuration() const override { return held; }
   bool LeaseValid() const override { return lease; }
   void WhenCurrent(std::function<void()> work) override { work(); }
-  std::optional<TimePoint> ProvenSince() const override { return std::nullopt; }
-  std::optional<Duration> ProofAge() const override { return std::nullopt; }
-  bool CutOff() const override { return false; }
-  void OnCutOff(std::function<void(bool)>) override {}
+  std::optional<TimePoint> ConfirmedSince() const override { return std::nullopt; }
+  std::optional<Duration> ConfirmationAge() const override { return std::nullopt; }
+  bool IsIsolated() const override { return false; }
+  void OnIsolationChange(std::function<void(bool)>) override {}
   void OnChange(ChangeListener callback) override { listeners.push_back(std::move(callback)); }
   void Report(EngineObservation observation) override { reports.push_back(std::move(observation)); }
   void SetLeaving() override { leaving = true; }
--- a/test/server/silent_control_nodes_test.cc
+++ b/test/server/silent_control_nodes_test.cc
@@ -85,7 +85,7 @@
     Duration oldest(0);
     for (Duration gone(0); gone < span; gone += kStep) {
       scheduler.RunFor(kStep);
-      oldest = std::max(oldest, client->ProofAge().value_or(Duration::max()));
+      oldest = std::max(oldest, client->ConfirmationAge().value_or(Duration::max()));
     }
     return oldest;
   }
