--- a/source/cluster/cluster_replica.cc
+++ b/source/cluster/cluster_replica.cc
@@ -34,7 +34,7 @@
          machine->configuration().revision >= relay_->configuration().revision;
 }
 
-bool ClusterReplica::CanProve() const {
+bool ClusterReplica::CanConfirm() const {
   if (UsesReplica()) return true;
   return relay_ != nullptr && relay_->configuration().revision != Revision();
 }
--- a/source/cluster/cluster_replica.h
+++ b/source/cluster/cluster_replica.h
@@ -40,7 +40,7 @@
   /// Whether a replica elsewhere is followed.
   bool relaying() const { return relay_ != nullptr && relay_->running(); }
   /// Whether there is a configuration here that may be proven.
-  bool CanProve() const;
+  bool CanConfirm() const;
   /// Changes since `from`, as of the newest revision here.
   ConfigurationDelta DeltaSince(Revision from) const;
   /// Revision of the last change of a node's record, as far as is known here.
--- a/source/cluster/control_messages.cc
+++ b/source/cluster/control_messages.cc
@@ -89,7 +89,7 @@
   wire.record = ToWire(arena, heartbeat.sender.record);
   wire.applied_revision = heartbeat.sender.applied.value();
   wire.replica = heartbeat.sender.replica.value();
-  wire.proof_only = heartbeat.proof_only;
+  wire.proof_only = heartbeat.confirmation_only;
   wire.feature_level = heartbeat.sender.feature_level;
   wire.relays = heartbeat.sender.relays;
   wire.redirect = heartbeat.redirect;
@@ -109,7 +109,7 @@
   heartbeat.nonce = wire.nonce;
   heartbeat.sender.applied = Revision(wire.applied_revision);
   heartbeat.sender.replica = ReplicaId(wire.replica);
-  heartbeat.proof_only = wire.proof_only;
+  heartbeat.confirmation_only = wire.proof_only;
   heartbeat.sender.feature_level = wire.feature_level;
   heartbeat.sender.relays = wire.relays;
   heartbeat.redirect = wire.redirect;
--- a/source/cluster/control_messages.h
+++ b/source/cluster/control_messages.h
@@ -39,7 +39,7 @@
   uint64_t nonce = 0;
   ForwardedNode sender;
   /// The sender wants a proof, and no pushes: it uses another control node.
-  bool proof_only = false;
+  bool confirmation_only = false;
   std::vector<ReportedObservation> observations;
   /// The sender may be told to use another control node.
   bool redirect = false;
--- a/source/cluster/control_node.cc
+++ b/source/cluster/control_node.cc
@@ -47,9 +47,9 @@
         relay_(environment, transport,
                {options_.self, WithoutSelf(options_.control_nodes, options_.self.node),
                 options_.configuration_timing, options_.faults}),
-        choice_(cluster_, options_.self.node),
-        push_(environment, transport, cluster_, choice_),
-        heartbeats_(environment, transport, cluster_, push_, choice_, options_.faults),
+        source_selector_(cluster_, options_.self.node),
+        push_(environment, transport, cluster_, source_selector_),
+        heartbeats_(environment, transport, cluster_, push_, source_selector_, options_.faults),
         membership_(environment, transport, platform, cluster_, options_),
         streams_(environment, transport, cluster_, std::move(streams), options_.self.node),
         commands_(environment, transport, cluster_, streams_, membership_, options_.self.node),
@@ -148,7 +148,7 @@
     cluster_.OnDutyAnnounced(std::move(callback));
   }
 
-  bool Ready() const override { return cluster_.CanProve() && cluster_.Leader().has_value(); }
+  bool Ready() const override { return cluster_.CanConfirm() && cluster_.Leader().has_value(); }
 
   void Drain(std::function<void()> done) override {
     membership_.SetLeaving();
@@ -231,9 +231,9 @@
 
   void ReceiveHeartbeat(const NodeId& from, const PeerMessage& message) {
     const auto heartbeat = DecodeHeartbeat(message.payload);
-    if (!heartbeat.ok()) return heartbeats_.NoteUnreadable(from, heartbeat.status());
+    if (!heartbeat.ok()) return heartbeats_.OnUnreadable(from, heartbeat.status());
     membership_.Hear(*heartbeat);
-    if (heartbeat->nonce != 0) heartbeats_.Answer(*heartbeat);
+    if (heartbeat->nonce != 0) heartbeats_.OnHeartbeat(*heartbeat);
   }
 
   /// Called while an entry is applied: only notes and arms timers.
@@ -304,7 +304,7 @@
 
   ClusterReplica cluster_;
   ClusterRelay relay_;
-  SourceChoice choice_;
+  SourceSelector source_selector_;
   PushService push_;
   HeartbeatService heartbeats_;
   MembershipManager membership_;
--- a/source/cluster/heartbeat_service.cc
+++ b/source/cluster/heartbeat_service.cc
@@ -11,51 +11,53 @@
 /// Heartbeats of so short a time share one confirmed read.
 constexpr Duration kBatchDelay = std::chrono::milliseconds(10);
 /// A node without a proof beats several times a second at each of its control nodes; one line in
-/// this long tells as much.
-constexpr Duration kNotePause = std::chrono::seconds(5);
+/// this long tells as too_many.
+constexpr Duration kLogInterval = std::chrono::seconds(5);
 /// So many revisions are told to a node that only asks, too: it may hold them by the next heartbeat
 /// without a change of its control node.
-constexpr uint64_t kFewRevisions = 20;
+constexpr uint64_t kMaxRevisionsInConfirmation = 20;
 /// Nodes whose last line is remembered; a control node hears a few hundred.
-constexpr size_t kMostNoted = 4096;
+constexpr size_t kMaxLoggedNodes = 4096;
 
 }  // namespace
 
 HeartbeatService::HeartbeatService(Environment& environment, PeerTransport& transport,
-                                   ClusterReplica& cluster, PushService& push, SourceChoice& choice,
-                                   ClusterFaults faults)
+                                   ClusterReplica& cluster, PushService& push,
+                                   SourceSelector& source_selector, ClusterFaults faults)
     : environment_(environment),
       transport_(transport),
       cluster_(cluster),
       push_(push),
-      choice_(choice),
+      source_selector_(source_selector),
       faults_(faults),
       timer_(environment) {}
 
-void HeartbeatService::Answer(const NodeHeartbeat& heartbeat) {
+void HeartbeatService::OnHeartbeat(const NodeHeartbeat& heartbeat) {
   const NodeId& node = heartbeat.sender.record.node;
-  const bool only_asks = heartbeat.proof_only && heartbeat.sender.feature_level >= kRelayLevel;
-  const Waiting waiting{node, heartbeat.nonce, heartbeat.sender.applied, only_asks};
+  const bool confirmation_only =
+      heartbeat.confirmation_only && heartbeat.sender.feature_level >= kRelayLevel;
+  const Waiting waiting{node, heartbeat.nonce, heartbeat.sender.applied, confirmation_only};
   const bool wants_replica = heartbeat.sender.relays;
-  if (!cluster_.CanProve() || (wants_replica && !cluster_.UsesReplica())) {
+  if (!cluster_.CanConfirm() || (wants_replica && !cluster_.UsesReplica())) {
     return Refuse(waiting, HeartbeatRefusal::kNoReplica, "no replica here");
   }
   if (heartbeat.redirect) {
-    if (const auto other = choice_.OtherFor(heartbeat.sender)) return SendOn(waiting, *other);
+    if (const auto other = source_selector_.RedirectTargetFor(heartbeat.sender))
+      return Redirect(waiting, *other);
   }
-  if (!heartbeat.proof_only) push_.Attach(heartbeat);
+  if (!heartbeat.confirmation_only) push_.Attach(heartbeat);
   // Should a leader be found in time the proof follows.
   if (!cluster_.Leader()) Refuse(waiting, HeartbeatRefusal::kNoQuorum, "no leader is known");
   waiting_.push_back(waiting);
   if (faults_.heartbeat_unconfirmed) return Reply(std::exchange(waiting_, {}));
-  ConfirmSoon();
+  ScheduleConfirmation();
 }
 
-void HeartbeatService::ConfirmSoon() {
+void HeartbeatService::ScheduleConfirmation() {
   if (!confirming_ && !timer_.armed()) timer_.Arm(kBatchDelay, [this] { ConfirmBatch(); });
 }
 
-void HeartbeatService::SendOn(const Waiting& waiting, const ControlEndpoint& other) {
+void HeartbeatService::Redirect(const Waiting& waiting, const ControlEndpoint& other) {
   NodeHeartbeatReply reply;
   reply.refusal = HeartbeatRefusal::kUseAnother;
   reply.use = other;
@@ -67,7 +69,7 @@
   confirming_ = true;
   cluster_.ConfirmRead(alive_.Guard([this, batch = std::move(batch)](const absl::Status& status) {
     confirming_ = false;
-    if (!waiting_.empty()) ConfirmSoon();
+    if (!waiting_.empty()) ScheduleConfirmation();
     if (status.ok()) return Reply(batch);
     for (const Waiting& waiting : batch) {
       Refuse(waiting, HeartbeatRefusal::kNoQuorum, std::string(status.message()));
@@ -80,19 +82,19 @@
   NodeHeartbeatReply reply;
   reply.refusal = refusal;
   Send(waiting, std::move(reply));
-  NoteUnanswered(waiting.node, reason);
+  LogUnanswered(waiting.node, reason);
 }
 
-void HeartbeatService::NoteUnreadable(const NodeId& from, const absl::Status& fault) {
-  NoteUnanswered(from, std::string(fault.message()));
+void HeartbeatService::OnUnreadable(const NodeId& from, const absl::Status& fault) {
+  LogUnanswered(from, std::string(fault.message()));
 }
 
-void HeartbeatService::NoteUnanswered(const NodeId& node, const std::string& reason) {
+void HeartbeatService::LogUnanswered(const NodeId& node, const std::string& reason) {
   const TimePoint now = environment_.Now();
-  const auto [noted, first] = noted_.try_emplace(node, now);
-  if (!first && now - noted->second < kNotePause) return;
-  noted->second = now;
-  if (noted_.size() > kMostNoted) noted_.erase(noted_.begin());
+  const auto [logged, first] = logged_at_.try_emplace(node, now);
+  if (!first && now - logged->second < kLogInterval) return;
+  logged->second = now;
+  if (logged_at_.size() > kMaxLoggedNodes) logged_at_.erase(logged_at_.begin());
   LogEvent(EventId::kHeartbeatUnanswered, "node={} revision={} reason=\"{}\"", node,
            cluster_.configuration().revision, reason);
 }
@@ -104,8 +106,8 @@
     NodeHeartbeatReply reply;
     reply.leader = leader;
     reply.confirmed = newest;
-    const bool much = newest.value() - waiting.applied.value() > kFewRevisions;
-    if (waiting.applied < newest && !(waiting.only_asks && much)) {
+    const bool too_many = newest.value() - waiting.applied.value() > kMaxRevisionsInConfirmation;
+    if (waiting.applied < newest && !(waiting.confirmation_only && too_many)) {
       reply.delta = push_.ChangesFor(waiting.node, waiting.applied);
     }
     Send(waiting, std::move(reply));
--- a/source/cluster/push_service.cc
+++ b/source/cluster/push_service.cc
@@ -12,20 +12,20 @@
 /// Between two pushes. 520 servers that register in a second change the configuration as often;
 /// each push costs a message to every node attached here, and in force within 500 ms leaves room
 /// for it.
-constexpr Duration kPushPause = std::chrono::milliseconds(50);
+constexpr Duration kMinPushInterval = std::chrono::milliseconds(50);
 /// A push arrives and is applied within this time, or is lost with its connection.
-constexpr Duration kInFlight = std::chrono::milliseconds(500);
+constexpr Duration kDeliveryTimeout = std::chrono::milliseconds(500);
 /// A node that was silent for so long has moved to another control node or died.
-constexpr Duration kAttachedFor = std::chrono::seconds(5);
+constexpr Duration kDetachAfter = std::chrono::seconds(5);
 
 }  // namespace
 
 PushService::PushService(Environment& environment, PeerTransport& transport,
-                         const ClusterReplica& cluster, SourceChoice& choice)
+                         const ClusterReplica& cluster, SourceSelector& source_selector)
     : environment_(environment),
       transport_(transport),
       cluster_(cluster),
-      choice_(choice),
+      source_selector_(source_selector),
       timer_(environment) {}
 
 void PushService::Attach(const NodeHeartbeat& heartbeat) {
@@ -36,24 +36,25 @@
   // What the node says wins over what was sent to it, once that has had the time to arrive: pushes
   // may be lost. Before, each heartbeat under continuous change had what was on its way sent again,
   // from a revision of its own for each node, so that nothing encoded served two of them.
-  const bool mark_due = added || now - attached.marked_at >= kInFlight;
-  const bool lost = mark_due && sender.applied < attached.marked;
+  const bool checkpoint_due = added || now - attached.checkpoint_at >= kDeliveryTimeout;
+  const bool lost = checkpoint_due && sender.applied < attached.checkpoint;
   if (added || lost || attached.sent < sender.applied) attached.sent = sender.applied;
-  if (mark_due) {
-    attached.marked = attached.sent;
-    attached.marked_at = now;
+  if (checkpoint_due) {
+    attached.checkpoint = attached.sent;
+    attached.checkpoint_at = now;
   }
-  attached.heard = now;
-  const bool movable = heartbeat.redirect && !sender.relays;
-  attached.movable = movable ? std::optional(sender) : std::nullopt;
+  attached.last_heartbeat = now;
+  const bool redirectable = heartbeat.redirect && !sender.relays;
+  attached.redirectable = redirectable ? std::optional(sender) : std::nullopt;
 }
 
-void PushService::DropLeaving() {
+void PushService::DetachMoved() {
   const TimePoint now = environment_.Now();
   std::erase_if(attached_, [&](const auto& entry) {
     const Attached& attached = entry.second;
-    if (now - attached.heard > kAttachedFor) return true;
-    return attached.movable && choice_.OtherFor(*attached.movable).has_value();
+    if (now - attached.last_heartbeat > kDetachAfter) return true;
+    return attached.redirectable &&
+           source_selector_.RedirectTargetFor(*attached.redirectable).has_value();
   });
 }
 
@@ -73,8 +74,8 @@
 }
 
 void PushService::Push() {
-  next_push_at_ = environment_.Now() + kPushPause;
-  DropLeaving();
+  next_push_at_ = environment_.Now() + kMinPushInterval;
+  DetachMoved();
   const Revision newest = cluster_.configuration().revision;
   std::map<Revision, std::string> payloads;
   for (auto& [node, attached] : attached_) {
--- a/source/cluster/push_service.h
+++ b/source/cluster/push_service.h
@@ -8,7 +8,7 @@
 
 #include "cluster/cluster_replica.h"
 #include "cluster/control_messages.h"
-#include "cluster/source_choice.h"
+#include "cluster/source_selector.h"
 #include "common/environment.h"
 #include "common/peer_transport.h"
 #include "common/scoped_timer.h"
@@ -18,7 +18,7 @@
 class PushService {
  public:
   PushService(Environment& environment, PeerTransport& transport, const ClusterReplica& cluster,
-              SourceChoice& choice);
+              SourceSelector& source_selector);
 
   /// The sender of `heartbeat` sends its heartbeats here.
   void Attach(const NodeHeartbeat& heartbeat);
@@ -32,12 +32,12 @@
   struct Attached {
     /// The newest revision sent to it or held by it.
     Revision sent;
-    /// What was sent by `marked_at`; a node that does not hold it by the next mark has lost it.
-    Revision marked;
-    TimePoint marked_at;
-    TimePoint heard;
+    /// What was sent by `checkpoint_at`; a node that does not hold it by the next mark has lost it.
+    Revision checkpoint;
+    TimePoint checkpoint_at;
+    TimePoint last_heartbeat;
     /// For a node that may be told to use another control node.
-    std::optional<ForwardedNode> movable;
+    std::optional<ForwardedNode> redirectable;
   };
 
   void Push();
@@ -45,13 +45,13 @@
   /// with their next heartbeat, and get there what they miss. When the nodes of a fleet of 1,135
   /// have become known the three that all of them asked at first sent each the whole list, 57 MB
   /// from the leader in half a second.
-  void DropLeaving();
+  void DetachMoved();
   const std::string& EncodedSince(Revision from);
 
   Environment& environment_;
   PeerTransport& transport_;
   const ClusterReplica& cluster_;
-  SourceChoice& choice_;
+  SourceSelector& source_selector_;
   std::map<NodeId, Attached> attached_;
   /// Encoded deltas up to `cached_revision_`, by the revision they start from.
   std::map<Revision, std::string> cache_;
--- a/source/cluster/source_choice.cc
+++ b/source/cluster/source_selector.cc
@@ -1,4 +1,4 @@
-#include "cluster/source_choice.h"
+#include "cluster/source_selector.h"
 
 #include <vector>
 
@@ -13,13 +13,13 @@
 
 }  // namespace
 
-std::optional<ControlEndpoint> SourceChoice::OtherFor(const ForwardedNode& node) {
+std::optional<ControlEndpoint> SourceSelector::RedirectTargetFor(const ForwardedNode& node) {
   const auto chosen = node.relays ? ForRelay(node.record) : ForNode(node.record);
   if (!chosen || chosen->node == self_ || chosen->node == node.record.node) return std::nullopt;
   return chosen;
 }
 
-void SourceChoice::Refresh() {
+void SourceSelector::Refresh() {
   if (cluster_.nodes_changed_at() == refreshed_at_) return;
   refreshed_at_ = cluster_.nodes_changed_at();
   std::map<Zone, std::vector<NodeId>> live;
@@ -30,14 +30,14 @@
   for (const auto& [zone, nodes] : live) by_zone_.emplace(zone, RendezvousNodes(nodes));
 }
 
-std::optional<ControlEndpoint> SourceChoice::ForNode(const NodeRecord& node) {
+std::optional<ControlEndpoint> SourceSelector::ForNode(const NodeRecord& node) {
   Refresh();
   const auto zone = by_zone_.find(node.zone);
   if (zone == by_zone_.end()) return std::nullopt;
   return EndpointOf(cluster_.configuration(), zone->second.Choose(node.node.value(), 1).front());
 }
 
-std::optional<ControlEndpoint> SourceChoice::ForRelay(const NodeRecord& relay) const {
+std::optional<ControlEndpoint> SourceSelector::ForRelay(const NodeRecord& relay) const {
   if (!cluster_.UsesReplica() || cluster_.group() == nullptr) return std::nullopt;
   const Configuration& configuration = cluster_.configuration();
   std::vector<NodeId> near;
--- a/source/cluster/source_choice.h
+++ b/source/cluster/source_selector.h
@@ -13,15 +13,15 @@
 namespace millstair {
 
 /// Lives on the node's serial executor.
-class SourceChoice {
+class SourceSelector {
  public:
   /// `self`: the control node that answers.
-  SourceChoice(const ClusterReplica& cluster, NodeId self)
+  SourceSelector(const ClusterReplica& cluster, NodeId self)
       : cluster_(cluster), self_(std::move(self)) {}
 
   /// The one that a node is to use in place of this one; none if this one is right, or none is
   /// known.
-  std::optional<ControlEndpoint> OtherFor(const ForwardedNode& node);
+  std::optional<ControlEndpoint> RedirectTargetFor(const ForwardedNode& node);
 
  private:
   /// For a gateway or a storage node; none if its zone has no live control node that is known.
--- a/test/cluster/golden_bytes_test.cc
+++ b/test/cluster/golden_bytes_test.cc
@@ -59,7 +59,7 @@
   const auto heartbeat = DecodeHeartbeat(Golden("heartbeat"));
   REQUIRE(heartbeat.ok());
   CHECK(heartbeat->nonce == 4711);
-  CHECK(heartbeat->proof_only);
+  CHECK(heartbeat->confirmation_only);
   CHECK(heartbeat->sender.applied == Revision(41));
   REQUIRE(heartbeat->forwarded.size() == 1);
   CHECK(heartbeat->forwarded[0].replica == ReplicaId(77));
