--- a/simulator/fleet/control_machine.cc
+++ b/simulator/fleet/control_machine.cc
@@ -100,8 +100,8 @@
   for (const NodePlan& control : deployment_.controls) {
     options.control_nodes.push_back({control.node, control.peer_address, control.zone});
     if (!control.founder) continue;
-    options.founders.push_back({FounderReplicaId(deployment_.cluster_id, control.node),
-                                control.node, control.peer_address, true});
+    options.initial_members.push_back({FounderReplicaId(deployment_.cluster_id, control.node),
+                                       control.node, control.peer_address, true});
   }
   options.platform_list = deployment_.machine_list;
   options.faults = faults_->cluster;
@@ -124,7 +124,7 @@
   node_ = MakeControlNode(*environment_, *transport_, disk_, *platform_,
                           MakeStreamFactory(*environment_, *transport_, stream, faults_->stream),
                           Options());
-  node_->AddDuty(MakeWeightDuty(*environment_, [node = node_.get()](ClusterCommand command) {
+  node_->AddLeaderTask(MakeWeightDuty(*environment_, [node = node_.get()](ClusterCommand command) {
     node->Propose(std::move(command), [](const absl::StatusOr<ClusterResult>&) {});
   }));
   surroundings_.peers.SetReceiver(plan_.node, node_.get());
--- a/source/cluster/cluster_replica.cc
+++ b/source/cluster/cluster_replica.cc
@@ -10,7 +10,7 @@
   machine->OnChange(alive_.Guard([this] {
     if (on_change_) on_change_();
   }));
-  machine->OnDutyAnnounced(alive_.Guard([this](const HolderAnnouncement& announcement) {
+  machine->OnLeaseAnnounced(alive_.Guard([this](const HolderAnnouncement& announcement) {
     if (on_duty_announced_) on_duty_announced_(announcement);
   }));
   return machine;
--- a/source/cluster/cluster_replica.h
+++ b/source/cluster/cluster_replica.h
@@ -29,7 +29,7 @@
   void OnChange(std::function<void()> callback) { on_change_ = std::move(callback); }
 
   /// Called for each applied announcement of a duty.
-  void OnDutyAnnounced(std::function<void(const HolderAnnouncement&)> callback) {
+  void OnLeaseAnnounced(std::function<void(const HolderAnnouncement&)> callback) {
     on_duty_announced_ = std::move(callback);
   }
 
--- a/source/cluster/cluster_state_machine.h
+++ b/source/cluster/cluster_state_machine.h
@@ -46,7 +46,7 @@
 
   /// Called for each announcement that is applied, in the order of the log, and after a restore for
   /// the latest of each subject.
-  void OnDutyAnnounced(std::function<void(const HolderAnnouncement&)> callback) {
+  void OnLeaseAnnounced(std::function<void(const HolderAnnouncement&)> callback) {
     on_duty_announced_ = std::move(callback);
   }
 
--- a/source/cluster/control_node.cc
+++ b/source/cluster/control_node.cc
@@ -22,7 +22,7 @@
 namespace millstair {
 namespace {
 
-constexpr Duration kDutyInterval = std::chrono::seconds(1);
+constexpr Duration kLeaderTaskInterval = std::chrono::seconds(1);
 constexpr Duration kDrainPoll = std::chrono::milliseconds(100);
 /// Leaderships that could not be handed over by then go with the process.
 constexpr Duration kDrainTimeout = std::chrono::seconds(10);
@@ -59,7 +59,7 @@
                                      options_.self.zone)),
         evacuation_(submitter_),
         operators_(environment, cluster_, submitter_, evacuation_),
-        duty_timer_(environment),
+        leader_task_timer_(environment),
         drain_timer_(environment) {}
 
   ~ReplicatedControlNode() override { streams_.Stop(); }
@@ -90,16 +90,18 @@
                                                  membership_.nodes(), options_);
     replicas_->Start();
     membership_.OnObservation([this](const NodeId& gateway, const EngineObservation& observation) {
-      for (const auto& duty : duties_) duty->Observe(gateway, observation);
+      for (const auto& task : leader_tasks_) task->Observe(gateway, observation);
     });
-    RunDuties();
+    RunLeaderTasks();
     return absl::OkStatus();
   }
 
   GroupHost& groups() override { return *groups_; }
   const Configuration& configuration() const override { return cluster_.configuration(); }
   bool IsClusterLeader() const override { return cluster_.IsLeader(); }
-  void AddDuty(std::unique_ptr<ClusterDuty> duty) override { duties_.push_back(std::move(duty)); }
+  void AddLeaderTask(std::unique_ptr<LeaderTask> task) override {
+    leader_tasks_.push_back(std::move(task));
+  }
 
   void Propose(ClusterCommand command,
                std::function<void(absl::StatusOr<ClusterResult>)> done) override {
@@ -113,14 +115,14 @@
 
   void ReportInstance(const BackendInstance& instance,
                       std::function<void(absl::StatusOr<ClusterResult>)> done) override {
-    const bool cold_news = cold_.IsNews(instance.id, instance.cold_left, environment_.Now());
-    if (!cold_news && IsCommitted(instance)) return done(ClusterResult());
+    const bool cold_change = cold_.IsNews(instance.id, instance.cold_left, environment_.Now());
+    if (!cold_change && IsCommitted(instance)) return done(ClusterResult());
     Submit(UpdateInstance{instance}, std::move(done));
   }
 
   void RetireMachine(const std::string& machine,
                      std::function<void(absl::StatusOr<ClusterResult>)> done) override {
-    const size_t voters = options_.voters != 0 ? options_.voters : options_.founders.size();
+    const size_t voters = options_.voters != 0 ? options_.voters : options_.initial_members.size();
     const absl::Status retirable =
         CheckRetirable(configuration(), machine, {voters, options_.storage_voters});
     if (retirable.ok()) return RetireAll(ReplicaNodesOf(configuration(), machine), std::move(done));
@@ -131,9 +133,9 @@
     done(refused);
   }
 
-  void EvacuateZone(const millstair::EvacuateZone& order,
+  void EvacuateZone(const millstair::EvacuateZone& evacuation,
                     std::function<void(absl::StatusOr<ClusterResult>)> done) override {
-    evacuation_.Submit(order, std::move(done));
+    evacuation_.Submit(evacuation, std::move(done));
   }
 
   void ConfirmRead(std::function<void(absl::Status)> done) override {
@@ -144,8 +146,8 @@
 
   std::optional<WallTime> AgreedTime() const override { return commands_.AgreedTime(); }
 
-  void OnDutyAnnounced(std::function<void(const HolderAnnouncement&)> callback) override {
-    cluster_.OnDutyAnnounced(std::move(callback));
+  void OnLeaseAnnounced(std::function<void(const HolderAnnouncement&)> callback) override {
+    cluster_.OnLeaseAnnounced(std::move(callback));
   }
 
   bool Ready() const override { return cluster_.CanConfirm() && cluster_.Leader().has_value(); }
@@ -155,7 +157,7 @@
     relay_.SetLeaving();
     operators_.Drain();
     drain_until_ = environment_.Now() + kDrainTimeout;
-    HandOver(std::move(done));
+    TransferLeaderships(std::move(done));
   }
 
   void Receive(const NodeId& from, const PeerMessage& message) override {
@@ -206,12 +208,12 @@
     return cluster_.MakeStateMachine(limits, options_.faults);
   }
 
-  /// A founder opens the group; any other node gets it from its leader once it has joined.
+  /// A member opens the group; any other node gets it from its leader once it has joined.
   absl::Status OpenClusterGroup(ReplicaId own) {
-    if (!options_.founding) return absl::OkStatus();
-    for (const GroupMember& founder : options_.founders) {
-      if (founder.replica != own) continue;
-      return groups_->OpenGroup(kClusterGroup, options_.founders).status();
+    if (!options_.bootstrap) return absl::OkStatus();
+    for (const GroupMember& member : options_.initial_members) {
+      if (member.replica != own) continue;
+      return groups_->OpenGroup(kClusterGroup, options_.initial_members).status();
     }
     return absl::OkStatus();
   }
@@ -220,13 +222,13 @@
   bool IsCommitted(const BackendInstance& reported) const {
     const auto found = configuration().instances.find(reported.id);
     if (found == configuration().instances.end()) return false;
-    const BackendInstance& held = found->second;
+    const BackendInstance& committed = found->second;
     // A life that is doubted, or claims to be another's successor, has to be counted.
-    if (held.superseded || held.rival.reports > 0) return false;
-    if (held.state < reported.state) return false;
-    if (reported.address.empty() || reported.sequence <= held.sequence) return true;
-    return held.address == reported.address && held.service == reported.service &&
-           held.models == reported.models && held.slots == reported.slots;
+    if (committed.superseded || committed.rival.reports > 0) return false;
+    if (committed.state < reported.state) return false;
+    if (reported.address.empty() || reported.sequence <= committed.sequence) return true;
+    return committed.address == reported.address && committed.service == reported.service &&
+           committed.models == reported.models && committed.slots == reported.slots;
   }
 
   void ReceiveHeartbeat(const NodeId& from, const PeerMessage& message) {
@@ -241,9 +243,9 @@
     push_.ConfigurationChanged();
     operators_.ConfigurationChanged();
     streams_.Update();
-    if (!duty_timer_soon_) {
-      duty_timer_soon_ = true;
-      duty_timer_.Arm(Duration(0), [this] { RunDuties(); });
+    if (!leader_tasks_due_) {
+      leader_tasks_due_ = true;
+      leader_task_timer_.Arm(Duration(0), [this] { RunLeaderTasks(); });
     }
   }
 
@@ -258,31 +260,31 @@
 
   void LeadershipChanged() {
     streams_.Update();
-    duty_timer_.Arm(Duration(0), [this] { RunDuties(); });
+    leader_task_timer_.Arm(Duration(0), [this] { RunLeaderTasks(); });
   }
 
-  void RunDuties() {
-    duty_timer_soon_ = false;
-    duty_timer_.Arm(kDutyInterval, [this] { RunDuties(); });
+  void RunLeaderTasks() {
+    leader_tasks_due_ = false;
+    leader_task_timer_.Arm(kLeaderTaskInterval, [this] { RunLeaderTasks(); });
     UpdateRelay();
-    LearnAddresses();
+    UpdateAddresses();
     if (!cluster_.IsLeader()) return;
-    for (const auto& duty : duties_) duty->Run(cluster_.configuration());
+    for (const auto& task : leader_tasks_) task->Run(cluster_.configuration());
   }
 
   /// So that stream leaders can answer gateways that never called on this node.
-  void LearnAddresses() {
+  void UpdateAddresses() {
     // Not after each change of anything: 520 servers that register in a second would each cost a
     // message to the transport for every node of the fleet.
-    if (cluster_.nodes_changed_at() == addresses_of_) return;
-    addresses_of_ = cluster_.nodes_changed_at();
+    if (cluster_.nodes_changed_at() == addresses_updated_at_) return;
+    addresses_updated_at_ = cluster_.nodes_changed_at();
     for (const auto& [node, record] : cluster_.configuration().nodes) {
       if (node == options_.self.node || record.state == MemberState::kGone) continue;
       transport_.SetAddress(node, record.address);
     }
   }
 
-  void HandOver(std::function<void()> done) {
+  void TransferLeaderships(std::function<void()> done) {
     bool leads = false;
     for (RaftGroup* group : groups_->Groups()) {
       if (!group->IsLeader()) continue;
@@ -294,7 +296,7 @@
       group->TransferLeadership([](const absl::Status&) {});
     }
     if (!leads || environment_.Now() >= drain_until_) return done();
-    drain_timer_.Arm(kDrainPoll, [this, done = std::move(done)] { HandOver(done); });
+    drain_timer_.Arm(kDrainPoll, [this, done = std::move(done)] { TransferLeaderships(done); });
   }
 
   Environment& environment_;
@@ -313,16 +315,16 @@
   ClusterSubmitter submitter_;
   ZoneEvacuation evacuation_;
   OperatorsApi operators_;
-  std::vector<std::unique_ptr<ClusterDuty>> duties_;
+  std::vector<std::unique_ptr<LeaderTask>> leader_tasks_;
   std::unique_ptr<GroupHost> groups_;
   std::unique_ptr<ReplicaManager> replicas_;
   ColdReports cold_;
   ReplicaId own_replica_;
   /// Of the last change of nodes whose addresses the transport was told.
-  Revision addresses_of_;
-  bool duty_timer_soon_ = false;
+  Revision addresses_updated_at_;
+  bool leader_tasks_due_ = false;
   TimePoint drain_until_;
-  ScopedTimer duty_timer_;
+  ScopedTimer leader_task_timer_;
   ScopedTimer drain_timer_;
   AliveFlag alive_;
 };
--- a/source/cluster/control_node.h
+++ b/source/cluster/control_node.h
@@ -42,10 +42,10 @@
   virtual std::unique_ptr<StreamLeader> MakeLeader(RaftGroup& group, StateMachine& state) = 0;
 };
 
-/// A duty of the cluster leader alone, such as deciding weight targets. Implemented in weights/.
-class ClusterDuty {
+/// A task of the cluster leader alone, such as deciding weight targets. Implemented in weights/.
+class LeaderTask {
  public:
-  virtual ~ClusterDuty() = default;
+  virtual ~LeaderTask() = default;
   /// Called about once a second on the leader, and after each change; proposes through `propose`.
   virtual void Run(const Configuration& configuration) = 0;
   /// An observation reported by a gateway.
@@ -67,11 +67,11 @@
   std::string cluster_id;
   std::vector<ControlEndpoint> control_nodes;
   /// Founders of the cluster group; the same list on each control node.
-  std::vector<GroupMember> founders;
-  /// False if the group was founded in an earlier life: a founder without its log then waits for
+  std::vector<GroupMember> initial_members;
+  /// False if the group was founded in an earlier life: a member without its log then waits for
   /// the leader like any other node.
-  bool founding = true;
-  /// Voters of the cluster group; 0 is as many as there are founders.
+  bool bootstrap = true;
+  /// Voters of the cluster group; 0 is as many as there are initial_members.
   size_t voters = 0;
   /// Storage nodes that have to be left when a machine is emptied.
   size_t storage_voters = 3;
@@ -95,7 +95,7 @@
   /// The cluster state as applied on this replica; may be behind.
   virtual const Configuration& configuration() const = 0;
   virtual bool IsClusterLeader() const = 0;
-  virtual void AddDuty(std::unique_ptr<ClusterDuty> duty) = 0;
+  virtual void AddLeaderTask(std::unique_ptr<LeaderTask> task) = 0;
   /// Proposes to the cluster group; Unavailable when not the leader.
   virtual void Propose(ClusterCommand command,
                        std::function<void(absl::StatusOr<ClusterResult>)> done) = 0;
@@ -112,7 +112,7 @@
   virtual void RetireMachine(const std::string& machine,
                              std::function<void(absl::StatusOr<ClusterResult>)> done) = 0;
   /// See ZoneEvacuation.
-  virtual void EvacuateZone(const millstair::EvacuateZone& order,
+  virtual void EvacuateZone(const millstair::EvacuateZone& evacuation,
                             std::function<void(absl::StatusOr<ClusterResult>)> done) = 0;
   /// `done` once `configuration()` holds everything committed before the call.
   virtual void ConfirmRead(std::function<void(absl::Status)> done) = 0;
@@ -121,8 +121,8 @@
   /// The time that most clocks of the cluster agree on; none on a node that does not lead, and
   /// until enough nodes were heard of.
   virtual std::optional<WallTime> AgreedTime() const = 0;
-  /// `callback` hears of each announcement of a duty that is applied here.
-  virtual void OnDutyAnnounced(std::function<void(const HolderAnnouncement&)> callback) = 0;
+  /// `callback` hears of each announcement of a task that is applied here.
+  virtual void OnLeaseAnnounced(std::function<void(const HolderAnnouncement&)> callback) = 0;
   /// The configuration is known here, and a leader of the cluster group.
   virtual bool Ready() const = 0;
   /// Hands over all leaderships, then calls `done`. For a planned stop.
--- a/source/cluster/replica_manager.cc
+++ b/source/cluster/replica_manager.cc
@@ -32,7 +32,7 @@
       nodes_(nodes),
       replace_after_(options.membership_timing.replace_voter_after),
       node_lease_(options.membership_timing.node_lease),
-      target_voters_(options.voters != 0 ? options.voters : options.founders.size()),
+      target_voters_(options.voters != 0 ? options.voters : options.initial_members.size()),
       self_(options.self.node),
       timer_(environment) {}
 
--- a/source/duties/usage_duty.cc
+++ b/source/duties/usage_duty.cc
@@ -51,12 +51,12 @@
 };
 
 /// The duty on a control node.
-class ControlUsageDuty : public ClusterDuty {
+class ControlUsageDuty : public LeaderTask {
  public:
   ControlUsageDuty(Environment& environment, HttpCaller& http, const DutyProtocol& protocol,
                    ControlNode& control, UsageDutyOptions options)
       : host_(control), duty_(environment, http, protocol, host_, std::move(options)) {
-    control.OnDutyAnnounced(
+    control.OnLeaseAnnounced(
         [this](const HolderAnnouncement& announcement) { duty_.NoteAnnouncement(announcement); });
   }
 
@@ -209,9 +209,9 @@
   next_call_at_ = environment_.Now() + pause;
 }
 
-std::unique_ptr<ClusterDuty> MakeUsageDuty(Environment& environment, HttpCaller& http,
-                                           const DutyProtocol& protocol, ControlNode& control,
-                                           UsageDutyOptions options) {
+std::unique_ptr<LeaderTask> MakeUsageDuty(Environment& environment, HttpCaller& http,
+                                          const DutyProtocol& protocol, ControlNode& control,
+                                          UsageDutyOptions options) {
   return std::make_unique<ControlUsageDuty>(environment, http, protocol, control,
                                             std::move(options));
 }
--- a/source/duties/usage_duty.h
+++ b/source/duties/usage_duty.h
@@ -92,8 +92,8 @@
 };
 
 /// The duty on `control`, which outlives it.
-std::unique_ptr<ClusterDuty> MakeUsageDuty(Environment& environment, HttpCaller& http,
-                                           const DutyProtocol& protocol, ControlNode& control,
-                                           UsageDutyOptions options);
+std::unique_ptr<LeaderTask> MakeUsageDuty(Environment& environment, HttpCaller& http,
+                                          const DutyProtocol& protocol, ControlNode& control,
+                                          UsageDutyOptions options);
 
 }  // namespace millstair
--- a/source/jobs/job_group_founder.cc
+++ b/source/jobs/job_group_founder.cc
@@ -9,7 +9,7 @@
 namespace millstair {
 namespace {
 
-class JobGroupFounder : public ClusterDuty {
+class JobGroupFounder : public LeaderTask {
  public:
   JobGroupFounder(Environment& environment, JobGroupFounderOptions options,
                   std::function<void(ClusterCommand)> propose)
@@ -59,9 +59,9 @@
 
 }  // namespace
 
-std::unique_ptr<ClusterDuty> MakeJobGroupFounder(Environment& environment,
-                                                 JobGroupFounderOptions options,
-                                                 std::function<void(ClusterCommand)> propose) {
+std::unique_ptr<LeaderTask> MakeJobGroupFounder(Environment& environment,
+                                                JobGroupFounderOptions options,
+                                                std::function<void(ClusterCommand)> propose) {
   return std::make_unique<JobGroupFounder>(environment, options, std::move(propose));
 }
 
--- a/source/jobs/job_group_founder.h
+++ b/source/jobs/job_group_founder.h
@@ -23,8 +23,8 @@
 };
 
 /// A duty of the cluster leader; proposes through `propose`.
-std::unique_ptr<ClusterDuty> MakeJobGroupFounder(Environment& environment,
-                                                 JobGroupFounderOptions options,
-                                                 std::function<void(ClusterCommand)> propose);
+std::unique_ptr<LeaderTask> MakeJobGroupFounder(Environment& environment,
+                                                JobGroupFounderOptions options,
+                                                std::function<void(ClusterCommand)> propose);
 
 }  // namespace millstair
--- a/source/server/node_options.cc
+++ b/source/server/node_options.cc
@@ -75,8 +75,8 @@
   options.self = self;
   options.cluster_id = settings.cluster;
   options.control_nodes = EndpointsOf(settings);
-  options.founders = FoundersOf(settings);
-  options.founding = settings.bootstrap == "true";
+  options.initial_members = FoundersOf(settings);
+  options.bootstrap = settings.bootstrap == "true";
   if (!settings.seeds.empty()) options.voters = VotersOf(settings);
   options.storage_voters = VotersOf(settings);
   options.consensus_timing = ConsensusTimingOf(timing);
--- a/source/server/server_node.cc
+++ b/source/server/server_node.cc
@@ -101,11 +101,11 @@
   control_ =
       MakeControlNode(*environment_, *peers_, *files_, *back_ends_,
                       MakeStreamFactory(*environment_, *peers_), ControlOptionsOf(settings_, self));
-  control_->AddDuty(MakeWeightDuty(*environment_, [this](ClusterCommand command) {
+  control_->AddLeaderTask(MakeWeightDuty(*environment_, [this](ClusterCommand command) {
     control_->Propose(std::move(command), [](const absl::StatusOr<ClusterResult>&) {});
   }));
   if (ServesPlatform()) {
-    control_->AddDuty(MakeJobGroupFounder(
+    control_->AddLeaderTask(MakeJobGroupFounder(
         *environment_, JobFounderOptionsOf(settings_), [this](ClusterCommand command) {
           control_->Propose(std::move(command), [](const absl::StatusOr<ClusterResult>&) {});
         }));
@@ -113,8 +113,8 @@
   const bool meters =
       !settings_.metering_platform.empty() && settings_.timing.usage_window > Duration(0);
   if (ServesPlatform() && meters) {
-    control_->AddDuty(MakeUsageDuty(*environment_, *back_ends_, platform::Duties(), *control_,
-                                    UsageOptionsOf(settings_)));
+    control_->AddLeaderTask(MakeUsageDuty(*environment_, *back_ends_, platform::Duties(), *control_,
+                                          UsageOptionsOf(settings_)));
   }
   const absl::Status started = control_->Start();
   if (started.ok()) return {};
--- a/source/weights/weight_duty.cc
+++ b/source/weights/weight_duty.cc
@@ -18,7 +18,7 @@
   return newest;
 }
 
-class WeightDuty : public ClusterDuty {
+class WeightDuty : public LeaderTask {
  public:
   WeightDuty(Environment& environment, std::function<void(ClusterCommand)> propose,
              WeightDutyOptions options)
@@ -152,9 +152,9 @@
 
 }  // namespace
 
-std::unique_ptr<ClusterDuty> MakeWeightDuty(Environment& environment,
-                                            std::function<void(ClusterCommand)> propose,
-                                            WeightDutyOptions options) {
+std::unique_ptr<LeaderTask> MakeWeightDuty(Environment& environment,
+                                           std::function<void(ClusterCommand)> propose,
+                                           WeightDutyOptions options) {
   return std::make_unique<WeightDuty>(environment, std::move(propose), options);
 }
 
--- a/source/weights/weight_duty.h
+++ b/source/weights/weight_duty.h
@@ -26,8 +26,8 @@
 };
 
 /// `propose` proposes to the cluster group; whatever becomes of it shows in the configuration.
-std::unique_ptr<ClusterDuty> MakeWeightDuty(Environment& environment,
-                                            std::function<void(ClusterCommand)> propose,
-                                            WeightDutyOptions options = {});
+std::unique_ptr<LeaderTask> MakeWeightDuty(Environment& environment,
+                                           std::function<void(ClusterCommand)> propose,
+                                           WeightDutyOptions options = {});
 
 }  // namespace millstair
--- a/test/cluster/cluster_fleet.cc
+++ b/test/cluster/cluster_fleet.cc
@@ -157,7 +157,7 @@
   options.control_nodes = Endpoints();
   for (int i = 1; i <= 3; ++i) {
     const std::string name = fmt::format("c{}", i);
-    options.founders.push_back(
+    options.initial_members.push_back(
         {FounderReplicaId(kCluster, NodeId(name)), NodeId(name), AddressOf(name), true});
   }
   options.membership_timing = options_.membership;
--- a/test/cluster/cluster_state_machine_test.cc
+++ b/test/cluster/cluster_state_machine_test.cc
@@ -352,7 +352,7 @@
   driver.Apply(AnnounceDuty{announced});
   ClusterStateMachine restored;
   std::vector<HolderAnnouncement> heard;
-  restored.OnDutyAnnounced(
+  restored.OnLeaseAnnounced(
       [&heard](const HolderAnnouncement& announcement) { heard.push_back(announcement); });
   REQUIRE(restored.Restore(LogIndex(9), driver.state.TakeSnapshot()).ok());
   CHECK(restored.usage().state() == driver.state.usage().state());
--- a/test/jobs/ingress_fleet.cc
+++ b/test/jobs/ingress_fleet.cc
@@ -109,7 +109,8 @@
   options.control_nodes = Endpoints();
   for (int i = 1; i <= kControlNodes; ++i) {
     const NodeId name(ControlName(i));
-    options.founders.push_back({FounderReplicaId(kClusterName, name), name, ControlName(i), true});
+    options.initial_members.push_back(
+        {FounderReplicaId(kClusterName, name), name, ControlName(i), true});
   }
   MemoryFileSystem& disk = *disks_.at(self.node.value());
   disk.Attach(*process.environment);
--- a/test/jobs/job_group_founder_test.cc
+++ b/test/jobs/job_group_founder_test.cc
@@ -41,7 +41,7 @@
   VirtualEnvironment environment{scheduler, 2};
   Configuration configuration;
   std::optional<JobGroup> founded;
-  std::unique_ptr<ClusterDuty> duty =
+  std::unique_ptr<LeaderTask> duty =
       MakeJobGroupFounder(environment, JobGroupFounderOptions{5}, [this](ClusterCommand command) {
         founded = std::get<FoundJobGroup>(command.operation).group;
       });
--- a/test/platform/control_calls_test.cc
+++ b/test/platform/control_calls_test.cc
@@ -24,7 +24,7 @@
   MAKE_MOCK0(groups, GroupHost&(), override);
   MAKE_CONST_MOCK0(configuration, const Configuration&(), override);
   MAKE_CONST_MOCK0(IsClusterLeader, bool(), override);
-  MAKE_MOCK1(AddDuty, void(std::unique_ptr<ClusterDuty>), override);
+  MAKE_MOCK1(AddLeaderTask, void(std::unique_ptr<LeaderTask>), override);
   MAKE_MOCK2(Propose, void(ClusterCommand, ResultCallback), override);
   MAKE_MOCK2(Submit, void(ClusterOperation, ResultCallback), override);
   MAKE_MOCK2(ReportInstance, void(const BackendInstance&, ResultCallback), override);
@@ -33,7 +33,7 @@
   MAKE_MOCK1(ConfirmRead, void(std::function<void(absl::Status)>), override);
   MAKE_CONST_MOCK0(usage, const UsageLedger&(), override);
   MAKE_CONST_MOCK0(AgreedTime, std::optional<WallTime>(), override);
-  MAKE_MOCK1(OnDutyAnnounced, void(std::function<void(const HolderAnnouncement&)>), override);
+  MAKE_MOCK1(OnLeaseAnnounced, void(std::function<void(const HolderAnnouncement&)>), override);
   MAKE_CONST_MOCK0(Ready, bool(), override);
   MAKE_MOCK1(Drain, void(std::function<void()>), override);
   MAKE_MOCK2(Receive, void(const NodeId&, const PeerMessage&), override);
--- a/test/weights/weight_fleet.h
+++ b/test/weights/weight_fleet.h
@@ -181,7 +181,7 @@
   WeightsEngines engines;
   std::vector<std::unique_ptr<EngineModel>> models;
   std::vector<std::unique_ptr<EngineReconciler>> gateways;
-  std::unique_ptr<ClusterDuty> duty;
+  std::unique_ptr<LeaderTask> duty;
   std::vector<SetModelTarget> targets;
   Duration activated_at{0};
 };
