--- a/source/cluster/command_service.cc
+++ b/source/cluster/command_service.cc
@@ -93,7 +93,7 @@
   const TimePoint now = environment_.Now();
   if (now >= level_asked_at_ + kLevelHolds) {
     level_asked_at_ = now;
-    groups_reports_ = membership_.LeastLevel().level >= kGroupedReportsLevel;
+    groups_reports_ = membership_.MinLevel().level >= kGroupedReportsLevel;
   }
   return groups_reports_;
 }
@@ -117,7 +117,7 @@
   }
   if (query.kind == ClusterQueryKind::kFeatureLevel) {
     if (!cluster_.IsLeader()) return absl::UnavailableError("not the leader");
-    return EncodeLeastFeatureLevel(membership_.LeastLevel());
+    return EncodeMinFeatureLevel(membership_.MinLevel());
   }
   return EncodeDelta(FullDelta(cluster_.configuration()));
 }
--- a/source/cluster/control_messages.cc
+++ b/source/cluster/control_messages.cc
@@ -272,7 +272,7 @@
   return WallTime(std::chrono::milliseconds((*decoded)->wall_milliseconds));
 }
 
-std::string EncodeLeastFeatureLevel(const LeastFeatureLevel& least) {
+std::string EncodeMinFeatureLevel(const LeastFeatureLevel& least) {
   WireArena arena;
   millstair_LeastFeatureLevel wire = millstair_LeastFeatureLevel_init_zero;
   wire.level = least.level;
@@ -280,7 +280,7 @@
   return EncodeNanopb(millstair_LeastFeatureLevel_fields, &wire);
 }
 
-absl::StatusOr<LeastFeatureLevel> DecodeLeastFeatureLevel(std::string_view bytes) {
+absl::StatusOr<LeastFeatureLevel> DecodeMinFeatureLevel(std::string_view bytes) {
   auto decoded = DecodedMessage<millstair_LeastFeatureLevel>::Decode(
       millstair_LeastFeatureLevel_fields, bytes);
   if (!decoded.ok()) return decoded.status();
--- a/source/cluster/control_messages.h
+++ b/source/cluster/control_messages.h
@@ -143,8 +143,8 @@
 absl::StatusOr<ClusterQuery> DecodeClusterQuery(std::string_view bytes);
 std::string EncodeAgreedTime(WallTime time);
 absl::StatusOr<WallTime> DecodeAgreedTime(std::string_view bytes);
-std::string EncodeLeastFeatureLevel(const LeastFeatureLevel& least);
-absl::StatusOr<LeastFeatureLevel> DecodeLeastFeatureLevel(std::string_view bytes);
+std::string EncodeMinFeatureLevel(const LeastFeatureLevel& least);
+absl::StatusOr<LeastFeatureLevel> DecodeMinFeatureLevel(std::string_view bytes);
 std::string EncodeLagging(const std::vector<NodeProgress>& nodes);
 absl::StatusOr<std::vector<NodeProgress>> DecodeLagging(std::string_view bytes);
 
--- a/source/cluster/control_node.cc
+++ b/source/cluster/control_node.cc
@@ -234,7 +234,7 @@
   void ReceiveHeartbeat(const NodeId& from, const PeerMessage& message) {
     const auto heartbeat = DecodeHeartbeat(message.payload);
     if (!heartbeat.ok()) return heartbeats_.OnUnreadable(from, heartbeat.status());
-    membership_.Hear(*heartbeat);
+    membership_.OnHeartbeat(*heartbeat);
     if (heartbeat->nonce != 0) heartbeats_.OnHeartbeat(*heartbeat);
   }
 
--- a/source/cluster/membership_manager.cc
+++ b/source/cluster/membership_manager.cc
@@ -11,10 +11,10 @@
 constexpr Duration kTick = std::chrono::milliseconds(250);
 /// How often a follower passes on what it heard.
 constexpr Duration kDigestInterval = std::chrono::seconds(1);
-/// Heartbeats come every second; a node silent for this long is told as such.
-constexpr Duration kSilentAfter = std::chrono::seconds(3);
+/// Heartbeats come every second; a node unresponsive for this long is told as such.
+constexpr Duration kUnresponsiveAfter = std::chrono::seconds(3);
 /// An observation that no gateway repeats counts no longer; the state found by it stays.
-constexpr Duration kObservationLife = std::chrono::seconds(15);
+constexpr Duration kObservationTimeout = std::chrono::seconds(15);
 
 MemberState StateOf(PlatformMachineState state) {
   switch (state) {
@@ -60,18 +60,18 @@
   Tick();
 }
 
-void MembershipManager::Hear(const NodeHeartbeat& heartbeat) {
+void MembershipManager::OnHeartbeat(const NodeHeartbeat& heartbeat) {
   const TimePoint now = environment_.Now();
-  nodes_.Hear(heartbeat.sender, now);
+  nodes_.Record(heartbeat.sender, now);
   for (const ForwardedNode& node : heartbeat.forwarded) {
     // Only the leader listens to others' words, or a word could go round for ever.
-    if (cluster_.IsLeader()) nodes_.Hear(node, now);
+    if (cluster_.IsLeader()) nodes_.Record(node, now);
   }
   for (const ReportedObservation& reported : heartbeat.observations) {
     const NodeId gateway =
         reported.gateway.value().empty() ? heartbeat.sender.record.node : reported.gateway;
     if (cluster_.IsLeader()) {
-      NoteObservation(gateway, reported.observation);
+      RecordObservation(gateway, reported.observation);
     } else if (heartbeat.nonce != 0) {
       unsent_observations_.push_back({gateway, reported.observation});
     }
@@ -80,11 +80,11 @@
 
 void MembershipManager::Tick() {
   timer_.Arm(kTick, [this] { Tick(); });
-  HearSelf();
+  RecordSelf();
   const bool leads = cluster_.IsLeader();
-  if (leads && !led_) BecomeLeader();
+  if (leads && !was_leader_) BecomeLeader();
   if (!leads) poller_.Stop();
-  led_ = leads;
+  was_leader_ = leads;
   if (leads) return Decide();
   const TimePoint now = environment_.Now();
   if (now < next_digest_) return;
@@ -92,7 +92,7 @@
   const auto leader = cluster_.Leader();
   if (leader) return SendDigest(*leader);
   // A relay beats at the replica that it follows.
-  if (!cluster_.relaying()) BeatAsStranger();
+  if (!cluster_.relaying()) SendHeartbeatWithoutLeader();
 }
 
 ForwardedNode MembershipManager::Self() const {
@@ -100,20 +100,21 @@
           cluster_.group() == nullptr};
 }
 
-void MembershipManager::HearSelf() { nodes_.Hear(Self(), environment_.Now()); }
+void MembershipManager::RecordSelf() { nodes_.Record(Self(), environment_.Now()); }
 
 void MembershipManager::SendDigest(const NodeId& leader) {
   const TimePoint since = std::exchange(last_digest_, environment_.Now());
   NodeHeartbeat digest;
   digest.sender = Self();
-  for (const auto& [node, heard] : nodes_.nodes()) {
-    if (node != self_.node && heard.heard >= since) digest.forwarded.push_back(heard.latest);
+  for (const auto& [node, liveness] : nodes_.nodes()) {
+    if (node != self_.node && liveness.last_seen >= since)
+      digest.forwarded.push_back(liveness.latest);
   }
   digest.observations = std::exchange(unsent_observations_, {});
   transport_.Send(leader, {MessageKind::kHeartbeat, EncodeHeartbeat(digest)});
 }
 
-void MembershipManager::BeatAsStranger() {
+void MembershipManager::SendHeartbeatWithoutLeader() {
   if (control_nodes_.empty()) return;
   unsent_observations_.clear();
   const ControlEndpoint& endpoint = control_nodes_[next_control_node_++ % control_nodes_.size()];
@@ -124,8 +125,8 @@
   transport_.Send(endpoint.node, {MessageKind::kHeartbeat, EncodeHeartbeat(heartbeat)});
 }
 
-void MembershipManager::NoteObservation(const NodeId& gateway,
-                                        const EngineObservation& observation) {
+void MembershipManager::RecordObservation(const NodeId& gateway,
+                                          const EngineObservation& observation) {
   observed_[observation.engine][gateway] = {observation, environment_.Now()};
   if (listener_) listener_(gateway, observation);
 }
@@ -143,7 +144,7 @@
   if (proposing_) return;
   UpdateMembers update;
   FindNodeChanges(update);
-  FindForgotten(update);
+  FindExpiredNodes(update);
   FindMachineChanges(update);
   FindEngineChanges(update);
   if (update.nodes.empty() && update.machines.empty() && update.engines.empty() &&
@@ -164,44 +165,44 @@
   const auto& known = cluster_.configuration().nodes;
   // The newest life at each address: another node that was there before is gone.
   std::map<std::string, Incarnation> newest_at;
-  for (const auto& [node, heard] : nodes_.nodes()) {
-    if (heard.heard < since) continue;
-    Incarnation& newest = newest_at[heard.latest.record.address];
-    newest = std::max(newest, heard.latest.record.incarnation);
+  for (const auto& [node, liveness] : nodes_.nodes()) {
+    if (liveness.last_seen < since) continue;
+    Incarnation& newest = newest_at[liveness.latest.record.address];
+    newest = std::max(newest, liveness.latest.record.incarnation);
   }
   const auto replaced = [&](const NodeRecord& record) {
     const auto newest = newest_at.find(record.address);
     return newest != newest_at.end() && newest->second > record.incarnation;
   };
-  for (const auto& [node, heard] : nodes_.nodes()) {
-    if (heard.heard < since || replaced(heard.latest.record)) continue;
+  for (const auto& [node, liveness] : nodes_.nodes()) {
+    if (liveness.last_seen < since || replaced(liveness.latest.record)) continue;
     gone_since_.erase(node);
     const auto found = known.find(node);
-    if (found != known.end() && found->second == heard.latest.record) continue;
+    if (found != known.end() && found->second == liveness.latest.record) continue;
     // A new leader may have heard a message of a life that is over, and not yet the one that
     // speaks.
-    const bool began_earlier =
-        found != known.end() && found->second.incarnation > heard.latest.record.incarnation;
-    if (began_earlier && now - leader_since_ <= timing_.node_lease) continue;
-    if (began_earlier) update.nodes.push_back(GoneRecord(found->second));
+    const bool older =
+        found != known.end() && found->second.incarnation > liveness.latest.record.incarnation;
+    if (older && now - leader_since_ <= timing_.node_lease) continue;
+    if (older) update.nodes.push_back(GoneRecord(found->second));
     LogEvent(EventId::kNodeStateChanged, "node={} incarnation={} state={}", node,
-             heard.latest.record.incarnation, static_cast<int>(heard.latest.record.state));
-    update.nodes.push_back(heard.latest.record);
+             liveness.latest.record.incarnation, static_cast<int>(liveness.latest.record.state));
+    update.nodes.push_back(liveness.latest.record);
   }
   for (const auto& [node, record] : known) {
     if (record.state == MemberState::kGone) continue;
-    const HeardNode* present = nodes_.FindSince(node, since);
-    const bool heard = present != nullptr;
+    const NodeLiveness* present = nodes_.FindSince(node, since);
+    const bool responsive = present != nullptr;
     // Its next life is among the changes already.
-    if (heard && present->latest.record.incarnation > record.incarnation) continue;
+    if (responsive && present->latest.record.incarnation > record.incarnation) continue;
     // A new leader waits until every node had the time to be heard.
-    const bool silent = !heard && now - leader_since_ > timing_.node_lease;
-    if (!silent && !replaced(record)) continue;
+    const bool unresponsive = !responsive && now - leader_since_ > timing_.node_lease;
+    if (!unresponsive && !replaced(record)) continue;
     update.nodes.push_back(GoneRecord(record));
   }
 }
 
-void MembershipManager::FindForgotten(UpdateMembers& update) {
+void MembershipManager::FindExpiredNodes(UpdateMembers& update) {
   const TimePoint now = environment_.Now();
   for (const auto& [node, record] : cluster_.configuration().nodes) {
     if (record.state != MemberState::kGone) continue;
@@ -221,11 +222,13 @@
     const auto* machine = std::get_if<MachineSpec>(&resource.spec);
     if (machine == nullptr) continue;
     const auto known = configuration.machines.find(key.name);
-    const auto listed = platform_machines_->find(machine->address);
-    // A machine that was never listed may be too new for the list.
-    if (listed == platform_machines_->end() && known == configuration.machines.end()) continue;
-    const MemberState state =
-        listed == platform_machines_->end() ? MemberState::kGone : StateOf(listed->second);
+    const auto entry_in_list = platform_machines_->find(machine->address);
+    // A machine that was never entry_in_list may be too new for the list.
+    if (entry_in_list == platform_machines_->end() && known == configuration.machines.end())
+      continue;
+    const MemberState state = entry_in_list == platform_machines_->end()
+                                  ? MemberState::kGone
+                                  : StateOf(entry_in_list->second);
     if (known != configuration.machines.end() && known->second.platform_state == state) continue;
     LogEvent(EventId::kMachineStateChanged, "machine={} state={}", key.name,
              static_cast<int>(state));
@@ -234,10 +237,10 @@
 }
 
 void MembershipManager::FindEngineChanges(UpdateMembers& update) {
-  const TimePoint since = environment_.Now() - kObservationLife;
+  const TimePoint since = environment_.Now() - kObservationTimeout;
   const Configuration& configuration = cluster_.configuration();
   for (auto it = observed_.begin(); it != observed_.end();) {
-    std::erase_if(it->second, [&](const auto& entry) { return entry.second.seen < since; });
+    std::erase_if(it->second, [&](const auto& entry) { return entry.second.last_seen < since; });
     if (it->second.empty()) {
       it = observed_.erase(it);
       continue;
@@ -247,8 +250,8 @@
     if (!configuration.resources.contains({ResourceKind::kEngine, engine.value()})) continue;
     auto merged = MergedObservation(engine);
     const auto known = configuration.engines.find(engine);
-    const bool of_unknown_life = merged && merged->incarnation == Incarnation();
-    if (of_unknown_life && known != configuration.engines.end()) {
+    const bool unknown_incarnation = merged && merged->incarnation == Incarnation();
+    if (unknown_incarnation && known != configuration.engines.end()) {
       merged->incarnation = known->second.incarnation;
     }
     if (!merged ||
@@ -269,39 +272,41 @@
     status.incarnation = std::max(status.incarnation, observed.observation.incarnation);
   }
   for (const auto& [gateway, observed] : found->second) {
-    // A back end that was seen leaving without a word of its incarnation counts as the present one.
-    const Incarnation seen = observed.observation.incarnation;
-    if (seen != status.incarnation && seen != Incarnation()) continue;
+    // A back end that was last_seen leaving without a word of its incarnation counts as the present
+    // one.
+    const Incarnation reported = observed.observation.incarnation;
+    if (reported != status.incarnation && reported != Incarnation()) continue;
     if (observed.observation.leaving) status.state = MemberState::kLeaving;
   }
   return status;
 }
 
-LeastFeatureLevel MembershipManager::LeastLevel() const {
-  LeastFeatureLevel least;
-  const bool heard_all = environment_.Now() - leader_since_ > timing_.node_lease;
+LeastFeatureLevel MembershipManager::MinLevel() const {
+  LeastFeatureLevel min;
+  const bool all_reported = environment_.Now() - leader_since_ > timing_.node_lease;
   for (const auto& [node, record] : cluster_.configuration().nodes) {
     if (record.state == MemberState::kGone) continue;
-    const auto heard = nodes_.nodes().find(node);
-    const bool unheard = heard == nodes_.nodes().end();
+    const auto found = nodes_.nodes().find(node);
+    const bool unknown = found == nodes_.nodes().end();
     // One that this leader has had the time to hear, and has not heard, is down.
-    if (unheard && heard_all) continue;
-    const FeatureLevel level = unheard ? kFirstLevel : heard->second.latest.feature_level;
-    if (level < least.level) least = {level, node};
+    if (unknown && all_reported) continue;
+    const FeatureLevel level = unknown ? kFirstLevel : found->second.latest.feature_level;
+    if (level < min.level) min = {level, node};
   }
-  return least;
+  return min;
 }
 
 std::vector<NodeProgress> MembershipManager::Lagging(Revision revision) const {
   std::vector<NodeProgress> lagging;
   for (const auto& [node, record] : cluster_.configuration().nodes) {
     if (record.state == MemberState::kGone) continue;
-    const auto heard = nodes_.nodes().find(node);
+    const auto found = nodes_.nodes().find(node);
     const Revision applied =
-        heard == nodes_.nodes().end() ? Revision() : heard->second.latest.applied;
+        found == nodes_.nodes().end() ? Revision() : found->second.latest.applied;
     if (applied >= revision) continue;
-    const bool silent = nodes_.FindSince(node, environment_.Now() - kSilentAfter) == nullptr;
-    lagging.push_back({node, applied, silent ? "silent" : "behind"});
+    const bool unresponsive =
+        nodes_.FindSince(node, environment_.Now() - kUnresponsiveAfter) == nullptr;
+    lagging.push_back({node, applied, unresponsive ? "silent" : "behind"});
   }
   return lagging;
 }
--- a/source/cluster/membership_manager.h
+++ b/source/cluster/membership_manager.h
@@ -26,7 +26,7 @@
   /// Identity of this node's disk, known once the groups are open.
   void Start(ReplicaId own_replica);
   /// A heartbeat of a node, or a digest of another control node.
-  void Hear(const NodeHeartbeat& heartbeat);
+  void OnHeartbeat(const NodeHeartbeat& heartbeat);
   /// Called on the leader for each observation of a gateway.
   void OnObservation(ObservationListener listener) { listener_ = std::move(listener); }
   /// This node is leaving.
@@ -35,26 +35,26 @@
   const NodeTable& nodes() const { return nodes_; }
   /// Nodes that are not gone and hold less than `revision`, with the reason. On the leader only.
   std::vector<NodeProgress> Lagging(Revision revision) const;
-  /// The node that reads least of those that are not gone; one that this leader has not had the
+  /// The node that reads min of those that are not gone; one that this leader has not had the
   /// time to hear counts as of the first level. On the leader only.
-  LeastFeatureLevel LeastLevel() const;
+  LeastFeatureLevel MinLevel() const;
 
  private:
   struct Observed {
     EngineObservation observation;
-    TimePoint seen;
+    TimePoint last_seen;
   };
 
   void Tick();
   ForwardedNode Self() const;
-  void HearSelf();
+  void RecordSelf();
   void SendDigest(const NodeId& leader);
-  void BeatAsStranger();
-  void NoteObservation(const NodeId& gateway, const EngineObservation& observation);
+  void SendHeartbeatWithoutLeader();
+  void RecordObservation(const NodeId& gateway, const EngineObservation& observation);
   void BecomeLeader();
   void Decide();
   void FindNodeChanges(UpdateMembers& update);
-  void FindForgotten(UpdateMembers& update);
+  void FindExpiredNodes(UpdateMembers& update);
   void FindMachineChanges(UpdateMembers& update) const;
   void FindEngineChanges(UpdateMembers& update);
   std::optional<EngineStatus> MergedObservation(const EngineName& engine) const;
@@ -69,7 +69,7 @@
   ReplicaId own_replica_;
 
   NodeTable nodes_;
-  bool led_ = false;
+  bool was_leader_ = false;
   TimePoint leader_since_;
   bool proposing_ = false;
   size_t next_control_node_ = 0;
--- a/source/cluster/node_table.cc
+++ b/source/cluster/node_table.cc
@@ -2,21 +2,21 @@
 
 namespace millstair {
 
-void NodeTable::Hear(const ForwardedNode& node, TimePoint now) {
-  HeardNode& heard = nodes_[node.record.node];
-  const bool earlier = node.record.incarnation < heard.latest.record.incarnation;
-  if (earlier && now - heard.heard <= life_silence_) return;
-  const bool same_life = node.record.incarnation == heard.latest.record.incarnation;
-  const ReplicaId known_replica = heard.latest.replica;
-  heard.latest = node;
+void NodeTable::Record(const ForwardedNode& node, TimePoint now) {
+  NodeLiveness& liveness = nodes_[node.record.node];
+  const bool older = node.record.incarnation < liveness.latest.record.incarnation;
+  if (older && now - liveness.last_seen <= takeover_after_) return;
+  const bool same_incarnation = node.record.incarnation == liveness.latest.record.incarnation;
+  const ReplicaId known_replica = liveness.latest.replica;
+  liveness.latest = node;
   // The gateway part of a process beats without the identity of the disk.
-  if (same_life && node.replica == ReplicaId()) heard.latest.replica = known_replica;
-  heard.heard = now;
+  if (same_incarnation && node.replica == ReplicaId()) liveness.latest.replica = known_replica;
+  liveness.last_seen = now;
 }
 
-const HeardNode* NodeTable::FindSince(const NodeId& node, TimePoint since) const {
+const NodeLiveness* NodeTable::FindSince(const NodeId& node, TimePoint since) const {
   const auto found = nodes_.find(node);
-  if (found == nodes_.end() || found->second.heard < since) return nullptr;
+  if (found == nodes_.end() || found->second.last_seen < since) return nullptr;
   return &found->second;
 }
 
--- a/source/cluster/replica_manager.cc
+++ b/source/cluster/replica_manager.cc
@@ -63,8 +63,8 @@
 }
 
 Zone ReplicaManager::ZoneOf(const NodeId& node) const {
-  const auto heard = nodes_.nodes().find(node);
-  return heard == nodes_.nodes().end() ? Zone() : heard->second.latest.record.zone;
+  const auto found = nodes_.nodes().find(node);
+  return found == nodes_.nodes().end() ? Zone() : found->second.latest.record.zone;
 }
 
 std::vector<Zone> ReplicaManager::ZonesOf(const std::vector<GroupMember>& members) const {
@@ -86,11 +86,11 @@
 bool ReplicaManager::IsLost(const GroupMember& member) const {
   if (member.node == self_) return false;
   const TimePoint now = environment_.Now();
-  const HeardNode* heard = nodes_.FindSince(member.node, now - replace_after_);
-  if (heard != nullptr) {
+  const NodeLiveness* liveness = nodes_.FindSince(member.node, now - replace_after_);
+  if (liveness != nullptr) {
     // The node is there with another disk: this replica is gone, whether the new one joins or
     // relays.
-    const ReplicaId present = heard->latest.replica;
+    const ReplicaId present = liveness->latest.replica;
     return present != ReplicaId() && present != member.replica;
   }
   return now - leader_since_ > replace_after_;
@@ -110,9 +110,9 @@
   std::vector<GroupMember> learners;
   for (const GroupMember& member : members) {
     if (member.voter || IsLost(member) || IsRetired(member.node)) continue;
-    const HeardNode* heard = nodes_.FindSince(member.node, since);
-    if (heard == nullptr || heard->latest.replica != member.replica) continue;
-    if (heard->latest.record.state != MemberState::kLive) continue;
+    const NodeLiveness* liveness = nodes_.FindSince(member.node, since);
+    if (liveness == nullptr || liveness->latest.replica != member.replica) continue;
+    if (liveness->latest.record.state != MemberState::kLive) continue;
     learners.push_back(member);
   }
   const auto best = LeastCrowded(ZonesOf(learners), ZonesOf(SoundVoters(members)));
@@ -147,8 +147,9 @@
     // A lost voter stays until another has taken its place: the quorum must not shrink.
     if (member.voter && voters <= target_voters_) continue;
     // A learner that is away may come back with its log.
-    const HeardNode* heard = nodes_.FindSince(member.node, environment_.Now() - replace_after_);
-    if (!member.voter && heard == nullptr) continue;
+    const NodeLiveness* liveness =
+        nodes_.FindSince(member.node, environment_.Now() - replace_after_);
+    if (!member.voter && liveness == nullptr) continue;
     Remove(group, member);
     return true;
   }
@@ -199,9 +200,10 @@
 bool ReplicaManager::AddStranger(RaftGroup& group, const std::vector<GroupMember>& members) {
   const TimePoint since = environment_.Now() - node_lease_;
   std::vector<GroupMember> strangers;
-  for (const auto& [node, heard] : nodes_.nodes()) {
-    const ForwardedNode& latest = heard.latest;
-    if (heard.heard < since || latest.replica == ReplicaId() || !latest.record.control) continue;
+  for (const auto& [node, liveness] : nodes_.nodes()) {
+    const ForwardedNode& latest = liveness.latest;
+    if (liveness.last_seen < since || latest.replica == ReplicaId() || !latest.record.control)
+      continue;
     if (latest.record.state != MemberState::kLive) continue;
     if (FindReplica(members, latest.replica) != nullptr || IsRetired(node)) continue;
     // One that relays does without a replica. Any other is of a build that can't, or has a replica
--- a/source/cluster/zone_evacuation.cc
+++ b/source/cluster/zone_evacuation.cc
@@ -18,7 +18,7 @@
 
 void ZoneEvacuation::SubmitIfRead(const EvacuateZone& order,
                                   const absl::StatusOr<std::string>& answer, Done done) {
-  const auto least = answer.ok() ? DecodeLeastFeatureLevel(*answer) : answer.status();
+  const auto least = answer.ok() ? DecodeMinFeatureLevel(*answer) : answer.status();
   if (!least.ok()) return done(absl::UnavailableError(least.status().message()));
   if (least->level < kEvacuationLevel) {
     LogEvent(EventId::kFeatureNotRead, "node={} level={} needed={}", least->node, least->level,
--- a/test/cluster/node_table_test.cc
+++ b/test/cluster/node_table_test.cc
@@ -9,9 +9,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kSilence = seconds(2);
+constexpr Duration kTakeoverAfter = seconds(2);
 
-ForwardedNode Life(uint64_t incarnation, MemberState state = MemberState::kLive) {
+ForwardedNode NodeWithIncarnation(uint64_t incarnation, MemberState state = MemberState::kLive) {
   ForwardedNode node;
   node.record.node = NodeId("n");
   node.record.incarnation = Incarnation(incarnation);
@@ -19,41 +19,41 @@
   return node;
 }
 
-Incarnation Believed(const NodeTable& table) {
+Incarnation RecordedIncarnation(const NodeTable& table) {
   return table.nodes().at(NodeId("n")).latest.record.incarnation;
 }
 
 TEST_CASE("A life that began later is believed at once") {
-  NodeTable table(kSilence);
-  table.Hear(Life(1), TimePoint(seconds(10)));
-  table.Hear(Life(2), TimePoint(seconds(10)));
-  CHECK(Believed(table) == Incarnation(2));
+  NodeTable table(kTakeoverAfter);
+  table.Record(NodeWithIncarnation(1), TimePoint(seconds(10)));
+  table.Record(NodeWithIncarnation(2), TimePoint(seconds(10)));
+  CHECK(RecordedIncarnation(table) == Incarnation(2));
 }
 
 TEST_CASE("A late message of a former life changes nothing while the present one speaks") {
-  NodeTable table(kSilence);
+  NodeTable table(kTakeoverAfter);
   TimePoint now(seconds(10));
   for (int i = 0; i < 20; ++i) {
-    table.Hear(Life(2), now);
+    table.Record(NodeWithIncarnation(2), now);
     now += milliseconds(400);
-    table.Hear(Life(1, MemberState::kLeaving), now);
-    CHECK(Believed(table) == Incarnation(2));
+    table.Record(NodeWithIncarnation(1, MemberState::kLeaving), now);
+    CHECK(RecordedIncarnation(table) == Incarnation(2));
   }
   CHECK(table.FindSince(NodeId("n"), now - milliseconds(400)) != nullptr);
 }
 
 TEST_CASE(
     "A life that began earlier is believed once the one held is silent, and gives way again") {
-  NodeTable table(kSilence);
-  table.Hear(Life(2), TimePoint(seconds(10)));
+  NodeTable table(kTakeoverAfter);
+  table.Record(NodeWithIncarnation(2), TimePoint(seconds(10)));
   for (int i = 1; i <= 5; ++i) {
-    table.Hear(Life(1), TimePoint(seconds(10) + i * milliseconds(400)));
-    CHECK(Believed(table) == Incarnation(2));
+    table.Record(NodeWithIncarnation(1), TimePoint(seconds(10) + i * milliseconds(400)));
+    CHECK(RecordedIncarnation(table) == Incarnation(2));
   }
-  table.Hear(Life(1), TimePoint(seconds(13)));
-  CHECK(Believed(table) == Incarnation(1));
-  table.Hear(Life(2), TimePoint(seconds(13)));
-  CHECK(Believed(table) == Incarnation(2));
+  table.Record(NodeWithIncarnation(1), TimePoint(seconds(13)));
+  CHECK(RecordedIncarnation(table) == Incarnation(1));
+  table.Record(NodeWithIncarnation(2), TimePoint(seconds(13)));
+  CHECK(RecordedIncarnation(table) == Incarnation(2));
 }
 
 }  // namespace
