--- a/source/cluster/replica_manager.cc
+++ b/source/cluster/replica_manager.cc
@@ -39,10 +39,10 @@
 void ReplicaManager::Tick() {
   timer_.Arm(kTick, [this] { Tick(); });
   const bool leads = cluster_.IsLeader();
-  if (leads && !led_) leader_since_ = environment_.Now();
-  led_ = leads;
+  if (leads && !was_leader_) leader_since_ = environment_.Now();
+  was_leader_ = leads;
   for (RaftGroup* group : groups_.Groups()) {
-    if (!group->IsLeader() || busy_.contains(group->id())) continue;
+    if (!group->IsLeader() || changing_.contains(group->id())) continue;
     if (group->id() == kClusterGroup) {
       ManageClusterGroup(*group);
     } else {
@@ -53,12 +53,12 @@
 
 void ReplicaManager::ManageClusterGroup(RaftGroup& group) {
   const auto members = group.Members();
-  if (PromoteWhereShort(group, members)) return;
+  if (PromoteIfShort(group, members)) return;
   if (RemoveLost(group, members)) return;
   if (RemoveRetired(group, members)) return;
   ReportEmptied(members);
   if (RemoveSurplus(group, members)) return;
-  if (AddStranger(group, members)) return;
+  if (AddNonMember(group, members)) return;
   PromoteToSpread(group, members);
 }
 
@@ -73,14 +73,14 @@
   return zones;
 }
 
-std::vector<GroupMember> ReplicaManager::SoundVoters(
+std::vector<GroupMember> ReplicaManager::HealthyVoters(
     const std::vector<GroupMember>& members) const {
-  std::vector<GroupMember> sound;
+  std::vector<GroupMember> healthy;
   for (const GroupMember& member : members) {
     const bool stays = !IsLost(member) && !IsRetired(member.node);
-    if (member.voter && stays) sound.push_back(member);
+    if (member.voter && stays) healthy.push_back(member);
   }
-  return sound;
+  return healthy;
 }
 
 bool ReplicaManager::IsLost(const GroupMember& member) const {
@@ -96,8 +96,8 @@
   return now - leader_since_ > replace_after_;
 }
 
-bool ReplicaManager::PromoteWhereShort(RaftGroup& group, const std::vector<GroupMember>& members) {
-  if (SoundVoters(members).size() >= target_voters_) return false;
+bool ReplicaManager::PromoteIfShort(RaftGroup& group, const std::vector<GroupMember>& members) {
+  if (HealthyVoters(members).size() >= target_voters_) return false;
   const auto learner = BestLearner(members);
   if (!learner) return false;
   Promote(group, *learner);
@@ -115,13 +115,13 @@
     if (liveness->latest.record.state != MemberState::kLive) continue;
     learners.push_back(member);
   }
-  const auto best = LeastCrowded(ZonesOf(learners), ZonesOf(SoundVoters(members)));
+  const auto best = LeastCrowded(ZonesOf(learners), ZonesOf(HealthyVoters(members)));
   if (!best) return std::nullopt;
   return learners[*best];
 }
 
 bool ReplicaManager::PromoteToSpread(RaftGroup& group, const std::vector<GroupMember>& members) {
-  const std::vector<GroupMember> voters = SoundVoters(members);
+  const std::vector<GroupMember> voters = HealthyVoters(members);
   // Only a group that is whole is rearranged.
   if (voters.size() != target_voters_ || CountVoters(members) != target_voters_) return false;
   const auto learner = BestLearner(members);
@@ -131,7 +131,7 @@
 }
 
 bool ReplicaManager::RemoveSurplus(RaftGroup& group, const std::vector<GroupMember>& members) {
-  const std::vector<GroupMember> voters = SoundVoters(members);
+  const std::vector<GroupMember> voters = HealthyVoters(members);
   if (voters.size() <= target_voters_) return false;
   const auto surplus = PickSurplus(ZonesOf(voters), IndexOf(voters, self_));
   if (!surplus) return false;
@@ -175,8 +175,9 @@
       return true;
     }
     const GroupId id = group.id();
-    busy_.insert(id);
-    group.TransferLeadership(alive_.Guard([this, id](const absl::Status&) { busy_.erase(id); }));
+    changing_.insert(id);
+    group.TransferLeadership(
+        alive_.Guard([this, id](const absl::Status&) { changing_.erase(id); }));
     return true;
   }
   return false;
@@ -197,9 +198,9 @@
   }
 }
 
-bool ReplicaManager::AddStranger(RaftGroup& group, const std::vector<GroupMember>& members) {
+bool ReplicaManager::AddNonMember(RaftGroup& group, const std::vector<GroupMember>& members) {
   const TimePoint since = environment_.Now() - node_lease_;
-  std::vector<GroupMember> strangers;
+  std::vector<GroupMember> candidates;
   for (const auto& [node, liveness] : nodes_.nodes()) {
     const ForwardedNode& latest = liveness.latest;
     if (liveness.last_seen < since || latest.replica == ReplicaId() || !latest.record.control)
@@ -209,11 +210,11 @@
     // One that relays does without a replica. Any other is of a build that can't, or has a replica
     // that it would go on to use though it is no member.
     if (latest.relays && !NeedsLearner(latest.record.zone, members)) continue;
-    strangers.push_back({latest.replica, node, latest.record.address, false});
+    candidates.push_back({latest.replica, node, latest.record.address, false});
   }
-  const auto best = LeastCrowded(ZonesOf(strangers), ZonesOf(members));
+  const auto best = LeastCrowded(ZonesOf(candidates), ZonesOf(members));
   if (!best) return false;
-  Add(group, strangers[*best]);
+  Add(group, candidates[*best]);
   return true;
 }
 
@@ -249,17 +250,17 @@
 
 void ReplicaManager::Add(RaftGroup& group, GroupMember member) {
   const GroupId id = group.id();
-  busy_.insert(id);
+  changing_.insert(id);
   LogEvent(EventId::kReplicaJoined, "group={} node={} replica={}", id, member.node, member.replica);
   group.AddLearner(std::move(member),
-                   alive_.Guard([this, id](const absl::Status&) { busy_.erase(id); }));
+                   alive_.Guard([this, id](const absl::Status&) { changing_.erase(id); }));
 }
 
 void ReplicaManager::Promote(RaftGroup& group, const GroupMember& member) {
   const GroupId id = group.id();
-  busy_.insert(id);
+  changing_.insert(id);
   group.Promote(member.replica, alive_.Guard([this, id, member](const absl::Status& status) {
-    busy_.erase(id);
+    changing_.erase(id);
     if (!status.ok()) return;
     LogEvent(EventId::kReplicaPromoted, "group={} node={} replica={}", id, member.node,
              member.replica);
@@ -268,11 +269,11 @@
 
 void ReplicaManager::Remove(RaftGroup& group, const GroupMember& member) {
   const GroupId id = group.id();
-  busy_.insert(id);
+  changing_.insert(id);
   LogEvent(EventId::kReplicaRemoved, "group={} node={} replica={}", id, member.node,
            member.replica);
   group.RemoveMember(member.replica,
-                     alive_.Guard([this, id](const absl::Status&) { busy_.erase(id); }));
+                     alive_.Guard([this, id](const absl::Status&) { changing_.erase(id); }));
 }
 
 }  // namespace millstair
--- a/source/cluster/replica_manager.h
+++ b/source/cluster/replica_manager.h
@@ -1,4 +1,4 @@
-/// Keeps every group at its full number of voters. On the leader of a group: strangers with a disk
+/// Keeps every group at its full number of voters. On the leader of a group: candidates with a disk
 /// join as learners, warm learners take the place of lost and retired voters, whose replicas are
 /// removed then. Voters of the cluster group are spread over zones: a learner takes the place of a
 /// voter in a crowded one, which stays as a learner's node. The members of stream groups follow
@@ -30,17 +30,17 @@
   void ManageClusterGroup(RaftGroup& group);
   void ManageStreamGroup(RaftGroup& group);
   /// Whether a step was taken.
-  bool AddStranger(RaftGroup& group, const std::vector<GroupMember>& members);
+  bool AddNonMember(RaftGroup& group, const std::vector<GroupMember>& members);
   /// Whether a control node of `zone` that does without a replica is to get one.
   bool NeedsLearner(const Zone& zone, const std::vector<GroupMember>& members) const;
-  bool PromoteWhereShort(RaftGroup& group, const std::vector<GroupMember>& members);
+  bool PromoteIfShort(RaftGroup& group, const std::vector<GroupMember>& members);
   /// A learner in a zone with fewer voters becomes one: a voter of the most crowded zone goes next.
   bool PromoteToSpread(RaftGroup& group, const std::vector<GroupMember>& members);
-  /// The live learner in the zone with the fewest sound voters.
+  /// The live learner in the zone with the fewest healthy voters.
   std::optional<GroupMember> BestLearner(const std::vector<GroupMember>& members) const;
-  /// Removes one sound voter if there are too many.
+  /// Removes one healthy voter if there are too many.
   bool RemoveSurplus(RaftGroup& group, const std::vector<GroupMember>& members);
-  std::vector<GroupMember> SoundVoters(const std::vector<GroupMember>& members) const;
+  std::vector<GroupMember> HealthyVoters(const std::vector<GroupMember>& members) const;
   /// As its latest heartbeat says; empty if it was not heard of.
   Zone ZoneOf(const NodeId& node) const;
   std::vector<Zone> ZonesOf(const std::vector<GroupMember>& members) const;
@@ -68,9 +68,9 @@
   const NodeId self_;
   /// Since when this node leads the cluster group; a new leader has not heard everyone yet.
   TimePoint leader_since_;
-  bool led_ = false;
+  bool was_leader_ = false;
   /// Groups with a membership change under way.
-  std::set<GroupId> busy_;
+  std::set<GroupId> changing_;
   bool reporting_emptied_ = false;
   ScopedTimer timer_;
   AliveFlag alive_;
