--- a/source/cluster/stream_host.cc
+++ b/source/cluster/stream_host.cc
@@ -62,24 +62,24 @@
   if (groups_ == nullptr || factory_ == nullptr || update_timer_.armed()) return;
   // Later, because this is called while a group applies an entry.
   update_timer_.Arm(Duration(0), [this] {
-    OpenFounded();
-    FoundMissing();
+    OpenBootstrapped();
+    BootstrapMissing();
     DropDeleted();
-    TellLeaders();
+    NotifyLeaders();
   });
 }
 
-void StreamHost::OpenFounded() {
+void StreamHost::OpenBootstrapped() {
   if (cluster_.state() == nullptr) return;
   for (const auto& [stream, found] : cluster_.state()->founded_groups()) {
     const GroupId group = GroupOfStream(found);
     if (groups_->Find(group) != nullptr) continue;
     const ReplicaId own = groups_->identity().replica;
-    const bool founder =
+    const bool initial_member =
         std::any_of(found.founders.begin(), found.founders.end(),
                     [own](const GroupMember& member) { return member.replica == own; });
     // Others get the group from its leader, once they are members.
-    if (!founder) continue;
+    if (!initial_member) continue;
     const auto opened = groups_->OpenGroup(group, found.founders);
     if (opened.ok()) {
       LogEvent(EventId::kStreamGroupOpened, "group={}", group);
@@ -90,18 +90,18 @@
   }
 }
 
-void StreamHost::FoundMissing() {
-  if (!cluster_.IsLeader() || founding_) return;
+void StreamHost::BootstrapMissing() {
+  if (!cluster_.IsLeader() || bootstrapping_) return;
   for (const auto& [key, resource] : cluster_.configuration().resources) {
     const StreamName stream(key.name);
     if (key.kind != ResourceKind::kStream) continue;
     if (cluster_.state()->founded_groups().contains(stream)) continue;
     FoundGroup found{stream, Revision(), cluster_.group()->Members()};
     std::erase_if(found.founders, [](const GroupMember& member) { return !member.voter; });
-    founding_ = true;
+    bootstrapping_ = true;
     cluster_.Propose({std::move(found), std::nullopt, {}},
                      alive_.Guard([this](const absl::StatusOr<ClusterResult>& result) {
-                       founding_ = false;
+                       bootstrapping_ = false;
                        if (result.ok()) Update();
                      }));
     return;
@@ -128,10 +128,10 @@
   for (const RaftGroup* group : groups_->Groups()) {
     const GroupId id = group->id();
     if (!StreamOfGroupId(id) || IsCurrent(id)) continue;
-    if (!dropping_.insert(id).second) continue;
+    if (!confirming_deletion_.insert(id).second) continue;
     // A replica that is still catching up may not know the stream yet, so the absence is confirmed.
     cluster_.ConfirmRead(alive_.Guard([this, id](const absl::Status& status) {
-      dropping_.erase(id);
+      confirming_deletion_.erase(id);
       if (status.ok()) DropIfStillDeleted(id);
     }));
   }
@@ -153,7 +153,7 @@
   return leader.get();
 }
 
-void StreamHost::TellLeaders() {
+void StreamHost::NotifyLeaders() {
   for (RaftGroup* group : groups_->Groups()) {
     StreamLeader* leader = LeaderOf(*group);
     if (leader != nullptr) leader->OnChange(cluster_.configuration());
--- a/source/cluster/stream_host.h
+++ b/source/cluster/stream_host.h
@@ -43,13 +43,13 @@
 
  private:
   void Tick();
-  void OpenFounded();
-  void FoundMissing();
+  void OpenBootstrapped();
+  void BootstrapMissing();
   void DropDeleted();
   void DropIfStillDeleted(const GroupId& group);
   /// Whether `group` is that of a stream as it is now.
   bool IsCurrent(const GroupId& group) const;
-  void TellLeaders();
+  void NotifyLeaders();
   StreamLeader* LeaderOf(RaftGroup& group);
 
   PeerTransport& transport_;
@@ -58,8 +58,8 @@
   const NodeId self_;
   GroupHost* groups_ = nullptr;
   std::map<GroupId, std::unique_ptr<StreamLeader>> leaders_;
-  bool founding_ = false;
-  std::set<GroupId> dropping_;
+  bool bootstrapping_ = false;
+  std::set<GroupId> confirming_deletion_;
   ScopedTimer timer_;
   ScopedTimer update_timer_;
   AliveFlag alive_;
