--- a/source/cluster/cluster_relay.cc
+++ b/source/cluster/cluster_relay.cc
@@ -17,7 +17,7 @@
   client_ =
       MakeRelayedConfigurationClient(environment_, transport_, options_.self, replica,
                                      options_.control_nodes, options_.timing, options_.faults);
-  client_->OnChange([this](const ConfigurationDelta& changes) { Note(changes); });
+  client_->OnChange([this](const ConfigurationDelta& changes) { OnChanges(changes); });
   client_->Start();
 }
 
@@ -27,7 +27,7 @@
   nodes_changed_at_ = Revision();
 }
 
-void ClusterRelay::Note(const ConfigurationDelta& changes) {
+void ClusterRelay::OnChanges(const ConfigurationDelta& changes) {
   const Revision revision = configuration().revision;
   if (changes.full) {
     history_.Reset(revision);
--- a/source/cluster/cluster_relay.h
+++ b/source/cluster/cluster_relay.h
@@ -45,7 +45,7 @@
   void Receive(const NodeId& from, const PeerMessage& message);
 
  private:
-  void Note(const ConfigurationDelta& changes);
+  void OnChanges(const ConfigurationDelta& changes);
 
   Environment& environment_;
   PeerTransport& transport_;
--- a/source/cluster/cluster_submitter.cc
+++ b/source/cluster/cluster_submitter.cc
@@ -8,23 +8,23 @@
 constexpr Duration kSubmitTimeout = std::chrono::seconds(10);
 /// A caller that may turn to another node waits this long at one that knows of no leader: as long
 /// as an election usually lasts once it has begun. Such callers give a node up after a second.
-constexpr Duration kLeaderlessPatience = std::chrono::milliseconds(300);
+constexpr Duration kNoLeaderTimeout = std::chrono::milliseconds(300);
 
 }  // namespace
 
-void ClusterSubmitter::Submit(CommandMode mode, const std::string& command, Duration patience,
-                              EncodedCallback done) {
+void ClusterSubmitter::Submit(CommandMode mode, const std::string& command,
+                              Duration no_leader_timeout, EncodedCallback done) {
   if (!cluster_.IsLeader()) {
-    const Duration timeout = cluster_.Leader() ? kSubmitTimeout : patience;
+    const Duration timeout = cluster_.Leader() ? kSubmitTimeout : no_leader_timeout;
     return others_->Submit(kClusterGroup, mode, command, timeout, std::move(done));
   }
   commands_.Run(kClusterGroup, mode, command,
-                alive_.Guard([this, mode, command, patience,
+                alive_.Guard([this, mode, command, no_leader_timeout,
                               done = std::move(done)](const absl::StatusOr<std::string>& result) {
-                  const bool try_again = absl::IsUnavailable(result.status()) ||
-                                         absl::IsDeadlineExceeded(result.status());
-                  if (!try_again) return done(result);
-                  others_->Submit(kClusterGroup, mode, command, patience, done);
+                  const bool retry = absl::IsUnavailable(result.status()) ||
+                                     absl::IsDeadlineExceeded(result.status());
+                  if (!retry) return done(result);
+                  others_->Submit(kClusterGroup, mode, command, no_leader_timeout, done);
                 }));
 }
 
@@ -33,12 +33,12 @@
 }
 
 void ClusterSubmitter::ChangeRepeatable(ClusterOperation operation, ResultCallback done) {
-  SubmitCommand({std::move(operation), std::nullopt, {}}, kLeaderlessPatience, std::move(done));
+  SubmitCommand({std::move(operation), std::nullopt, {}}, kNoLeaderTimeout, std::move(done));
 }
 
-void ClusterSubmitter::SubmitCommand(ClusterCommand command, Duration patience,
+void ClusterSubmitter::SubmitCommand(ClusterCommand command, Duration no_leader_timeout,
                                      ResultCallback done) {
-  Submit(CommandMode::kPropose, EncodeCommand(command), patience,
+  Submit(CommandMode::kPropose, EncodeCommand(command), no_leader_timeout,
          [done = std::move(done)](const absl::StatusOr<std::string>& result) {
            if (!result.ok()) return done(result.status());
            done(DecodeResult(*result));
--- a/source/cluster/cluster_submitter.h
+++ b/source/cluster/cluster_submitter.h
@@ -45,10 +45,10 @@
     ResultCallback done;
   };
 
-  /// Where no leader is known, the command is given up after `patience`.
-  void Submit(CommandMode mode, const std::string& command, Duration patience,
+  /// Where no leader is known, the command is given up after `no_leader_timeout`.
+  void Submit(CommandMode mode, const std::string& command, Duration no_leader_timeout,
               EncodedCallback done);
-  void SubmitCommand(ClusterCommand command, Duration patience, ResultCallback done);
+  void SubmitCommand(ClusterCommand command, Duration no_leader_timeout, ResultCallback done);
   void OpenOwnSession();
 
   ClusterReplica& cluster_;
--- a/source/cluster/group_client.cc
+++ b/source/cluster/group_client.cc
@@ -15,16 +15,16 @@
 /// only not know of its end yet: an election takes 0.6 to 1.2 s, and each full wait for the one
 /// that is gone comes on top. The command is under way to it all the same, should it have been
 /// lost.
-constexpr Duration kNamedAgainTimeout = std::chrono::milliseconds(250);
+constexpr Duration kNamedAgainReplyTimeout = std::chrono::milliseconds(250);
 /// Pause after a node answered that it can't serve the command now.
 constexpr Duration kRetryPauseMin = std::chrono::milliseconds(30);
 constexpr Duration kRetryPauseMax = std::chrono::milliseconds(150);
 /// A node that did not answer a read or has no replica is asked again after this long: about the
 /// time in which a replica that restarted or was added has caught up.
-constexpr Duration kUselessFor = std::chrono::seconds(3);
+constexpr Duration kUnresponsivePenalty = std::chrono::seconds(3);
 /// A replica that knows of no leader is asked again after this long, unless all others are of no
 /// use either: an election takes about that.
-constexpr Duration kLeaderlessFor = std::chrono::milliseconds(150);
+constexpr Duration kNoLeaderPenalty = std::chrono::milliseconds(150);
 
 }  // namespace
 
@@ -34,7 +34,7 @@
       transport_(transport),
       group_(std::move(group)),
       candidates_(std::move(candidates)),
-      kind_(target) {}
+      target_kind_(target) {}
 
 void GroupClient::Submit(CommandMode mode, std::string command, Duration timeout, Callback done) {
   const uint64_t id = NewId();
@@ -58,13 +58,14 @@
   if (reply->status == absl::StatusCode::kOk) {
     target_ = from;
     Finish(reply->id, std::move(reply->result));
-  } else if (kind_ == GroupTarget::kNearest &&
+  } else if (target_kind_ == GroupTarget::kNearest &&
              reply->status == absl::StatusCode::kFailedPrecondition) {
-    PassOver(from, kUselessFor);
-    if (from == found->second->sent_to) ReadElsewhere(*found->second);
-  } else if (kind_ == GroupTarget::kNearest && reply->status == absl::StatusCode::kUnavailable) {
-    PassOver(from, kLeaderlessFor);
-    if (from == found->second->sent_to) ReadElsewhere(*found->second);
+    Deprioritize(from, kUnresponsivePenalty);
+    if (from == found->second->sent_to) RetryRead(*found->second);
+  } else if (target_kind_ == GroupTarget::kNearest &&
+             reply->status == absl::StatusCode::kUnavailable) {
+    Deprioritize(from, kNoLeaderPenalty);
+    if (from == found->second->sent_to) RetryRead(*found->second);
   } else if (reply->status == absl::StatusCode::kUnavailable) {
     // An answer to an earlier try does not disturb the one under way.
     if (from == found->second->sent_to) Retry(*found->second, reply->leader);
@@ -81,37 +82,38 @@
   return id;
 }
 
-Duration GroupClient::PassedOverFor(const NodeId& node) const {
-  const auto found = passed_over_.find(node);
-  if (found == passed_over_.end()) return Duration(0);
+Duration GroupClient::DeprioritizedFor(const NodeId& node) const {
+  const auto found = deprioritized_until_.find(node);
+  if (found == deprioritized_until_.end()) return Duration(0);
   return std::max(found->second - environment_.Now(), Duration(0));
 }
 
-void GroupClient::PassOver(const NodeId& node, Duration time) {
+void GroupClient::Deprioritize(const NodeId& node, Duration time) {
   const TimePoint now = environment_.Now();
-  std::erase_if(passed_over_, [now](const auto& entry) { return now >= entry.second; });
-  passed_over_[node] = now + time;
+  std::erase_if(deprioritized_until_, [now](const auto& entry) { return now >= entry.second; });
+  deprioritized_until_[node] = now + time;
 }
 
-void GroupClient::ReadElsewhere(Pending& pending) {
+void GroupClient::RetryRead(Pending& pending) {
   const std::vector<NodeId> candidates = candidates_();
-  const bool useful = !candidates.empty() && PassedOverFor(Target(candidates)) == Duration(0);
-  if (useful) return Send(pending, kReplyTimeout);
-  SendSoon(pending);
+  const bool available = !candidates.empty() && DeprioritizedFor(Target(candidates)) == Duration(0);
+  if (available) return Send(pending, kReplyTimeout);
+  SendAfterPause(pending);
 }
 
 NodeId GroupClient::Target(const std::vector<NodeId>& candidates) const {
   const bool known = std::find(candidates.begin(), candidates.end(), target_) != candidates.end();
-  if (kind_ == GroupTarget::kLeader && known && PassedOverFor(target_) == Duration(0)) {
+  if (target_kind_ == GroupTarget::kLeader && known && DeprioritizedFor(target_) == Duration(0)) {
     return target_;
   }
   // The first that is of use; if none is, the one that is to be asked again the soonest.
-  return *std::min_element(
-      candidates.begin(), candidates.end(),
-      [this](const NodeId& a, const NodeId& b) { return PassedOverFor(a) < PassedOverFor(b); });
+  return *std::min_element(candidates.begin(), candidates.end(),
+                           [this](const NodeId& a, const NodeId& b) {
+                             return DeprioritizedFor(a) < DeprioritizedFor(b);
+                           });
 }
 
-void GroupClient::Send(Pending& pending, Duration patience) {
+void GroupClient::Send(Pending& pending, Duration timeout) {
   const uint64_t id = pending.message.id;
   const std::vector<NodeId> candidates = candidates_();
   pending.sent_to = candidates.empty() ? NodeId() : Target(candidates);
@@ -119,33 +121,34 @@
     pending.message.timeout = pending.deadline - environment_.Now();
     transport_.Send(pending.sent_to, {MessageKind::kCommand, EncodeGroupCommand(pending.message)});
   }
-  const Duration wait =
-      candidates.empty() ? kRetryPauseMax
-                         : DrawDuration(environment_.Random(), patience, patience + patience / 4);
+  const Duration wait = candidates.empty()
+                            ? kRetryPauseMax
+                            : DrawDuration(environment_.Random(), timeout, timeout + timeout / 4);
   pending.retry_timer.Arm(wait, [this, id] {
     const auto found = pending_.find(id);
     if (found == pending_.end()) return;
-    if (!found->second->sent_to.value().empty()) PassOver(found->second->sent_to, kUselessFor);
+    if (!found->second->sent_to.value().empty())
+      Deprioritize(found->second->sent_to, kUnresponsivePenalty);
     Send(*found->second, kReplyTimeout);
   });
 }
 
 void GroupClient::Retry(Pending& pending, const NodeId& leader) {
   const std::vector<NodeId> candidates = candidates_();
-  const bool told = leader != pending.sent_to &&
-                    std::find(candidates.begin(), candidates.end(), leader) != candidates.end();
-  if (told) {
-    const bool was_silent = PassedOverFor(leader) > kLeaderlessFor;
+  const bool named = leader != pending.sent_to &&
+                     std::find(candidates.begin(), candidates.end(), leader) != candidates.end();
+  if (named) {
+    const bool was_unresponsive = DeprioritizedFor(leader) > kNoLeaderPenalty;
     // Its word is newer than a silence of the past.
-    passed_over_.erase(leader);
+    deprioritized_until_.erase(leader);
     target_ = leader;
-    return Send(pending, was_silent ? kNamedAgainTimeout : kReplyTimeout);
+    return Send(pending, was_unresponsive ? kNamedAgainReplyTimeout : kReplyTimeout);
   }
-  PassOver(pending.sent_to, kLeaderlessFor);
-  SendSoon(pending);
+  Deprioritize(pending.sent_to, kNoLeaderPenalty);
+  SendAfterPause(pending);
 }
 
-void GroupClient::SendSoon(Pending& pending) {
+void GroupClient::SendAfterPause(Pending& pending) {
   const Duration pause = DrawDuration(environment_.Random(), kRetryPauseMin, kRetryPauseMax);
   pending.retry_timer.Arm(pause, [this, id = pending.message.id] {
     const auto found = pending_.find(id);
@@ -161,11 +164,11 @@
   pending->done(std::move(result));
 }
 
-void SubmitOperation(GroupClient& cluster, ClusterOperation operation, Duration patience,
+void SubmitOperation(GroupClient& cluster, ClusterOperation operation, Duration timeout,
                      std::function<void(absl::StatusOr<ClusterResult>)> done) {
   // The leader that proposes it sets the time.
   const ClusterCommand command{std::move(operation), std::nullopt, {}};
-  cluster.Submit(CommandMode::kPropose, EncodeCommand(command), patience,
+  cluster.Submit(CommandMode::kPropose, EncodeCommand(command), timeout,
                  [done = std::move(done)](const absl::StatusOr<std::string>& answer) {
                    if (!answer.ok()) return done(answer.status());
                    done(DecodeResult(*answer));
--- a/source/cluster/group_client.h
+++ b/source/cluster/group_client.h
@@ -54,36 +54,36 @@
   };
 
   uint64_t NewId();
-  /// Asks elsewhere if there is no answer within `patience`, drawn up to a quarter longer.
-  void Send(Pending& pending, Duration patience);
+  /// Asks elsewhere if there is no answer within `timeout`, drawn up to a quarter longer.
+  void Send(Pending& pending, Duration timeout);
   /// The node asked can't serve the command; `leader` is who leads by its word, if not empty.
   void Retry(Pending& pending, const NodeId& leader);
   /// Sends after a pause.
-  void SendSoon(Pending& pending);
+  void SendAfterPause(Pending& pending);
   void Finish(uint64_t id, absl::StatusOr<std::string> result);
   NodeId Target(const std::vector<NodeId>& candidates) const;
   /// For how long `node` is not to be asked; 0 if it may be of use.
-  Duration PassedOverFor(const NodeId& node) const;
-  void PassOver(const NodeId& node, Duration time);
+  Duration DeprioritizedFor(const NodeId& node) const;
+  void Deprioritize(const NodeId& node, Duration time);
   /// The replica asked can't serve the read: another one is asked, at once if one may be of use.
-  void ReadElsewhere(Pending& pending);
+  void RetryRead(Pending& pending);
 
   Environment& environment_;
   PeerTransport& transport_;
   const GroupId group_;
   const Candidates candidates_;
-  const GroupTarget kind_;
+  const GroupTarget target_kind_;
   /// For kLeader: the node that answered last, or that another one named as the leader.
   NodeId target_;
   /// Nodes that did not answer, have no replica or know no leader, and until when others are asked
   /// in their place.
-  std::map<NodeId, TimePoint> passed_over_;
+  std::map<NodeId, TimePoint> deprioritized_until_;
   std::map<uint64_t, std::unique_ptr<Pending>> pending_;
 };
 
 /// Has an operation of the cluster group committed, through its client. `done` hears its result;
 /// DeadlineExceeded means that the outcome is unknown.
-void SubmitOperation(GroupClient& cluster, ClusterOperation operation, Duration patience,
+void SubmitOperation(GroupClient& cluster, ClusterOperation operation, Duration timeout,
                      std::function<void(absl::StatusOr<ClusterResult>)> done);
 
 }  // namespace millstair
--- a/source/cluster/replica_routes.cc
+++ b/source/cluster/replica_routes.cc
@@ -8,7 +8,7 @@
 namespace millstair {
 namespace {
 
-constexpr Duration kComeBackAfter = std::chrono::seconds(1);
+constexpr Duration kRetryAfter = std::chrono::seconds(1);
 
 absl::StatusOr<GroupMember> ParseMember(const std::string& body) {
   boost::json::error_code error;
@@ -37,7 +37,7 @@
     if (status.ok()) return RespondJson(*writer, fmt::format("{{\"revision\":{}}}", revision));
     if (absl::IsFailedPrecondition(status)) {
       return RespondProblem(*writer, {409, "not possible now", std::string(status.message()),
-                                      Outcome::kNotRun, kComeBackAfter});
+                                      Outcome::kNotRun, kRetryAfter});
     }
     RespondUnavailable(*writer, status, Outcome::kUnknown);
   };
@@ -50,7 +50,7 @@
   const auto leader = cluster_.Leader();
   const std::string name = leader ? leader->value() : "not known";
   RespondProblem(*writer, {503, "not the leader", fmt::format("the leader is {}", name),
-                           Outcome::kNotRun, kComeBackAfter});
+                           Outcome::kNotRun, kRetryAfter});
   return false;
 }
 
