--- a/source/duties/duty_protocol.h
+++ b/source/duties/usage_report_protocol.h
@@ -1,4 +1,4 @@
-/// What the holder of a duty says to the platform. Implemented by the interface in use.
+/// What the holder of a task says to the platform. Implemented by the interface in use.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 namespace millstair {
 
-/// Who holds a duty, and the number that rises when the holder changes.
-struct DutyHolder {
+/// Who holds a task, and the number that rises when the holder changes.
+struct TaskLeaseHolder {
   std::string machine;
   uint64_t fence = 0;
 };
@@ -21,7 +21,7 @@
   TenantCounts counts;
 };
 
-enum class DutyAnswer : uint8_t {
+enum class UsageReportAnswer : uint8_t {
   kTaken,
   kBusy,     ///< too many calls now
   kRefused,  ///< the platform takes no such call; it was not carried out
@@ -29,16 +29,16 @@
 };
 
 /// "taken", "busy" and so on, for logs.
-std::string_view DutyAnswerName(DutyAnswer answer);
+std::string_view UsageReportAnswerName(UsageReportAnswer answer);
 
 /// Stateless; used on any thread.
-class DutyProtocol {
+class UsageReportProtocol {
  public:
-  virtual ~DutyProtocol() = default;
+  virtual ~UsageReportProtocol() = default;
   virtual HttpRequest MakeUsageCall(const UsageStatement& statement,
-                                    const DutyHolder& holder) const = 0;
+                                    const TaskLeaseHolder& holder) const = 0;
   /// `status` 0 is no answer.
-  virtual DutyAnswer ReadAnswer(int status) const = 0;
+  virtual UsageReportAnswer ReadAnswer(int status) const = 0;
 };
 
 }  // namespace millstair
--- a/source/duties/usage_duty.cc
+++ b/source/duties/usage_report_task.cc
@@ -1,4 +1,4 @@
-#include "duties/usage_duty.h"
+#include "duties/usage_report_task.h"
 
 #include <utility>
 
@@ -13,9 +13,9 @@
 /// From the end of a window until its sum is fixed. A request is counted once it is answered (1.5 s
 /// at the most where time limits are usual), reported within half a second, and committed by
 /// another leader after an election at the latest.
-constexpr Duration kLateReports = std::chrono::milliseconds(3500);
+constexpr Duration kLateReportPeriod = std::chrono::milliseconds(3500);
 /// A call without an answer for this long is given up. A slow platform still answers within it.
-constexpr Duration kAnswerLimit = std::chrono::seconds(2);
+constexpr Duration kCallTimeout = std::chrono::seconds(2);
 /// Before a call that was not taken is repeated: a window is due seconds after its end, and the
 /// platform takes a few tens of calls a second from all nodes.
 constexpr Duration kRetryPause = std::chrono::milliseconds(500);
@@ -24,10 +24,10 @@
 /// All windows are one subject: calls of two holders may not alternate.
 constexpr char kSubject[] = "usage";
 
-/// The control node's side of the duty.
-class ControlUsageHost : public UsageDutyHost {
+/// The control node's side of the task.
+class ControlNodeUsageReportHost : public UsageReportHost {
  public:
-  explicit ControlUsageHost(ControlNode& control) : control_(control) {}
+  explicit ControlNodeUsageReportHost(ControlNode& control) : control_(control) {}
 
   std::optional<Term> LeadingTerm() const override {
     if (!control_.IsClusterLeader()) return std::nullopt;
@@ -50,42 +50,44 @@
   ControlNode& control_;
 };
 
-/// The duty on a control node.
-class ControlUsageDuty : public LeaderTask {
+/// The task on a control node.
+class ControlNodeUsageReportTask : public LeaderTask {
  public:
-  ControlUsageDuty(Environment& environment, HttpCaller& http, const DutyProtocol& protocol,
-                   ControlNode& control, UsageDutyOptions options)
-      : host_(control), duty_(environment, http, protocol, host_, std::move(options)) {
+  ControlNodeUsageReportTask(Environment& environment, HttpCaller& http,
+                             const UsageReportProtocol& protocol, ControlNode& control,
+                             UsageReportOptions options)
+      : host_(control), task_(environment, http, protocol, host_, std::move(options)) {
     control.OnLeaseAnnounced(
-        [this](const HolderAnnouncement& announcement) { duty_.NoteAnnouncement(announcement); });
+        [this](const HolderAnnouncement& announcement) { task_.NoteAnnouncement(announcement); });
   }
 
-  void Run(const Configuration&) override { duty_.Run(); }
+  void Run(const Configuration&) override { task_.Run(); }
   void Observe(const NodeId&, const EngineObservation&) override {}
 
  private:
-  ControlUsageHost host_;
-  UsageDuty duty_;
+  ControlNodeUsageReportHost host_;
+  UsageReportTask task_;
 };
 
 }  // namespace
 
-std::string_view DutyAnswerName(DutyAnswer answer) {
+std::string_view UsageReportAnswerName(UsageReportAnswer answer) {
   switch (answer) {
-    case DutyAnswer::kTaken:
+    case UsageReportAnswer::kTaken:
       return "taken";
-    case DutyAnswer::kBusy:
+    case UsageReportAnswer::kBusy:
       return "busy";
-    case DutyAnswer::kRefused:
+    case UsageReportAnswer::kRefused:
       return "refused";
-    case DutyAnswer::kUnknown:
+    case UsageReportAnswer::kUnknown:
       break;
   }
   return "unknown";
 }
 
-UsageDuty::UsageDuty(Environment& environment, HttpCaller& http, const DutyProtocol& protocol,
-                     UsageDutyHost& host, UsageDutyOptions options)
+UsageReportTask::UsageReportTask(Environment& environment, HttpCaller& http,
+                                 const UsageReportProtocol& protocol, UsageReportHost& host,
+                                 UsageReportOptions options)
     : environment_(environment),
       http_(http),
       protocol_(protocol),
@@ -94,15 +96,15 @@
       leases_(environment, options_.self, options_.holder_lease + kLeaseMargin),
       tick_timer_(environment) {}
 
-void UsageDuty::NoteAnnouncement(const HolderAnnouncement& announcement) {
+void UsageReportTask::NoteAnnouncement(const HolderAnnouncement& announcement) {
   if (announcement.subject == kSubject) leases_.NoteAnnouncement(announcement);
 }
 
-void UsageDuty::Run() {
+void UsageReportTask::Run() {
   if (!tick_timer_.armed()) Tick();
 }
 
-void UsageDuty::Tick() {
+void UsageReportTask::Tick() {
   const auto term = host_.LeadingTerm();
   if (!term) return BeginTerm(Term());
   if (*term != term_) BeginTerm(*term);
@@ -112,7 +114,7 @@
   SendOldest();
 }
 
-void UsageDuty::BeginTerm(Term term) {
+void UsageReportTask::BeginTerm(Term term) {
   term_ = term;
   call_.reset();
   closing_ = false;
@@ -122,7 +124,7 @@
   if (term != Term()) CatchUp();
 }
 
-void UsageDuty::CatchUp() {
+void UsageReportTask::CatchUp() {
   host_.CatchUp(alive_.Guard([this, term = term_](bool caught_up) {
     if (term != term_) return;
     caught_up_ = caught_up;
@@ -133,11 +135,11 @@
   }));
 }
 
-void UsageDuty::CloseWindows() {
+void UsageReportTask::CloseWindows() {
   const auto now = host_.AgreedTime();
   const auto first_open = host_.ledger().FirstOpen();
   if (!now || closing_ || !first_open) return;
-  const Duration since_epoch = Duration(now->time_since_epoch()) - kLateReports;
+  const Duration since_epoch = Duration(now->time_since_epoch()) - kLateReportPeriod;
   const auto begun = static_cast<uint64_t>(since_epoch / options_.window);
   const UsageWindow through(begun - 1);
   if (through < *first_open) return;
@@ -151,24 +153,24 @@
   }));
 }
 
-void UsageDuty::SendOldest() {
+void UsageReportTask::SendOldest() {
   if (sending_ || environment_.Now() < next_call_at_ || !leases_.MayAct(kSubject, term_)) return;
   const auto window = host_.ledger().OldestUnreported();
   if (window) Announce(*window);
 }
 
-void UsageDuty::Announce(UsageWindow window) {
+void UsageReportTask::Announce(UsageWindow window) {
   sending_ = true;
   const TimePoint now = environment_.Now();
   const AnnounceDuty announce{{options_.self, kSubject, term_, now.time_since_epoch()}};
   host_.Propose(announce, alive_.Guard([this, window, now, term = term_](bool committed) {
     if (term != term_) return;
-    if (!committed) return Rest(kRetryPause);
+    if (!committed) return FinishCall(kRetryPause);
     Send(window, now);
   }));
 }
 
-void UsageDuty::Send(UsageWindow window, TimePoint announced_at) {
+void UsageReportTask::Send(UsageWindow window, TimePoint announced_at) {
   // By now every earlier announcement is applied here.
   const TimePoint now = environment_.Now();
   const bool in_time = leases_.MayStillAct(kSubject, term_, announced_at);
@@ -176,44 +178,44 @@
   if (!in_time || host_.LeadingTerm() != term_ || counts == host_.ledger().windows().end()) {
     LogEvent(EventId::kDutyWithheld, "subject={} window={} term={} announced_ms={}", kSubject,
              window, term_, (now - announced_at).count() / 1000);
-    return Rest(kRetryPause);
+    return FinishCall(kRetryPause);
   }
   const UsageStatement statement{window, counts->second};
   LogEvent(EventId::kUsageSent, "window={} tenants={} fence={}", window, statement.counts.size(),
            term_);
   call_ = std::make_unique<BoundedCall>(
-      environment_, kAnswerLimit,
+      environment_, kCallTimeout,
       alive_.Guard([this, window, term = term_](int status, const std::string&) {
-        if (term == term_) TakeAnswer(window, protocol_.ReadAnswer(status));
+        if (term == term_) HandleAnswer(window, protocol_.ReadAnswer(status));
       }));
   call_->Start(http_, options_.platform,
                protocol_.MakeUsageCall(statement, {options_.machine, term_.value()}));
 }
 
-void UsageDuty::TakeAnswer(UsageWindow window, DutyAnswer answer) {
+void UsageReportTask::HandleAnswer(UsageWindow window, UsageReportAnswer answer) {
   call_.reset();
-  LogEvent(EventId::kUsageAnswered, "window={} answer={} fence={}", window, DutyAnswerName(answer),
-           term_);
-  if (answer == DutyAnswer::kRefused) return Rest(kRefusedPause);
-  if (answer != DutyAnswer::kTaken) return Rest(kRetryPause);
+  LogEvent(EventId::kUsageAnswered, "window={} answer={} fence={}", window,
+           UsageReportAnswerName(answer), term_);
+  if (answer == UsageReportAnswer::kRefused) return FinishCall(kRefusedPause);
+  if (answer != UsageReportAnswer::kTaken) return FinishCall(kRetryPause);
   host_.Propose(AcceptUsage{window}, alive_.Guard([this, term = term_](bool committed) {
     if (term != term_) return;
     // Unknown: it is sent again, which the platform takes for a repeat.
-    Rest(committed ? Duration(0) : kRetryPause);
+    FinishCall(committed ? Duration(0) : kRetryPause);
     SendOldest();
   }));
 }
 
-void UsageDuty::Rest(Duration pause) {
+void UsageReportTask::FinishCall(Duration pause) {
   sending_ = false;
   next_call_at_ = environment_.Now() + pause;
 }
 
-std::unique_ptr<LeaderTask> MakeUsageDuty(Environment& environment, HttpCaller& http,
-                                          const DutyProtocol& protocol, ControlNode& control,
-                                          UsageDutyOptions options) {
-  return std::make_unique<ControlUsageDuty>(environment, http, protocol, control,
-                                            std::move(options));
+std::unique_ptr<LeaderTask> MakeUsageReportTask(Environment& environment, HttpCaller& http,
+                                                const UsageReportProtocol& protocol,
+                                                ControlNode& control, UsageReportOptions options) {
+  return std::make_unique<ControlNodeUsageReportTask>(environment, http, protocol, control,
+                                                      std::move(options));
 }
 
 }  // namespace millstair
--- a/source/duties/usage_duty.h
+++ b/source/duties/usage_report_task.h
@@ -1,7 +1,7 @@
 /// Sends the platform the sum of each window of usage, once the window is over and the gateways'
 /// late reports are in.
 ///
-/// The leader of the cluster group holds the duty, with its term as the fence. It has the sum of a
+/// The leader of the cluster group holds the task, with its term as the fence. It has the sum of a
 /// window committed before the window is first sent, so that whoever sends it again sends the same.
 /// Before each call it commits an announcement; it makes the call soon after or not at all, and a
 /// new leader makes none until the lease of the last announcement of another node is over.
@@ -17,15 +17,15 @@
 #include "common/alive_flag.h"
 #include "common/environment.h"
 #include "common/scoped_timer.h"
-#include "duties/duty_protocol.h"
+#include "duties/usage_report_protocol.h"
 #include "http/bounded_call.h"
 
 namespace millstair {
 
-/// What the duty needs of the control node on which it runs; outlives it.
-class UsageDutyHost {
+/// What the task needs of the control node on which it runs; outlives it.
+class UsageReportHost {
  public:
-  virtual ~UsageDutyHost() = default;
+  virtual ~UsageReportHost() = default;
   /// Term in which this node leads the cluster group; none while it does not lead.
   virtual std::optional<Term> LeadingTerm() const = 0;
   virtual const UsageLedger& ledger() const = 0;
@@ -36,7 +36,7 @@
   virtual void Propose(ClusterOperation operation, std::function<void(bool)> done) = 0;
 };
 
-struct UsageDutyOptions {
+struct UsageReportOptions {
   NodeId self;
   /// Name of this node's machine.
   std::string machine;
@@ -49,12 +49,12 @@
 };
 
 /// Lives on the node's serial executor.
-class UsageDuty {
+class UsageReportTask {
  public:
-  UsageDuty(Environment& environment, HttpCaller& http, const DutyProtocol& protocol,
-            UsageDutyHost& host, UsageDutyOptions options);
+  UsageReportTask(Environment& environment, HttpCaller& http, const UsageReportProtocol& protocol,
+                  UsageReportHost& host, UsageReportOptions options);
 
-  /// An announcement of any duty was applied here, in the order of the log.
+  /// An announcement of any task was applied here, in the order of the log.
   void NoteAnnouncement(const HolderAnnouncement& announcement);
   /// Called about once a second while the node leads, and when it begins to.
   void Run();
@@ -68,15 +68,15 @@
   void SendOldest();
   void Announce(UsageWindow window);
   void Send(UsageWindow window, TimePoint announced_at);
-  void TakeAnswer(UsageWindow window, DutyAnswer answer);
+  void HandleAnswer(UsageWindow window, UsageReportAnswer answer);
   /// Nothing is under way any more; the next call is made after `pause`.
-  void Rest(Duration pause);
+  void FinishCall(Duration pause);
 
   Environment& environment_;
   HttpCaller& http_;
-  const DutyProtocol& protocol_;
-  UsageDutyHost& host_;
-  const UsageDutyOptions options_;
+  const UsageReportProtocol& protocol_;
+  UsageReportHost& host_;
+  const UsageReportOptions options_;
   HolderLeases leases_;
   Term term_;
   /// Everything that earlier leaders committed is applied here, their announcements among it.
@@ -91,9 +91,9 @@
   AliveFlag alive_;
 };
 
-/// The duty on `control`, which outlives it.
-std::unique_ptr<LeaderTask> MakeUsageDuty(Environment& environment, HttpCaller& http,
-                                          const DutyProtocol& protocol, ControlNode& control,
-                                          UsageDutyOptions options);
+/// The task on `control`, which outlives it.
+std::unique_ptr<LeaderTask> MakeUsageReportTask(Environment& environment, HttpCaller& http,
+                                                const UsageReportProtocol& protocol,
+                                                ControlNode& control, UsageReportOptions options);
 
 }  // namespace millstair
--- a/source/server/node_options.cc
+++ b/source/server/node_options.cc
@@ -105,8 +105,8 @@
           nullptr, settings.timing.usage_window, ColdBoundOf(settings)};
 }
 
-UsageDutyOptions UsageOptionsOf(const ServerSettings& settings) {
-  UsageDutyOptions options;
+UsageReportOptions UsageOptionsOf(const ServerSettings& settings) {
+  UsageReportOptions options;
   options.self = NodeId(settings.node);
   options.machine = settings.machine;
   options.platform = settings.metering_platform;
--- a/source/server/node_options.h
+++ b/source/server/node_options.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "cluster/control_node.h"
-#include "duties/usage_duty.h"
+#include "duties/usage_report_task.h"
 #include "gateway/gateway_node.h"
 #include "http/beast_http_caller.h"
 #include "http/http_server.h"
@@ -18,7 +18,7 @@
 ControlNodeOptions ControlOptionsOf(const ServerSettings& settings, const NodeRecord& self);
 GatewayNodeOptions GatewayOptionsOf(const ServerSettings& settings, const NodeRecord& self);
 IngressNodeOptions IngressOptionsOf(const ServerSettings& settings, const NodeRecord& self);
-UsageDutyOptions UsageOptionsOf(const ServerSettings& settings);
+UsageReportOptions UsageOptionsOf(const ServerSettings& settings);
 StorageNodeOptions StorageOptionsOf(const ServerSettings& settings, const NodeRecord& self);
 JobGroupFounderOptions JobFounderOptionsOf(const ServerSettings& settings);
 PeerTransportOptions TransportOptionsOf(const ServerSettings& settings, Incarnation incarnation);
--- a/source/server/server_node.cc
+++ b/source/server/server_node.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "common/event_log.h"
-#include "duties/usage_duty.h"
+#include "duties/usage_report_task.h"
 #include "jobs/job_group_founder.h"
 #include "platform/platform.h"
 #include "rollout/stream_factory.h"
@@ -113,8 +113,8 @@
   const bool meters =
       !settings_.metering_platform.empty() && settings_.timing.usage_window > Duration(0);
   if (ServesPlatform() && meters) {
-    control_->AddLeaderTask(MakeUsageDuty(*environment_, *back_ends_, platform::Duties(), *control_,
-                                          UsageOptionsOf(settings_)));
+    control_->AddLeaderTask(MakeUsageReportTask(*environment_, *back_ends_, platform::Duties(),
+                                                *control_, UsageOptionsOf(settings_)));
   }
   const absl::Status started = control_->Start();
   if (started.ok()) return {};
--- a/test/duties/usage_duty_history_test.cc
+++ b/test/duties/usage_report_history_test.cc
@@ -1,6 +1,6 @@
-/// Histories of the holders of the duty of usage: leaders that change, that do not know yet that
+/// Histories of the holders of the task of usage: leaders that change, that do not know yet that
 /// they were deposed, commits and calls that take long or get lost. What the platform sees must not
-/// depend on who holds the duty.
+/// depend on who holds the task.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -8,7 +8,7 @@
 
 #include "common/random.h"
 #include "common/virtual_environment.h"
-#include "duties/usage_duty.h"
+#include "duties/usage_report_task.h"
 
 namespace millstair {
 namespace {
@@ -30,10 +30,10 @@
   std::string counts;
 };
 
-class TextProtocol : public DutyProtocol {
+class TextProtocol : public UsageReportProtocol {
  public:
   HttpRequest MakeUsageCall(const UsageStatement& statement,
-                            const DutyHolder& holder) const override {
+                            const TaskLeaseHolder& holder) const override {
     std::string counts;
     for (const auto& [tenant, requests] : statement.counts) {
       counts += tenant.value() + "=" + std::to_string(requests) + ";";
@@ -43,8 +43,8 @@
             {{"holder", holder.machine}, {"fence", std::to_string(holder.fence)}},
             counts};
   }
-  DutyAnswer ReadAnswer(int status) const override {
-    return status == 200 ? DutyAnswer::kTaken : DutyAnswer::kUnknown;
+  UsageReportAnswer ReadAnswer(int status) const override {
+    return status == 200 ? UsageReportAnswer::kTaken : UsageReportAnswer::kUnknown;
   }
 };
 
@@ -93,12 +93,12 @@
 /// applies it in order, some time later.
 class Log;
 
-class Replica : public UsageDutyHost {
+class Replica : public UsageReportHost {
  public:
   Replica(VirtualScheduler& scheduler, LossyPlatform& platform, Log& log, const std::string& name,
           uint64_t seed)
       : environment(scheduler, seed),
-        duty(environment, platform, protocol, *this, {NodeId(name), name, "p:1", kWindow, kLease}),
+        task(environment, platform, protocol, *this, {NodeId(name), name, "p:1", kWindow, kLease}),
         log_(log) {}
 
   std::optional<Term> LeadingTerm() const override { return believes; }
@@ -114,7 +114,7 @@
     if (const auto* close = std::get_if<CloseUsage>(&operation)) state.Close(close->through);
     if (const auto* accept = std::get_if<AcceptUsage>(&operation)) state.Accept(accept->window);
     if (const auto* announce = std::get_if<AnnounceDuty>(&operation)) {
-      duty.NoteAnnouncement(announce->announcement);
+      task.NoteAnnouncement(announce->announcement);
     }
   }
 
@@ -124,7 +124,7 @@
   /// The term in which it believes to lead.
   std::optional<Term> believes;
   size_t applied = 0;
-  UsageDuty duty;
+  UsageReportTask task;
 
  private:
   Log& log_;
@@ -172,7 +172,7 @@
       });
     }
     leader.believes = newest_term;
-    leader.duty.Run();
+    leader.task.Run();
   }
   void CatchUp(Replica& replica, size_t through) {
     while (replica.applied < through) replica.Apply(entries_[replica.applied++]);
--- a/test/duties/usage_duty_test.cc
+++ b/test/duties/usage_report_task_test.cc
@@ -1,5 +1,5 @@
-/// The duty of usage against a scripted platform and a replicated ledger, in virtual time.
-#include "duties/usage_duty.h"
+/// The task of usage against a scripted platform and a replicated ledger, in virtual time.
+#include "duties/usage_report_task.h"
 
 #include <catch2/catch.hpp>
 
@@ -17,10 +17,10 @@
 constexpr char kPlatform[] = "p:1";
 
 /// "window:holder:fence:a=n" in the body.
-class PlainProtocol : public DutyProtocol {
+class PlainProtocol : public UsageReportProtocol {
  public:
   HttpRequest MakeUsageCall(const UsageStatement& statement,
-                            const DutyHolder& holder) const override {
+                            const TaskLeaseHolder& holder) const override {
     std::string counts;
     for (const auto& [tenant, requests] : statement.counts) {
       counts += ":" + tenant.value() + "=" + std::to_string(requests);
@@ -31,10 +31,10 @@
             std::to_string(statement.window.value()) + ":" + holder.machine + ":" +
                 std::to_string(holder.fence) + counts};
   }
-  DutyAnswer ReadAnswer(int status) const override {
-    if (status == 200) return DutyAnswer::kTaken;
-    if (status == 429) return DutyAnswer::kBusy;
-    return status == 400 ? DutyAnswer::kRefused : DutyAnswer::kUnknown;
+  UsageReportAnswer ReadAnswer(int status) const override {
+    if (status == 200) return UsageReportAnswer::kTaken;
+    if (status == 429) return UsageReportAnswer::kBusy;
+    return status == 400 ? UsageReportAnswer::kRefused : UsageReportAnswer::kUnknown;
   }
 };
 
@@ -49,7 +49,7 @@
     if (const auto* accept = std::get_if<AcceptUsage>(&operation)) ledger.Accept(accept->window);
     const auto* announce = std::get_if<AnnounceDuty>(&operation);
     if (announce == nullptr) return;
-    for (UsageDuty* duty : duties) duty->NoteAnnouncement(announce->announcement);
+    for (UsageReportTask* task : tasks) task->NoteAnnouncement(announce->announcement);
   }
   void CatchUp(std::function<void(bool)> done) {
     scheduler_.Schedule(milliseconds(3), [this, done] { done(quorum); });
@@ -63,7 +63,7 @@
   }
 
   UsageLedger ledger;
-  std::vector<UsageDuty*> duties;
+  std::vector<UsageReportTask*> tasks;
   Duration commit_time = milliseconds(3);
   bool quorum = true;
 
@@ -72,14 +72,14 @@
 };
 
 /// A control node of the group.
-class Node : public UsageDutyHost {
+class Node : public UsageReportHost {
  public:
   Node(VirtualScheduler& scheduler, FakeBackends& platform, Group& group, const std::string& name)
       : environment(scheduler, 7),
-        duty(environment, platform, protocol, *this,
+        task(environment, platform, protocol, *this,
              {NodeId(name), name, kPlatform, kWindow, seconds(3)}),
         group_(group) {
-    group.duties.push_back(&duty);
+    group.tasks.push_back(&task);
   }
 
   std::optional<Term> LeadingTerm() const override { return term; }
@@ -94,14 +94,14 @@
   }
   void Lead(uint64_t in_term) {
     term = Term(in_term);
-    duty.Run();
+    task.Run();
   }
 
   VirtualEnvironment environment;
   PlainProtocol protocol;
   std::optional<Term> term;
   bool knows_time = true;
-  UsageDuty duty;
+  UsageReportTask task;
 
  private:
   Group& group_;
--- a/test/platform/duty_wire_test.cc
+++ b/test/platform/duty_wire_test.cc
@@ -20,13 +20,13 @@
 
 TEST_CASE("Only a 2xx says that a call was taken, and only a refusal that it was not") {
   const DutyWire wire;
-  CHECK(wire.ReadAnswer(200) == DutyAnswer::kTaken);
-  CHECK(wire.ReadAnswer(202) == DutyAnswer::kTaken);
-  CHECK(wire.ReadAnswer(429) == DutyAnswer::kBusy);
-  CHECK(wire.ReadAnswer(409) == DutyAnswer::kRefused);
-  CHECK(wire.ReadAnswer(408) == DutyAnswer::kUnknown);
-  CHECK(wire.ReadAnswer(503) == DutyAnswer::kUnknown);
-  CHECK(wire.ReadAnswer(0) == DutyAnswer::kUnknown);
+  CHECK(wire.ReadAnswer(200) == UsageReportAnswer::kTaken);
+  CHECK(wire.ReadAnswer(202) == UsageReportAnswer::kTaken);
+  CHECK(wire.ReadAnswer(429) == UsageReportAnswer::kBusy);
+  CHECK(wire.ReadAnswer(409) == UsageReportAnswer::kRefused);
+  CHECK(wire.ReadAnswer(408) == UsageReportAnswer::kUnknown);
+  CHECK(wire.ReadAnswer(503) == UsageReportAnswer::kUnknown);
+  CHECK(wire.ReadAnswer(0) == UsageReportAnswer::kUnknown);
 }
 
 }  // namespace
