--- a/test/cluster/cluster_fleet.cc
+++ b/test/cluster/cluster_fleet.cc
@@ -15,7 +15,7 @@
 constexpr Duration kFirstStart = std::chrono::hours(24);
 
 const std::string kCluster = "fleet";
-constexpr int kFounders = 3;
+constexpr int kInitialMembers = 3;
 
 std::string ZoneOf(const std::string& name) {
   return fmt::format("z{}", (std::stoi(name.substr(1)) - 1) % 3 + 1);
@@ -44,7 +44,7 @@
 class RecordingLeader : public StreamLeader {
  public:
   explicit RecordingLeader(StreamRecord& record) : record_(record) {}
-  void ReceiveWork(const NodeId&, const PeerMessage&) override { ++record_.works; }
+  void ReceiveWork(const NodeId&, const PeerMessage&) override { ++record_.work_requests; }
   void Query(const std::string& query,
              std::function<void(absl::StatusOr<std::string>)> done) override {
     ++record_.queries;
@@ -96,29 +96,29 @@
   return std::make_unique<CallHandle>();
 }
 
-/// Sends as one life of a process.
+/// Sends as one incarnation of a process.
 class FleetTransport : public PeerTransport {
  public:
-  FleetTransport(ClusterFleet& fleet, std::string self, uint64_t life)
-      : fleet_(fleet), self_(std::move(self)), life_(life) {}
+  FleetTransport(ClusterFleet& fleet, std::string self, uint64_t incarnation)
+      : fleet_(fleet), self_(std::move(self)), incarnation_(incarnation) {}
 
   void Send(const NodeId& to, PeerMessage message) override {
     auto& random = fleet_.scheduler_.Random();
     if (DrawChance(random, fleet_.options_.loss)) return;
     const Duration delay =
         DrawDuration(random, std::chrono::microseconds(300), std::chrono::microseconds(1500));
-    fleet_.scheduler_.Schedule(
-        delay, [&fleet = fleet_, self = self_, life = life_, to, message = std::move(message)] {
-          if (fleet.lives_[self] != life) return;
-          fleet.Deliver(NodeId(self), to, message);
-        });
+    fleet_.scheduler_.Schedule(delay, [&fleet = fleet_, self = self_, incarnation = incarnation_,
+                                       to, message = std::move(message)] {
+      if (fleet.incarnation_counts_[self] != incarnation) return;
+      fleet.Deliver(NodeId(self), to, message);
+    });
   }
   void SetAddress(const NodeId&, const std::string&) override {}
 
  private:
   ClusterFleet& fleet_;
   const std::string self_;
-  const uint64_t life_;
+  const uint64_t incarnation_;
 };
 
 ClusterFleet::ClusterFleet(FleetOptions options) : options_(options), scheduler_(options.seed) {
@@ -127,11 +127,11 @@
   for (int i = 1; i <= options.control_nodes; ++i) {
     const std::string name = fmt::format("c{}", i);
     disks_[name] = std::make_unique<MemoryFileSystem>(*disk_environment_, options.seed * 31 + i);
-    if (i <= kFounders) {
+    if (i <= kInitialMembers) {
       REQUIRE(InitializeFounder(*disks_[name], kCluster, NodeId(name), AddressOf(name)).ok());
     }
   }
-  const int started = options.by_seeds ? options.control_nodes : kFounders;
+  const int started = options.know_initial_members_only ? options.control_nodes : kInitialMembers;
   for (int i = 1; i <= started; ++i) Start(fmt::format("c{}", i));
   for (int i = 1; i <= options.gateways; ++i) Start(fmt::format("g{}", i));
 }
@@ -143,7 +143,7 @@
 std::vector<ControlEndpoint> ClusterFleet::Endpoints() const {
   std::vector<ControlEndpoint> endpoints;
   for (const auto& [name, disk] : disks_) {
-    if (options_.by_seeds && std::stoi(name.substr(1)) > kFounders) continue;
+    if (options_.know_initial_members_only && std::stoi(name.substr(1)) > kInitialMembers) continue;
     endpoints.push_back({NodeId(name), AddressOf(name), Zone(ZoneOf(name))});
   }
   return endpoints;
@@ -163,11 +163,11 @@
   options.membership_timing = options_.membership;
   options.consensus_limits.snapshot_after_entries = options_.snapshot_after_entries;
   options.platform_list = "127.0.0.100:80";
-  options.faults = FaultsOf(self.node.value());
+  options.faults = FaultsFor(self.node.value());
   return options;
 }
 
-ClusterFaults ClusterFleet::FaultsOf(const std::string& name) const {
+ClusterFaults ClusterFleet::FaultsFor(const std::string& name) const {
   ClusterFaults faults = options_.faults;
   const auto first = first_builds_.find(name);
   if (first != first_builds_.end()) faults.no_feature_level = first->second;
@@ -181,11 +181,11 @@
 }
 
 void ClusterFleet::Start(const std::string& name) {
-  const uint64_t life = ++lives_[name];
+  const uint64_t incarnation = ++incarnation_counts_[name];
   FleetProcess& process = processes_[name];
   process.environment = std::make_unique<VirtualEnvironment>(
-      scheduler_, options_.seed * 1000 + std::hash<std::string>()(name) % 997 + life);
-  process.transport = std::make_unique<FleetTransport>(*this, name, life);
+      scheduler_, options_.seed * 1000 + std::hash<std::string>()(name) % 997 + incarnation);
+  process.transport = std::make_unique<FleetTransport>(*this, name, incarnation);
   process.platform = std::make_unique<ListCaller>(machine_list);
   NodeRecord self;
   self.node = NodeId(name);
@@ -203,12 +203,12 @@
     return;
   }
   process.configuration = MakeConfigurationClient(*process.environment, *process.transport, self,
-                                                  Endpoints(), {}, FaultsOf(name));
+                                                  Endpoints(), {}, FaultsFor(name));
   process.commands = MakeControlClient(*process.environment, *process.transport, self.node,
                                        Endpoints(), self.zone);
   process.configuration->OnChange([this, &process](const ConfigurationDelta&) {
     const Revision revision = process.configuration->configuration().revision;
-    if (revision < process.newest_seen) went_back = true;
+    if (revision < process.newest_seen) revision_decreased = true;
     process.newest_seen = revision;
   });
   process.configuration->Start();
@@ -217,19 +217,19 @@
 void ClusterFleet::Crash(const std::string& name) {
   FleetProcess& process = processes_.at(name);
   process.environment->Kill();
-  ++lives_[name];
+  ++incarnation_counts_[name];
   if (process.control) disks_.at(name)->Crash();
   processes_.erase(name);
 }
 
-bool ClusterFleet::Open(const std::string& from, const std::string& to) const {
+bool ClusterFleet::IsReachable(const std::string& from, const std::string& to) const {
   if (from == to) return true;
-  return !isolated_.contains(from) && !isolated_.contains(to) && !cuts_.contains({from, to});
+  return !isolated_.contains(from) && !isolated_.contains(to) && !cut_links_.contains({from, to});
 }
 
 void ClusterFleet::Deliver(const NodeId& from, const NodeId& to, const PeerMessage& message) {
   const auto found = processes_.find(to.value());
-  if (found == processes_.end() || !Open(from.value(), to.value())) return;
+  if (found == processes_.end() || !IsReachable(from.value(), to.value())) return;
   FleetProcess& process = found->second;
   const bool with_gateway = from.value()[0] == 'g' || to.value()[0] == 'g';
   if (with_gateway) gateway_bytes_ += message.payload.size();
@@ -268,9 +268,9 @@
   return answer;
 }
 
-RecordedAnswer ClusterFleet::Ask(const std::string& node, const std::string& method,
-                                 const std::string& target, const std::string& body,
-                                 HttpHeaders headers) {
+RecordedAnswer ClusterFleet::RequestAndWait(const std::string& node, const std::string& method,
+                                            const std::string& target, const std::string& body,
+                                            HttpHeaders headers) {
   const auto answer = Request(node, method, target, body, std::move(headers));
   REQUIRE(RunUntil([answer] { return answer->finished; }, std::chrono::seconds(60)));
   return *answer;
@@ -279,7 +279,7 @@
 Revision ClusterFleet::PutMachine(const std::string& name, bool drain) {
   const Resource machine = MakeResource(name, MachineSpec{Zone("z1"), "10.0.0.1", drain});
   const RecordedAnswer answer =
-      Ask(AwaitLeader(), "PUT", "/v1/resources/Machine/" + name, ToJson(machine));
+      RequestAndWait(AwaitLeader(), "PUT", "/v1/resources/Machine/" + name, ToJson(machine));
   REQUIRE(answer.status == 200);
   return Revision(answer.revision);
 }
--- a/test/cluster/cluster_fleet.h
+++ b/test/cluster/cluster_fleet.h
@@ -37,7 +37,7 @@
 
 /// What the leaders of streams on one control node were asked.
 struct StreamRecord {
-  int works = 0;
+  int work_requests = 0;
   int changes = 0;
   int queries = 0;
 };
@@ -63,7 +63,7 @@
   uint64_t snapshot_after_entries = 2000;
   /// All nodes start in the same moment and are told of the three founders alone; else the founders
   /// start, and each node is told of all control nodes.
-  bool by_seeds = false;
+  bool know_initial_members_only = false;
 };
 
 /// One process.
@@ -96,7 +96,7 @@
 
   void Isolate(const std::string& name) { isolated_.insert(name); }
   void Heal(const std::string& name) { isolated_.erase(name); }
-  void Cut(const std::string& a, const std::string& b) { cuts_.insert({a, b}); }
+  void CutLink(const std::string& a, const std::string& b) { cut_links_.insert({a, b}); }
 
   void RunFor(Duration span) { scheduler_.RunFor(span); }
   bool RunUntil(const std::function<bool()>& condition, Duration span) {
@@ -112,8 +112,9 @@
                                           const std::string& target, const std::string& body = "",
                                           HttpHeaders headers = {});
   /// The same, waiting for the answer.
-  RecordedAnswer Ask(const std::string& node, const std::string& method, const std::string& target,
-                     const std::string& body = "", HttpHeaders headers = {});
+  RecordedAnswer RequestAndWait(const std::string& node, const std::string& method,
+                                const std::string& target, const std::string& body = "",
+                                HttpHeaders headers = {});
   /// Puts a machine resource through any control node that runs; its revision.
   Revision PutMachine(const std::string& name, bool drain = false);
 
@@ -137,7 +138,7 @@
 
   std::string machine_list = "{\"machines\":[]}";
   /// True once a node's configuration went back to a smaller revision.
-  bool went_back = false;
+  bool revision_decreased = false;
 
  private:
   friend class FleetTransport;
@@ -145,17 +146,17 @@
   void Deliver(const NodeId& from, const NodeId& to, const PeerMessage& message);
   /// As the product numbers lives: the time of day at the start, in microseconds.
   Incarnation NewIncarnation(const std::string& name);
-  bool Open(const std::string& from, const std::string& to) const;
+  bool IsReachable(const std::string& from, const std::string& to) const;
   std::vector<ControlEndpoint> Endpoints() const;
   ControlNodeOptions ControlOptions(const NodeRecord& self) const;
-  ClusterFaults FaultsOf(const std::string& name) const;
+  ClusterFaults FaultsFor(const std::string& name) const;
 
   FleetOptions options_;
   VirtualScheduler scheduler_;
   std::map<std::string, FleetProcess> processes_;
   std::map<std::string, std::unique_ptr<MemoryFileSystem>> disks_;
   std::unique_ptr<VirtualEnvironment> disk_environment_;
-  std::map<std::string, uint64_t> lives_;
+  std::map<std::string, uint64_t> incarnation_counts_;
   std::map<std::string, Duration> clocks_;
   std::map<std::string, bool> first_builds_;
   uint64_t starts_ = 0;
@@ -164,7 +165,7 @@
   std::map<std::string, uint64_t> heartbeats_at_;
   std::map<std::string, uint64_t> bytes_from_;
   std::set<std::string> isolated_;
-  std::set<std::pair<std::string, std::string>> cuts_;
+  std::set<std::pair<std::string, std::string>> cut_links_;
 };
 
 }  // namespace millstair
--- a/test/cluster/control_clients_test.cc
+++ b/test/cluster/control_clients_test.cc
@@ -78,7 +78,7 @@
   return delta;
 }
 
-TEST_CASE("the lease runs from the send time of the answered heartbeat") {
+TEST_CASE("the lease runs from the send time of the confirmed heartbeat") {
   ClientFixture fixture;
   CHECK(fixture.transport.sent.back().to == NodeId("c2"));
   CHECK_FALSE(fixture.client->LeaseValid());
@@ -127,7 +127,7 @@
   CHECK(fixture.client->configuration().revision == Revision(4));
 }
 
-TEST_CASE("a node that is not proven fresh yet asks all its control nodes within half a second") {
+TEST_CASE("a node that is not confirmed yet contacts all its control nodes within half a second") {
   ClientFixture fixture;
   fixture.scheduler.RunFor(milliseconds(500));
   std::map<NodeId, int> heartbeats;
@@ -143,7 +143,7 @@
   CHECK(fixture.transport.sent.size() <= 3);
 }
 
-TEST_CASE("a control node without a replica is left at once for the next") {
+TEST_CASE("after a refusal for lack of a replica the next control node is contacted at once") {
   ClientFixture fixture;
   for (int i = 0; i < 3; ++i) {
     const SentMessage last = fixture.transport.sent.back();
@@ -161,7 +161,7 @@
   CHECK(fixture.transport.sent.size() <= sent + 1);
 }
 
-TEST_CASE("a refusal for want of a quorum hurries nobody, and a proof may follow it") {
+TEST_CASE("a refusal for lack of a quorum starts no search, and a confirmation may follow it") {
   ClientFixture fixture;
   const SentMessage first = fixture.transport.sent.back();
   const uint64_t nonce = DecodeHeartbeat(first.message.payload)->nonce;
@@ -172,7 +172,7 @@
   CHECK(fixture.client->LeaseValid());
 }
 
-TEST_CASE("changes that come too late for their proof are applied without it") {
+TEST_CASE("changes in the reply to an expired heartbeat are applied without a lease") {
   ClientFixture fixture;
   const uint64_t nonce = fixture.LastHeartbeat().nonce;
   fixture.scheduler.RunFor(seconds(6));
@@ -183,10 +183,10 @@
   CHECK_FALSE(fixture.client->LeaseValid());
 }
 
-TEST_CASE("a node is cut off when all control nodes are silent, not when they refuse") {
+TEST_CASE("a node is isolated when all control nodes are unresponsive, not when they refuse") {
   ClientFixture fixture;
-  std::vector<bool> told;
-  fixture.client->OnIsolationChange([&told](bool isolated) { told.push_back(isolated); });
+  std::vector<bool> notified;
+  fixture.client->OnIsolationChange([&notified](bool isolated) { notified.push_back(isolated); });
   fixture.Answer(fixture.LastHeartbeat().nonce, 0);
   for (int i = 0; i < 30; ++i) {
     fixture.Refuse(NodeId("c1"), 1, HeartbeatRefusal::kNoQuorum);
@@ -196,13 +196,13 @@
   CHECK_FALSE(fixture.client->IsIsolated());
   fixture.scheduler.RunFor(seconds(10));
   CHECK(fixture.client->IsIsolated());
-  CHECK(told == std::vector<bool>{true});
+  CHECK(notified == std::vector<bool>{true});
   fixture.Answer(fixture.LastHeartbeat().nonce, 0);
   CHECK_FALSE(fixture.client->IsIsolated());
-  CHECK(told == std::vector<bool>{true, false});
+  CHECK(notified == std::vector<bool>{true, false});
 }
 
-TEST_CASE("an unanswered control node is left for the next, round after round") {
+TEST_CASE("without replies a node contacts all its control nodes in turn") {
   ClientFixture fixture;
   fixture.scheduler.RunFor(seconds(10));
   std::map<NodeId, int> heartbeats;
@@ -210,7 +210,7 @@
   CHECK(heartbeats.size() == 3);
 }
 
-TEST_CASE("a node that found another zone's control node returns to its own zone later") {
+TEST_CASE("a node that uses another zone's control node returns to its own zone later") {
   ClientFixture fixture;
   const TimePoint start = fixture.environment.Now();
   while (fixture.environment.Now() - start < seconds(60)) {
@@ -262,10 +262,10 @@
 }
 
 /// A node that lacks much turns, in a search, to the control node that can prove it. What it had
-/// reported to the silent one may be lost, and was told to the new one only with the next full
+/// reported to the silent one may be lost, and was notified to the new one only with the next full
 /// report, up to five heartbeats later; the two other ways to another control node repeat it at
 /// once.
-TEST_CASE("a node that turns to a control node that is ahead of it repeats its observations") {
+TEST_CASE("a node that switches to a control node ahead of it repeats its observations") {
   ClientFixture fixture;
   fixture.client->Report({EngineName("e"), Incarnation(3), true});
   fixture.scheduler.RunFor(milliseconds(200));
@@ -286,7 +286,7 @@
   CHECK(fixture.LastHeartbeat().observations.size() == 1);
 }
 
-TEST_CASE("observations hasten the next heartbeat and are repeated") {
+TEST_CASE("observations bring the next heartbeat forward and are repeated") {
   ClientFixture fixture;
   fixture.client->Report({EngineName("e"), Incarnation(3), true});
   fixture.scheduler.RunFor(milliseconds(200));
@@ -325,7 +325,7 @@
   std::vector<absl::StatusOr<std::string>> results;
 };
 
-TEST_CASE("an answered command ends once; copies of the answer are ignored") {
+TEST_CASE("a command completes once; duplicates of the reply are ignored") {
   ControlClientFixture fixture;
   fixture.Submit(seconds(5));
   CHECK(fixture.transport.sent.back().to == NodeId("c2"));
@@ -336,18 +336,18 @@
   CHECK(*fixture.results[0] == "done");
 }
 
-TEST_CASE("an unanswered command is repeated elsewhere under its id until its deadline") {
+TEST_CASE("an unanswered command is resent elsewhere with the same id until its deadline") {
   ControlClientFixture fixture;
   fixture.Submit(seconds(6));
   const uint64_t id = fixture.LastCommand().id;
   fixture.scheduler.RunFor(milliseconds(5999));
   CHECK(fixture.results.empty());
-  std::map<NodeId, int> tries;
+  std::map<NodeId, int> attempts;
   for (const SentMessage& sent : fixture.transport.sent) {
-    ++tries[sent.to];
+    ++attempts[sent.to];
     CHECK(DecodeGroupCommand(sent.message.payload)->id == id);
   }
-  CHECK(tries.size() == 3);
+  CHECK(attempts.size() == 3);
   fixture.scheduler.RunFor(milliseconds(1));
   REQUIRE(fixture.results.size() == 1);
   CHECK(absl::IsDeadlineExceeded(fixture.results[0].status()));
@@ -356,7 +356,7 @@
   CHECK(fixture.transport.sent.size() == sent);
 }
 
-TEST_CASE("unavailable is tried again soon, other errors are final") {
+TEST_CASE("an unavailable command is retried soon, other errors are final") {
   ControlClientFixture fixture;
   fixture.Submit(seconds(6));
   fixture.Answer(fixture.LastCommand().id, absl::StatusCode::kUnavailable, "");
--- a/test/cluster/control_node_test.cc
+++ b/test/cluster/control_node_test.cc
@@ -44,7 +44,7 @@
 /// control nodes. 10 changes to 8 gateways in the 5 s after it: 160 pushes when each node
 /// asked pushed as well, 89 now.
 TEST_CASE(
-    "a node is pushed changes by the control node that it uses, and by no other that it asked") {
+    "a node is pushed changes by the control node that it uses, and by no other it contacted") {
   constexpr int kGateways = 8;
   constexpr int kChanges = 10;
   ClusterFleet fleet({.gateways = kGateways});
@@ -60,7 +60,7 @@
     newest = fleet.PutMachine(fmt::format("m{}", i));
     fleet.RunFor(milliseconds(100));
   }
-  // The node that was lost is found gone meanwhile, a change too.
+  // The node that was lost is found elapsed meanwhile, a change too.
   constexpr int kOtherChanges = 2;
   CHECK(fleet.pushes() - before <= (kChanges + kOtherChanges) * kGateways);
   for (int i = 1; i <= kGateways; ++i) CHECK(Holds(fleet, fmt::format("g{}", i), newest));
@@ -84,11 +84,11 @@
     CHECK(client.configuration().resources.size() == 1);
   }
   CHECK(
-      fleet.Ask(fleet.Leader(), "GET", fmt::format("/v1/revisions/{}/lagging", revision)).status ==
-      200);
+      fleet.RequestAndWait(fleet.Leader(), "GET", fmt::format("/v1/revisions/{}/lagging", revision))
+          .status == 200);
 }
 
-TEST_CASE("the lease of a gateway that is cut off lapses and comes back") {
+TEST_CASE("the lease of an isolated gateway expires, and is valid again after it heals") {
   ClusterFleet fleet({});
   fleet.AwaitLeader();
   fleet.RunFor(seconds(5));
@@ -100,15 +100,15 @@
   const Revision revision = fleet.PutMachine("m1");
   fleet.RunFor(seconds(10));
   CHECK_FALSE(Holds(fleet, "g1", revision));
-  const RecordedAnswer lagging =
-      fleet.Ask(fleet.Leader(), "GET", fmt::format("/v1/revisions/{}/lagging", revision));
+  const RecordedAnswer lagging = fleet.RequestAndWait(
+      fleet.Leader(), "GET", fmt::format("/v1/revisions/{}/lagging", revision));
   CHECK(lagging.body == "{\"lagging\":[]}");
   fleet.Heal("g1");
   CHECK(fleet.RunUntil([&] { return client.LeaseValid() && Holds(fleet, "g1", revision); },
                        seconds(5)));
 }
 
-TEST_CASE("a control machine cut off silently gives no lease; its gateways move on") {
+TEST_CASE("an isolated control node gives no lease; its gateways switch to another one") {
   for (const bool broken : {false, true}) {
     ClusterFaults faults;
     faults.heartbeat_unconfirmed = broken;
@@ -117,8 +117,8 @@
     fleet.RunFor(seconds(5));
     // Only the control machines lose sight of c1; g1 of the same zone still reaches it.
     for (const char* other : {"c2", "c3"}) {
-      fleet.Cut("c1", other);
-      fleet.Cut(other, "c1");
+      fleet.CutLink("c1", other);
+      fleet.CutLink(other, "c1");
     }
     REQUIRE(fleet.RunUntil(
         [&] {
@@ -129,8 +129,8 @@
         },
         seconds(20)));
     const std::string leader = fleet.Process("c2").control->IsClusterLeader() ? "c2" : "c3";
-    const RecordedAnswer put =
-        fleet.Ask(leader, "PUT", "/v1/resources/Machine/m1", MachineJson("m1", "10.0.0.1"));
+    const RecordedAnswer put = fleet.RequestAndWait(leader, "PUT", "/v1/resources/Machine/m1",
+                                                    MachineJson("m1", "10.0.0.1"));
     REQUIRE(put.status == 200);
     fleet.RunFor(seconds(10));
     const bool in_force = Holds(fleet, "g1", Revision(put.revision));
@@ -140,23 +140,23 @@
   }
 }
 
-TEST_CASE("a control machine without a leader soon sends on who may ask another one") {
+TEST_CASE("a control node without a leader soon fails commands that can be sent elsewhere") {
   ClusterFleet fleet({});
   fleet.AwaitLeader();
   fleet.RunFor(seconds(5));
   fleet.Isolate("c1");
   fleet.RunFor(seconds(10));
   const NameVersion named{{ModelName("m"), WeightVersion(2)}};
-  std::optional<absl::StatusOr<ClusterResult>> cut_off;
-  fleet.Process("c1").control->Submit(named, [&](auto result) { cut_off = std::move(result); });
+  std::optional<absl::StatusOr<ClusterResult>> isolated;
+  fleet.Process("c1").control->Submit(named, [&](auto result) { isolated = std::move(result); });
   fleet.RunFor(milliseconds(400));
-  REQUIRE(cut_off.has_value());
-  CHECK_FALSE(cut_off->ok());
-  std::optional<absl::StatusOr<ClusterResult>> sound;
-  fleet.Process("c2").control->Submit(named, [&](auto result) { sound = std::move(result); });
+  REQUIRE(isolated.has_value());
+  CHECK_FALSE(isolated->ok());
+  std::optional<absl::StatusOr<ClusterResult>> healthy;
+  fleet.Process("c2").control->Submit(named, [&](auto result) { healthy = std::move(result); });
   fleet.RunFor(milliseconds(400));
-  REQUIRE(sound.has_value());
-  CHECK(sound->ok());
+  REQUIRE(healthy.has_value());
+  CHECK(healthy->ok());
 }
 
 TEST_CASE("a gateway that was down for 500 changes holds them all soon after its start") {
@@ -195,37 +195,37 @@
   INFO(lost.body);
   CHECK(won.status == 200);
   REQUIRE(lost.status == 412);
-  const RecordedAnswer stored = fleet.Ask("c3", "GET", "/v1/resources/Machine/m1");
+  const RecordedAnswer stored = fleet.RequestAndWait("c3", "GET", "/v1/resources/Machine/m1");
   CHECK(lost.body.find("\"conflicting\":[" + stored.body + "]") != std::string::npos);
   CHECK(stored.revision == 0);
   CHECK(FindHeader(stored.headers, "ETag") == fmt::format("\"{}\"", won.revision));
   CHECK(FindHeader(lost.headers, "Millstair-Outcome") == "not-run");
 }
 
-TEST_CASE("a change sent again after the leader died gets its first answer") {
+TEST_CASE("a change resent after the leader died gets its first response") {
   ClusterFleet fleet({});
   const std::string first_leader = fleet.AwaitLeader();
-  const RecordedAnswer opened = fleet.Ask(first_leader, "POST", "/v1/sessions", "{}");
+  const RecordedAnswer opened = fleet.RequestAndWait(first_leader, "POST", "/v1/sessions", "{}");
   REQUIRE(opened.status == 200);
   const std::string session = opened.body.substr(12, opened.body.size() - 14);
   const HttpHeaders headers = {{"Idempotency-Key", session + "/1"}, {"If-None-Match", "*"}};
   const std::string body = MachineJson("m1", "10.0.0.2");
   const RecordedAnswer first =
-      fleet.Ask(first_leader, "PUT", "/v1/resources/Machine/m1", body, headers);
+      fleet.RequestAndWait(first_leader, "PUT", "/v1/resources/Machine/m1", body, headers);
   REQUIRE(first.status == 200);
   fleet.Crash(first_leader);
   const std::string second_leader = fleet.AwaitLeader();
   fleet.PutMachine("m2");
   const RecordedAnswer again =
-      fleet.Ask(second_leader, "PUT", "/v1/resources/Machine/m1", body, headers);
+      fleet.RequestAndWait(second_leader, "PUT", "/v1/resources/Machine/m1", body, headers);
   CHECK(again.status == 200);
   CHECK(again.revision == first.revision);
-  const RecordedAnswer expired = fleet.Ask(second_leader, "PUT", "/v1/resources/Machine/m1", body,
-                                           {{"Idempotency-Key", "nobody/1"}});
+  const RecordedAnswer expired = fleet.RequestAndWait(
+      second_leader, "PUT", "/v1/resources/Machine/m1", body, {{"Idempotency-Key", "nobody/1"}});
   CHECK(expired.status == 410);
 }
 
-TEST_CASE("a silent node is gone, and live again in its next life") {
+TEST_CASE("an unresponsive node is gone, and live again in its next incarnation") {
   ClusterFleet fleet({});
   fleet.AwaitLeader();
   fleet.RunFor(seconds(3));
@@ -262,14 +262,15 @@
   CHECK(fleet.RunUntil([&] { return state() == MemberState::kGone; }, seconds(4)));
 }
 
-TEST_CASE("a back end's own word reaches every gateway") {
+TEST_CASE("a back end's own report reaches every gateway") {
   ClusterFleet fleet({});
   fleet.AwaitLeader();
   fleet.PutMachine("m1");
   const Resource engine =
       MakeResource("e1", EngineSpec{EngineType::kHttp, "m1", "10.0.0.1:80", false});
   for (const char* node : {"c1", "c2", "c3"}) {
-    const RecordedAnswer put = fleet.Ask(node, "PUT", "/v1/resources/Engine/e1", ToJson(engine));
+    const RecordedAnswer put =
+        fleet.RequestAndWait(node, "PUT", "/v1/resources/Engine/e1", ToJson(engine));
     INFO(put.body);
     REQUIRE(put.status == 200);
   }
@@ -283,7 +284,7 @@
   CHECK(fleet.RunUntil([&] { return state() == MemberState::kLive; }, seconds(4)));
 }
 
-TEST_CASE("a warm learner takes a lost voter's place, and then a second machine may be lost") {
+TEST_CASE("a learner replaces a lost voter, and then a second machine may be lost") {
   ClusterFleet fleet({.control_nodes = 4});
   fleet.AwaitLeader();
   fleet.Start("c4");
@@ -312,8 +313,7 @@
                        seconds(8)));
 }
 
-TEST_CASE(
-    "a control node on a machine that is emptied is replaced first, then said to be emptied") {
+TEST_CASE("a control node on a machine being emptied is replaced first, then reported as emptied") {
   ClusterFleet fleet({.control_nodes = 4});
   const std::string leader = fleet.AwaitLeader();
   fleet.RunFor(seconds(3));
@@ -400,7 +400,7 @@
   CHECK(fleet.RunUntil([&] { return claimed == kKeys; }, seconds(20)));
 }
 
-TEST_CASE("revisions never go back under crashes, cuts and loss") {
+TEST_CASE("revisions never go back under crashes, isolation and message loss") {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
     ClusterFleet fleet({.seed = seed, .gateways = 4, .loss = 0.05});
     Revision newest;
@@ -427,11 +427,11 @@
           return true;
         },
         seconds(10)));
-    CHECK_FALSE(fleet.went_back);
+    CHECK_FALSE(fleet.revision_decreased);
   }
 }
 
-TEST_CASE("faulty requests of operators are refused with a reason") {
+TEST_CASE("invalid requests of operators are refused with a reason") {
   ClusterFleet fleet({});
   const std::string leader = fleet.AwaitLeader();
   struct Case {
@@ -459,7 +459,7 @@
   };
   for (const Case& test : cases) {
     const RecordedAnswer answer =
-        fleet.Ask(leader, test.method, test.target, test.body, test.headers);
+        fleet.RequestAndWait(leader, test.method, test.target, test.body, test.headers);
     INFO(test.method << " " << test.target << " " << answer.body);
     CHECK(answer.status == test.status);
     CHECK(FindHeader(answer.headers, "Millstair-Outcome") == "not-run");
@@ -476,16 +476,16 @@
   fleet.RunFor(std::chrono::seconds(1));
   // Every control node knows, also those that don't lead.
   for (const char* node : {"c1", "c2", "c3"}) {
-    const RecordedAnswer listed = fleet.Ask(node, "GET", "/v1/suspects");
+    const RecordedAnswer listed = fleet.RequestAndWait(node, "GET", "/v1/suspects");
     CHECK(listed.status == 200);
     CHECK(
         listed.body.find(R"("request":"r1","place":"a.example/p","standing":"held","crashes":2)") !=
         std::string::npos);
   }
-  CHECK(fleet.Ask("c1", "DELETE", "/v1/suspects/r1").status == 200);
+  CHECK(fleet.RequestAndWait("c1", "DELETE", "/v1/suspects/r1").status == 200);
   fleet.RunFor(std::chrono::seconds(1));
-  CHECK(fleet.Ask("c2", "GET", "/v1/suspects").body == R"({"suspects":[]})");
-  CHECK(fleet.Ask("c3", "DELETE", "/v1/suspects/r1").status == 404);
+  CHECK(fleet.RequestAndWait("c2", "GET", "/v1/suspects").body == R"({"suspects":[]})");
+  CHECK(fleet.RequestAndWait("c3", "DELETE", "/v1/suspects/r1").status == 404);
 }
 
 }  // namespace
--- a/test/cluster/evacuation_test.cc
+++ b/test/cluster/evacuation_test.cc
@@ -55,10 +55,11 @@
     CHECK(answer->status == kOk);
     CHECK(fleet.RunUntil([&] { return EvacuatedEverywhere(fleet, kGateways, "z2"); },
                          milliseconds(100)));
-    CHECK(fleet.Ask(node, "GET", "/v1/evacuations").body.find("z2") != std::string::npos);
-    CHECK(fleet.Ask(node, "GET", "/v1/status").body.find("\"evacuations\":[{") !=
+    CHECK(fleet.RequestAndWait(node, "GET", "/v1/evacuations").body.find("z2") !=
           std::string::npos);
-    CHECK(fleet.Ask(node, "DELETE", "/v1/evacuations/z2").status == kOk);
+    CHECK(fleet.RequestAndWait(node, "GET", "/v1/status").body.find("\"evacuations\":[{") !=
+          std::string::npos);
+    CHECK(fleet.RequestAndWait(node, "DELETE", "/v1/evacuations/z2").status == kOk);
     CHECK(fleet.RunUntil([&] { return !Evacuated(fleet, "g1", "z2"); }, milliseconds(100)));
   }
 }
@@ -68,11 +69,11 @@
   ClusterFleet fleet({});
   fleet.AwaitLeader();
   fleet.RunFor(seconds(5));
-  CHECK(fleet.Ask("c1", "PUT", "/v1/evacuations/z2").status == kOk);
-  const uint64_t revision = fleet.Ask("c2", "PUT", "/v1/evacuations/z2").revision;
-  CHECK(fleet.Ask("c3", "PUT", "/v1/evacuations/z2").revision == revision);
-  CHECK(fleet.Ask("c1", "DELETE", "/v1/evacuations/z1").status == kOk);
-  CHECK(fleet.Ask("c1", "PUT", "/v1/evacuations/nowhere").status == kNotFound);
+  CHECK(fleet.RequestAndWait("c1", "PUT", "/v1/evacuations/z2").status == kOk);
+  const uint64_t revision = fleet.RequestAndWait("c2", "PUT", "/v1/evacuations/z2").revision;
+  CHECK(fleet.RequestAndWait("c3", "PUT", "/v1/evacuations/z2").revision == revision);
+  CHECK(fleet.RequestAndWait("c1", "DELETE", "/v1/evacuations/z1").status == kOk);
+  CHECK(fleet.RequestAndWait("c1", "PUT", "/v1/evacuations/nowhere").status == kNotFound);
   CHECK(Evacuated(fleet, "g1", "z2"));
 }
 
@@ -120,7 +121,7 @@
   fleet.AwaitLeader();
   fleet.RunFor(seconds(10));
   for (const char* node : {"c1", "c2", "c3"}) {
-    const RecordedAnswer answer = fleet.Ask(node, "PUT", "/v1/evacuations/z2");
+    const RecordedAnswer answer = fleet.RequestAndWait(node, "PUT", "/v1/evacuations/z2");
     CHECK(answer.status == kUnavailable);
     CHECK(answer.body.find(earlier) != std::string::npos);
   }
@@ -133,7 +134,7 @@
   fleet.SetFirstBuild(earlier, true);
   fleet.Start(earlier);
   fleet.RunFor(seconds(10));
-  CHECK(fleet.Ask("c1", "PUT", "/v1/evacuations/z1").status == kUnavailable);
+  CHECK(fleet.RequestAndWait("c1", "PUT", "/v1/evacuations/z1").status == kUnavailable);
 }
 
 TEST_CASE("back ends of the own interface leave while their zone is evacuated") {
--- a/test/cluster/freshness_gate_test.cc
+++ b/test/cluster/freshness_gate_test.cc
@@ -43,7 +43,7 @@
   }
 };
 
-TEST_CASE("Work does not wait where the configuration is proven or was asked for in vain") {
+TEST_CASE("Work does not wait if the configuration is confirmed or heartbeats go unanswered") {
   Fixture node;
   node.confirmed = true;
   node.Submit();
@@ -55,7 +55,7 @@
   CHECK(node.extra_heartbeats == 0);
 }
 
-TEST_CASE("Work at a node that has just started waits for its first proof") {
+TEST_CASE("Work at a node that has just started waits for its first confirmation") {
   Fixture node;
   node.Submit();
   node.scheduler.RunFor(milliseconds(30));
@@ -65,7 +65,7 @@
   CHECK(node.completed == 1);
 }
 
-TEST_CASE("Work at a node that wakes waits for a proof, and no longer than an answer takes") {
+TEST_CASE("Work at a node that was paused waits for a confirmation, up to the reply timeout") {
   Fixture node;
   node.scheduler.RunFor(seconds(2));
   node.environment.Suspend();
@@ -80,7 +80,7 @@
   CHECK(node.completed == 2);
 }
 
-TEST_CASE("A node that stands still while its work waits asks again, and waits again") {
+TEST_CASE("A node that is paused while work waits sends a heartbeat again, and waits again") {
   Fixture node;
   node.Submit();
   node.environment.Suspend();
--- a/test/cluster/node_table_test.cc
+++ b/test/cluster/node_table_test.cc
@@ -23,14 +23,16 @@
   return table.nodes().at(NodeId("n")).latest.record.incarnation;
 }
 
-TEST_CASE("A life that began later is believed at once") {
+TEST_CASE("A newer incarnation replaces the recorded one at once") {
   NodeTable table(kTakeoverAfter);
   table.Record(NodeWithIncarnation(1), TimePoint(seconds(10)));
   table.Record(NodeWithIncarnation(2), TimePoint(seconds(10)));
   CHECK(RecordedIncarnation(table) == Incarnation(2));
 }
 
-TEST_CASE("A late message of a former life changes nothing while the present one speaks") {
+TEST_CASE(
+    "A delayed message of an older incarnation is ignored while the recorded one sends "
+    "heartbeats") {
   NodeTable table(kTakeoverAfter);
   TimePoint now(seconds(10));
   for (int i = 0; i < 20; ++i) {
@@ -43,7 +45,7 @@
 }
 
 TEST_CASE(
-    "A life that began earlier is believed once the one held is silent, and gives way again") {
+    "An older incarnation is recorded once the newer one is unresponsive, and is replaced again") {
   NodeTable table(kTakeoverAfter);
   table.Record(NodeWithIncarnation(2), TimePoint(seconds(10)));
   for (int i = 1; i <= 5; ++i) {
--- a/test/cluster/report_batch_test.cc
+++ b/test/cluster/report_batch_test.cc
@@ -48,14 +48,14 @@
 TEST_CASE("servers that register together take few entries, and each is acknowledged in time") {
   constexpr int kControlNodes = 6;
   constexpr int kServers = 2000;
-  ClusterFleet fleet({.control_nodes = kControlNodes, .by_seeds = true});
+  ClusterFleet fleet({.control_nodes = kControlNodes, .know_initial_members_only = true});
   fleet.AwaitLeader();
   fleet.RunFor(seconds(10));
   const uint64_t before = Entries(fleet);
   CHECK(Register(fleet, kControlNodes, kServers) == kServers);
   // An entry each 20 ms; twice for what else is written.
-  constexpr uint64_t kMost = 2 * (kServers * 600 / 20'000);
-  CHECK(Entries(fleet) - before <= kMost);
+  constexpr uint64_t kMaxCopies = 2 * (kServers * 600 / 20'000);
+  CHECK(Entries(fleet) - before <= kMaxCopies);
   for (const char* gateway : {"g1", "g2"}) {
     CHECK(fleet.Process(gateway).configuration->configuration().instances.size() == kServers);
   }
--- a/test/cluster/stream_host_test.cc
+++ b/test/cluster/stream_host_test.cc
@@ -17,7 +17,7 @@
 
 /// What gateways call the group; its replicas add the generation of the stream.
 const GroupId kGroup("stream/s");
-const std::vector<std::string> kFounders = {"c1", "c2", "c3"};
+const std::vector<std::string> kInitialMembers = {"c1", "c2", "c3"};
 
 void PutStream(ClusterFleet& fleet) {
   const std::vector<Resource> resources = {MakeResource("x", ModelSpec{"10.0.0.1:1", 1, 1, 0.5}),
@@ -29,7 +29,7 @@
                          ToJson(resource));
   }
   const RecordedAnswer put =
-      fleet.Ask(fleet.AwaitLeader(), "POST", "/v1/apply", "{\"items\":[" + items + "]}");
+      fleet.RequestAndWait(fleet.AwaitLeader(), "POST", "/v1/apply", "{\"items\":[" + items + "]}");
   INFO(put.body);
   REQUIRE(put.status == 200);
 }
@@ -42,7 +42,7 @@
 }
 
 std::string StreamLeaderOf(ClusterFleet& fleet) {
-  for (const std::string& node : kFounders) {
+  for (const std::string& node : kInitialMembers) {
     if (!fleet.Running(node)) continue;
     const RaftGroup* group = GroupOn(fleet, node);
     if (group != nullptr && group->IsLeader()) return node;
@@ -62,7 +62,7 @@
   ClusterFleet fleet({});
   PutStream(fleet);
   REQUIRE(fleet.RunUntil([&] { return !StreamLeaderOf(fleet).empty(); }, seconds(10)));
-  for (const std::string& node : kFounders) {
+  for (const std::string& node : kInitialMembers) {
     REQUIRE(GroupOn(fleet, node) != nullptr);
     CHECK(GroupOn(fleet, node)->Members().size() == 3);
   }
@@ -84,18 +84,18 @@
   REQUIRE(fleet.RunUntil([&] { return !StreamLeaderOf(fleet).empty(); }, seconds(10)));
   fleet.RunFor(seconds(2));
   const std::string leader = StreamLeaderOf(fleet);
-  for (const std::string& node : kFounders) {
+  for (const std::string& node : kInitialMembers) {
     const PeerMessage message{MessageKind::kWorkRequest, WorkFrom("g1")};
     fleet.Process("g1").transport->Send(NodeId(node), message);
   }
   fleet.RunFor(seconds(1));
-  CHECK(fleet.Process(leader).streams.works == 3);
+  CHECK(fleet.Process(leader).streams.work_requests == 3);
   // One that was passed on already and meets no leader is dropped.
   const std::string follower = leader == "c1" ? "c2" : "c1";
   fleet.Process(leader).transport->Send(NodeId(follower),
                                         {MessageKind::kWorkRequest, WorkFrom("g1")});
   fleet.RunFor(seconds(1));
-  CHECK(fleet.Process(leader).streams.works == 3);
+  CHECK(fleet.Process(leader).streams.work_requests == 3);
 }
 
 TEST_CASE("the group of a deleted stream is dropped, and not before its absence is confirmed") {
@@ -110,10 +110,11 @@
   CHECK(GroupOn(fleet, follower) != nullptr);
   fleet.RunFor(seconds(5));
   CHECK(GroupOn(fleet, follower) != nullptr);
-  REQUIRE(fleet.Ask(fleet.AwaitLeader(), "DELETE", "/v1/resources/Stream/s").status == 200);
+  REQUIRE(fleet.RequestAndWait(fleet.AwaitLeader(), "DELETE", "/v1/resources/Stream/s").status ==
+          200);
   CHECK(fleet.RunUntil(
       [&] {
-        for (const std::string& node : kFounders) {
+        for (const std::string& node : kInitialMembers) {
           if (GroupOn(fleet, node) != nullptr) return false;
         }
         return true;
@@ -121,7 +122,7 @@
       seconds(10)));
 }
 
-TEST_CASE("a stream made anew under the same name shares nothing with the earlier one") {
+TEST_CASE("a stream recreated under the same name shares nothing with the earlier one") {
   ClusterFleet fleet({});
   PutStream(fleet);
   REQUIRE(fleet.RunUntil([&] { return !StreamLeaderOf(fleet).empty(); }, seconds(10)));
@@ -138,10 +139,13 @@
   const std::string down = fleet.Leader() == "c1" ? "c2" : "c1";
   const GroupId earlier = GroupOn(fleet, down)->id();
   fleet.Crash(down);
-  REQUIRE(fleet.Ask(fleet.AwaitLeader(), "DELETE", "/v1/resources/Stream/s").status == 200);
+  REQUIRE(fleet.RequestAndWait(fleet.AwaitLeader(), "DELETE", "/v1/resources/Stream/s").status ==
+          200);
   fleet.RunFor(seconds(5));
   const Resource again = MakeResource("s", StreamSpec{"p", 1, 0.5, 8, ""});
-  REQUIRE(fleet.Ask(fleet.Leader(), "PUT", "/v1/resources/Stream/s", ToJson(again)).status == 200);
+  REQUIRE(
+      fleet.RequestAndWait(fleet.Leader(), "PUT", "/v1/resources/Stream/s", ToJson(again)).status ==
+      200);
   fleet.RunFor(seconds(3));
   CHECK(append("new") == "new");
   fleet.Start(down);
@@ -188,7 +192,7 @@
   const uint64_t per_node_second = (fleet.gateway_bytes() - before) / (kNodes * kSeconds);
   INFO("bytes a second and node: " << per_node_second);
   CHECK(per_node_second < 400);
-  // A change reaches everyone as one delta, not as the whole state.
+  // A change reaches everyone as one delta, not as the complete_bytes state.
   const uint64_t before_change = fleet.gateway_bytes();
   const Revision revision = fleet.PutMachine("m1");
   REQUIRE(fleet.RunUntil(
--- a/test/duties/usage_report_history_test.cc
+++ b/test/duties/usage_report_history_test.cc
@@ -19,10 +19,10 @@
 constexpr Duration kWindow = seconds(5);
 constexpr Duration kLease = seconds(3);
 constexpr uint64_t kSeeds = 1000;
-constexpr Duration kLength = seconds(60);
+constexpr Duration kRunLength = seconds(60);
 
 /// A call as it reached the platform.
-struct SeenCall {
+struct ReceivedCall {
   Duration at{0};
   std::string holder;
   uint64_t fence = 0;
@@ -61,9 +61,9 @@
     const Duration delay = DrawDuration(random_, milliseconds(1), milliseconds(300));
     const bool lost = DrawBelow(random_, 3) == 0;
     scheduler_.Schedule(delay, [this, request = std::move(request), live, lost] {
-      seen.push_back({scheduler_.Now(), std::string(*FindHeader(request.headers, "holder")),
-                      std::stoull(std::string(*FindHeader(request.headers, "fence"))),
-                      std::stoull(request.target), request.body});
+      received.push_back({scheduler_.Now(), std::string(*FindHeader(request.headers, "holder")),
+                          std::stoull(std::string(*FindHeader(request.headers, "fence"))),
+                          std::stoull(request.target), request.body});
       if (lost || *live == nullptr) return;
       HttpCallObserver& waiting = **live;
       *live = nullptr;
@@ -73,7 +73,7 @@
     return std::make_unique<Handle>(live);
   }
 
-  std::vector<SeenCall> seen;
+  std::vector<ReceivedCall> received;
 
  private:
   class Handle : public CallHandle {
@@ -101,7 +101,7 @@
         task(environment, platform, protocol, *this, {NodeId(name), name, "p:1", kWindow, kLease}),
         log_(log) {}
 
-  std::optional<Term> LeadingTerm() const override { return believes; }
+  std::optional<Term> LeadingTerm() const override { return believed_term; }
   const UsageLedger& ledger() const override { return state; }
   std::optional<WallTime> AgreedTime() const override {
     return WallTime(std::chrono::duration_cast<milliseconds>(environment.Now().time_since_epoch()));
@@ -121,8 +121,8 @@
   VirtualEnvironment environment;
   TextProtocol protocol;
   UsageLedger state;
-  /// The term in which it believes to lead.
-  std::optional<Term> believes;
+  /// The term in which it believed_term to lead.
+  std::optional<Term> believed_term;
   size_t applied = 0;
   UsageReportTask task;
 
@@ -135,7 +135,7 @@
   Log(VirtualScheduler& scheduler, RandomEngine& random) : scheduler_(scheduler), random_(random) {}
 
   void Propose(Replica& proposer, ClusterOperation operation, std::function<void(bool)> done) {
-    const auto term = proposer.believes;
+    const auto term = proposer.believed_term;
     const Duration delay = DrawDuration(random_, milliseconds(1), milliseconds(400));
     scheduler_.Schedule(delay, [this, &proposer, term, operation = std::move(operation), done] {
       // A deposed leader has no quorum; whether its proposal ran it learns late, or never.
@@ -147,7 +147,7 @@
   }
   void CatchUpLeader(Replica& leader, std::function<void(bool)> done) {
     const Duration delay = DrawDuration(random_, milliseconds(1), milliseconds(100));
-    scheduler_.Schedule(delay, [this, &leader, term = leader.believes, done] {
+    scheduler_.Schedule(delay, [this, &leader, term = leader.believed_term, done] {
       if (!term || *term != newest_term) return done(false);
       CatchUp(leader, entries_.size());
       done(true);
@@ -164,14 +164,14 @@
   void Elect(Replica& leader, RandomEngine& random) {
     newest_term = Next(newest_term);
     for (Replica* replica : replicas) {
-      if (replica == &leader || !replica->believes) continue;
+      if (replica == &leader || !replica->believed_term) continue;
       // It does not know yet that it was deposed.
-      const Duration unaware = DrawDuration(random, milliseconds(0), milliseconds(1200));
-      scheduler_.Schedule(unaware, [replica, held = replica->believes] {
-        if (replica->believes == held) replica->believes.reset();
+      const Duration delay = DrawDuration(random, milliseconds(0), milliseconds(1200));
+      scheduler_.Schedule(delay, [replica, held = replica->believed_term] {
+        if (replica->believed_term == held) replica->believed_term.reset();
       });
     }
-    leader.believes = newest_term;
+    leader.believed_term = newest_term;
     leader.task.Run();
   }
   void CatchUp(Replica& replica, size_t through) {
@@ -195,7 +195,7 @@
   log_.Propose(*this, std::move(operation), std::move(done));
 }
 
-std::vector<SeenCall> CallsOfRun(uint64_t seed) {
+std::vector<ReceivedCall> CallsOfRun(uint64_t seed) {
   VirtualScheduler scheduler{seed};
   RandomEngine random(seed);
   LossyPlatform platform(scheduler, random);
@@ -209,7 +209,7 @@
   const UsageWindow first = WindowAt(*replicas[0]->AgreedTime(), kWindow);
   log.Elect(*replicas[0], random);
   uint64_t sequence = 0;
-  for (Duration at{0}; at < kLength; at += milliseconds(500)) {
+  for (Duration at{0}; at < kRunLength; at += milliseconds(500)) {
     const UsageWindow window(first.value() + static_cast<uint64_t>(at / kWindow));
     log.Commit(AddUsage{{NodeId("g"),
                          Incarnation(1),
@@ -218,14 +218,14 @@
     if (DrawBelow(random, 5) == 0) log.Elect(*replicas[DrawBelow(random, 3)], random);
     scheduler.RunFor(milliseconds(500));
   }
-  std::vector<SeenCall> seen = std::move(platform.seen);
-  std::stable_sort(seen.begin(), seen.end(),
-                   [](const SeenCall& a, const SeenCall& b) { return a.at < b.at; });
-  return seen;
+  std::vector<ReceivedCall> received = std::move(platform.received);
+  std::stable_sort(received.begin(), received.end(),
+                   [](const ReceivedCall& a, const ReceivedCall& b) { return a.at < b.at; });
+  return received;
 }
 
 /// Whether holders act in turn, A, B and A again, within the lease.
-bool ActInTurn(const std::vector<SeenCall>& calls) {
+bool CallsAlternate(const std::vector<ReceivedCall>& calls) {
   for (size_t i = 0; i < calls.size(); ++i) {
     bool other = false;
     for (size_t j = i + 1; j < calls.size() && calls[j].at - calls[i].at < kLease; ++j) {
@@ -239,16 +239,16 @@
   return false;
 }
 
-TEST_CASE("Whoever holds the duty, the platform sees one holder at a time and one sum a window") {
+TEST_CASE("Whoever holds the lease, the platform sees one holder at a time and one sum a window") {
   size_t calls_seen = 0;
   size_t changes_seen = 0;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     INFO("seed " << seed);
-    const std::vector<SeenCall> calls = CallsOfRun(seed);
+    const std::vector<ReceivedCall> calls = CallsOfRun(seed);
     std::map<uint64_t, std::string> sums;
     std::map<uint64_t, std::string> holder_of_fence;
     for (size_t i = 0; i < calls.size(); ++i) {
-      const SeenCall& call = calls[i];
+      const ReceivedCall& call = calls[i];
       if (i > 0) {
         REQUIRE(call.fence >= calls[i - 1].fence);
         changes_seen += call.holder != calls[i - 1].holder ? 1 : 0;
@@ -256,7 +256,7 @@
       REQUIRE(sums.try_emplace(call.window, call.counts).first->second == call.counts);
       REQUIRE(holder_of_fence.try_emplace(call.fence, call.holder).first->second == call.holder);
     }
-    REQUIRE_FALSE(ActInTurn(calls));
+    REQUIRE_FALSE(CallsAlternate(calls));
     calls_seen += calls.size();
   }
   // The property is worth something only if there were calls, and holders that followed another.
--- a/test/duties/usage_report_task_test.cc
+++ b/test/duties/usage_report_task_test.cc
@@ -119,7 +119,7 @@
     group.Commit(AddUsage{
         {NodeId("g"), Incarnation(1), ++sequence, {{counted, TenantName("a"), requests}}}});
   }
-  std::string Said(size_t call) const { return platform.calls.at(call)->request.body; }
+  std::string CallBody(size_t call) const { return platform.calls.at(call)->request.body; }
   std::string Call(uint64_t window, const std::string& rest) const {
     return std::to_string(first_window.value() + window) + ":" + rest;
   }
@@ -145,34 +145,34 @@
   fixture.Count(0, 1);
   fixture.scheduler.RunFor(milliseconds(500));
   REQUIRE(fixture.calls() == 1);
-  CHECK(fixture.Said(0) == fixture.Call(0, "m1:4:a=3"));
+  CHECK(fixture.CallBody(0) == fixture.Call(0, "m1:4:a=3"));
   fixture.scheduler.RunFor(seconds(10));
   REQUIRE(fixture.calls() == 3);
-  CHECK(fixture.Said(1) == fixture.Call(1, "m1:4:a=3"));
-  CHECK(fixture.Said(2) == fixture.Call(2, "m1:4"));
+  CHECK(fixture.CallBody(1) == fixture.Call(1, "m1:4:a=3"));
+  CHECK(fixture.CallBody(2) == fixture.Call(2, "m1:4"));
   CHECK_FALSE(fixture.group.ledger.OldestUnreported().has_value());
 }
 
-TEST_CASE("A window is sent again, with the same sum, until the platform takes it") {
+TEST_CASE("A window is resent, with the same sum, until the platform takes it") {
   Fixture fixture;
   const int status = GENERATE(429, 500, 503);
   fixture.answer.status = status;
   fixture.Count(0, 2);
   fixture.first.Lead(4);
   fixture.scheduler.RunFor(seconds(12));
-  const size_t tried = fixture.calls();
-  CHECK(tried >= 4);
-  CHECK(tried <= 10);
+  const size_t calls_made = fixture.calls();
+  CHECK(calls_made >= 4);
+  CHECK(calls_made <= 10);
   fixture.Count(0, 5);
   fixture.answer.status = 200;
   fixture.scheduler.RunFor(seconds(1));
   for (size_t call = 0; call < fixture.calls(); ++call) {
-    CHECK(fixture.Said(call) == fixture.Call(0, "m1:4:a=2"));
+    CHECK(fixture.CallBody(call) == fixture.Call(0, "m1:4:a=2"));
   }
   CHECK(fixture.group.ledger.OldestUnreported() != fixture.first_window);
 }
 
-TEST_CASE("A platform that says nothing, or can't be reached, is called again") {
+TEST_CASE("A platform that does not respond, or can't be reached, is called again") {
   Fixture fixture;
   fixture.answer.kind = GENERATE(Kind::kSilence, Kind::kUnreachable, Kind::kReset);
   fixture.Count(0, 2);
@@ -196,11 +196,11 @@
   fixture.second.Lead(5);
   fixture.scheduler.RunFor(seconds(6));
   REQUIRE(fixture.calls() >= 2);
-  CHECK(fixture.Said(1) == fixture.Call(0, "m2:5:a=2"));
+  CHECK(fixture.CallBody(1) == fixture.Call(0, "m2:5:a=2"));
   CHECK(fixture.platform.calls[1]->at - called_at > seconds(3));
 }
 
-TEST_CASE("A deposed holder calls no more, also if its announcement was committed") {
+TEST_CASE("A deposed leader makes no call, even if its announcement was committed") {
   Fixture fixture;
   fixture.Count(0, 2);
   fixture.first.Lead(4);
@@ -218,13 +218,13 @@
   slow.group.commit_time = milliseconds(400);
   slow.scheduler.RunFor(seconds(12));
   CHECK(slow.calls() == 0);
-  Fixture cut_off;
-  cut_off.Count(0, 2);
-  cut_off.group.Commit(CloseUsage{cut_off.first_window});
-  cut_off.group.quorum = false;
-  cut_off.first.Lead(4);
-  cut_off.scheduler.RunFor(seconds(12));
-  CHECK(cut_off.calls() == 0);
+  Fixture without_quorum;
+  without_quorum.Count(0, 2);
+  without_quorum.group.Commit(CloseUsage{without_quorum.first_window});
+  without_quorum.group.quorum = false;
+  without_quorum.first.Lead(4);
+  without_quorum.scheduler.RunFor(seconds(12));
+  CHECK(without_quorum.calls() == 0);
 }
 
 TEST_CASE("No window is closed while the time is not known") {
@@ -237,7 +237,7 @@
   CHECK(fixture.group.ledger.closed_through() == UsageWindow());
 }
 
-TEST_CASE("A call that the platform refuses as such is not repeated in haste") {
+TEST_CASE("A call that the platform refuses is repeated only after a longer pause") {
   Fixture fixture;
   fixture.answer.status = 400;
   fixture.Count(0, 2);
