--- a/source/cluster/configuration_client.cc
+++ b/source/cluster/configuration_client.cc
@@ -18,46 +18,43 @@
 
 /// All observations are sent again with each n-th heartbeat, in case a control node lost them.
 constexpr int kHeartbeatsPerFullReport = 5;
-/// How often a node that uses a control node of another zone asks one of its own zone beside it.
-/// One more heartbeat (some 100 bytes) each time.
+/// How often a node that uses a control node of another zone also sends a heartbeat to one of its
+/// own zone.
 constexpr Duration kOwnZoneProbeInterval = std::chrono::seconds(10);
 constexpr double kHeartbeatJitter = 0.1;
-/// A node that runs sends a heartbeat within so many of their intervals.
+/// A longer gap than this many heartbeat intervals means that the process was paused.
 constexpr int kHeartbeatsUntilPaused = 2;
-/// Between two control nodes that are sent while none answers. They are not waited for one by one:
-/// one that is cut off or has no power says nothing, a connection to it hangs for a second, and
-/// several of a zone fall silent together. With a time-out of 0.9 s for each, three in a row left a
-/// gateway of 13 control nodes without a proof for 5 to 7 s. An answer takes some ten milliseconds,
-/// a whole configuration a few tens. All of 13 are sent within 1.8 s.
+/// Between requests to successive control nodes during a search. Much shorter than a connection
+/// timeout, because several control nodes of one zone can become unresponsive together.
 constexpr Duration kSearchInterval = std::chrono::milliseconds(150);
-/// An observation that changed is sent at most this much later, together with others by then.
+/// A changed observation is sent at most this much later, together with others that change
+/// meanwhile.
 constexpr Duration kObservationDelay = std::chrono::milliseconds(150);
 
-/// Cut off: silent for this many leases. On the platform (1.75 s) that is 3.5 s, in which a search
-/// asks 13 control nodes twice; a kill of all of them with their restart stays below it.
+/// A node that received nothing from any control node for this many leases counts as isolated. Long
+/// enough for a restart of all control nodes.
 constexpr int kLeasesUntilIsolated = 2;
-/// A node without a proof says this often what it sent and what came back.
+/// How often an unconfirmed node logs the outcome of its heartbeats.
 constexpr Duration kUnconfirmedLogInterval = std::chrono::seconds(5);
 
-/// Control nodes that are sent before the pauses of a search are doubled: where so many do not
-/// answer it is not their fault.
+/// The search interval doubles after this many requests, or after each control node got one.
 constexpr size_t kMaxRequestsPerRound = 13;
-/// The pauses of a search are not doubled more often than this; no heartbeat is that far apart.
+/// Bounds the shift of the search interval, which the heartbeat interval caps anyway.
 constexpr size_t kMaxDoublings = 8;
 
-/// Reads of so short a time share one heartbeat.
+/// Reads requested within this time share one heartbeat.
 constexpr Duration kReadBatchDelay = std::chrono::milliseconds(2);
-/// A read that no replica confirmed by then is given up; those that wait for it have turned to
-/// another control node by then.
+/// A read fails if no replica confirmed it in this time; by then its callers have moved to another
+/// control node.
 constexpr Duration kReadTimeout = std::chrono::seconds(1);
-/// After a control node that was named did not answer, the node stays with whoever does for this
-/// long: by then one that is gone is not named any more.
+/// After the target of a redirect did not reply, the node accepts no redirect for this long; by
+/// then a control node that is gone is no longer a target.
 constexpr Duration kNoRedirectPeriod = std::chrono::seconds(5);
 
-/// A node follows the word of a control node that names another one this often at most.
+/// Minimum time between two redirects.
 constexpr Duration kMinRedirectInterval = std::chrono::seconds(1);
 
-/// A read that waits for a proof.
+/// A read that waits for a confirmation.
 struct PendingRead {
   TimePoint requested_at;
   std::function<void(absl::Status)> done;
@@ -68,19 +65,19 @@
   TimePoint at;
 };
 
-/// What came of a node's heartbeats, for its log.
+/// Outcomes of heartbeats, for the log.
 struct HeartbeatCounts {
   int sent = 0;
-  /// Answered in time with a proof or with changes that lead to it.
+  /// Confirmed in time, or answered with changes that lead to a confirmation.
   int confirmed = 0;
-  /// Answered after the heartbeat was given up.
+  /// Replies that arrived after their heartbeat had expired.
   int too_late = 0;
-  /// Answered without a proof, and why the last time.
+  /// Replies without a confirmation; `refusal` is the last reason.
   int refused = 0;
   HeartbeatRefusal refusal = HeartbeatRefusal::kNone;
-  /// Replies and pushes that can't be read.
+  /// Replies and pushes that could not be decoded.
   int unreadable = 0;
-  /// Changes that start after the revision in_configuration, or lead back.
+  /// Deltas that start after the revision held, or lead to an older one.
   int inapplicable = 0;
   int pushes = 0;
 };
@@ -89,7 +86,7 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-/// Identity of a control node that has no replica; none for other nodes.
+/// Replica identity of a control node that has no replica; nullopt on other nodes.
 using RelayIdentity = std::optional<ReplicaId>;
 
 class HeartbeatingConfigurationClient : public RelayedConfigurationClient {
@@ -129,8 +126,8 @@
   bool LeaseValid() const override { return leased_ && environment_.Now() < lease_until_; }
 
   void WhenCurrent(std::function<void()> work) override {
-    // Where nothing is in_configuration there is nothing that could be behind, and nobody to ask
-    // without control nodes.
+    // Without a configuration nothing can be out of date; without control nodes there is nobody to
+    // send a request to.
     if (configuration_.revision == Revision() || sources_.empty()) return work();
     gate_.Submit(std::move(work));
   }
@@ -190,7 +187,7 @@
     read_timer_.Arm(kReadTimeout, [this] { FailExpiredReads(); });
   }
 
-  /// Those that were sent for before `confirmed_at` are confirmed.
+  /// Completes the reads that were requested before `confirmed_at`.
   void CompleteReads(TimePoint confirmed_at) {
     for (const PendingRead& read : TakeReads(confirmed_at)) read.done(absl::OkStatus());
   }
@@ -203,7 +200,7 @@
     }
   }
 
-  /// Those that were sent for until then, in their order; they wait no more.
+  /// Removes and returns the reads that were requested up to `until`, in order.
   std::vector<PendingRead> TakeReads(TimePoint until) {
     const auto first_later =
         std::find_if(reads_.begin(), reads_.end(),
@@ -224,7 +221,7 @@
     ScheduleHeartbeat(FromSeconds(ToSeconds(timing_.heartbeat) * jitter));
   }
 
-  /// The control node in use and another one, without waiting for the first.
+  /// Sends heartbeats to the control node in use and to another one, without waiting for the first.
   void RequestConfirmation() {
     SendRegularHeartbeat();
     Search();
@@ -235,10 +232,11 @@
     timer_.Arm(delay, [this] { SendRegularHeartbeat(); });
   }
 
-  /// The control node in use is silent: asks another one too, and goes on until one answers.
+  /// The control node in use is unresponsive: sends a request to another one, and continues until
+  /// one confirms.
   void Search() {
     if (search_requests_ == 0) {
-      // One that was named and does not answer is not to be named again at once.
+      // Ignores redirects for a while, so that an unresponsive target is not chosen again at once.
       if (sources_.current().node == redirect_target_)
         no_redirect_until_ = environment_.Now() + kNoRedirectPeriod;
       LogEvent(EventId::kConfigurationSourceLost,
@@ -254,16 +252,16 @@
     search_timer_.Arm(SearchInterval(), [this] { Search(); });
   }
 
-  /// Doubles with each round of so many control nodes: while there is no majority nobody answers,
-  /// and a whole fleet would go on asking all of them.
+  /// Doubles with each round over the control nodes, so that a fleet without a quorum does not keep
+  /// polling all of them.
   Duration SearchInterval() const {
     const size_t sent = std::min(sources_.size(), kMaxRequestsPerRound);
     const size_t rounds = std::min<size_t>(search_requests_ / sent, kMaxDoublings);
     return std::min(kSearchInterval * (1 << rounds), std::max(timing_.heartbeat, kSearchInterval));
   }
 
-  /// Beside the control node in use, which stays in use unless the other one answers: giving it up
-  /// for a zone that is silent took the node its proof for seconds.
+  /// The control node in use stays in use unless the other one confirms, so that an unresponsive
+  /// zone does not cost the node its lease.
   void ProbeOwnZoneIfDue() {
     const TimePoint now = environment_.Now();
     if (!sources_.InForeignZone()) {
@@ -274,18 +272,18 @@
     }
   }
 
-  /// Uses the control node `source`, which is known, in position of the present one.
+  /// Switches to the control node `source`, which must be known.
   void UseSource(const NodeId& source) {
     LogEvent(EventId::kConfigurationSourceChosen, "node={} source={} before={} asked={}",
              self_.node, source, sources_.current().node, search_requests_);
     sources_.Choose(source);
-    // What was reported to the one before may be lost.
+    // Reports to the previous control node may be lost.
     for (const auto& [engine, observation] : observations_) unsent_.insert(engine);
-    // From the next heartbeat on it pushes changes.
+    // The control node pushes changes once it has received a heartbeat.
     ScheduleHeartbeat(Duration(0));
   }
 
-  /// A control node has proven the configuration.
+  /// A control node confirmed the configuration.
   void OnSourceReplied(const NodeId& from) {
     const bool returns = sources_.InForeignZone() && sources_.IsInOwnZone(from);
     if (from != sources_.current().node && (search_requests_ > 0 || returns)) {
@@ -296,13 +294,13 @@
     search_timer_.Arm(timing_.source_timeout, [this] { Search(); });
   }
 
-  /// For logs; -1 before the first proof.
+  /// For logs; -1 before the first confirmation.
   int64_t ConfirmationAgeMilliseconds() const {
     const auto age = ConfirmationAge();
     return age ? Milliseconds(*age) : -1;
   }
 
-  /// Logs that the lease is over, or valid again.
+  /// Logs that the lease expired, or is valid again.
   void LogLeaseChange() {
     if (LeaseValid() == logged_lease_valid_) return;
     logged_lease_valid_ = !logged_lease_valid_;
@@ -323,7 +321,7 @@
     if (on_isolation_change_) on_isolation_change_(reported_isolated_);
   }
 
-  /// Logs once in a while what came of the heartbeats since the lease was over.
+  /// Logs the outcomes of heartbeats at intervals while the lease is expired.
   void LogUnconfirmed() {
     const TimePoint now = environment_.Now();
     if (logged_lease_valid_ || now - counts_logged_at_ < kUnconfirmedLogInterval) return;
@@ -339,9 +337,8 @@
     counts_logged_at_ = now;
   }
 
-  /// `confirmation_only`: `to` is not the control node in use. Each one that is sent in a search
-  /// would otherwise push every change for seconds: 160 pushes in position of 80 for 10 changes to
-  /// 8 gateways after a change of leader, and the more the slower the control nodes are already.
+  /// `confirmation_only`: `to` is not the control node in use and must not push changes. Otherwise,
+  /// each control node that receives a request during a search would push every change for seconds.
   void SendHeartbeat(const NodeId& to, std::vector<ReportedObservation> observations,
                      bool confirmation_only) {
     const TimePoint now = environment_.Now();
@@ -393,20 +390,19 @@
     absl::StatusOr<ConfigurationDelta> changes = absl::NotFoundError("nothing changed");
     if (!reply->delta.empty()) changes = DecodeDelta(reply->delta);
     if (!reply->delta.empty() && !changes.ok()) ++counts_.unreadable;
-    // Changes hold whenever they come. Dropped with a proof that came too too_late, they would be
-    // sent whole again with each further heartbeat, to a node that is slow already.
+    // Applies changes even if the confirmation expired; otherwise they would be sent again with
+    // each heartbeat, to a node that is slow already.
     const bool changed = changes.ok() && ApplyChanges(*changes);
     const auto confirmed_at = HandleConfirmation(*reply);
     if (changed) NotifyListeners(*changes);
-    // Those who wait for the read hand on what the listeners have noted: told before them, they
-    // would hand on a new revision without its changes.
+    // Callers of a read forward what the listeners recorded, so the listeners run first; otherwise
+    // a new revision would be forwarded without its changes.
     if (confirmed_at && relay_) CompleteReads(*confirmed_at);
-    // After the listeners for the same reason: who waits would go by what was replaced.
+    // After the listeners, because waiting work reads state that they update.
     if (confirmed_at && LeaseValid()) gate_.OnConfirmed();
   }
 
-  /// When the heartbeat was sent by which the configuration in_configuration is proven; none if it
-  /// is not.
+  /// Send time of the heartbeat by which the configuration held is confirmed; nullopt if it is not.
   std::optional<TimePoint> HandleConfirmation(const NodeHeartbeatReply& reply) {
     const auto found = unanswered_.find(reply.nonce);
     if (found == unanswered_.end()) {
@@ -425,9 +421,8 @@
     return sent.at;
   }
 
-  /// A control node that was sent in a search can prove what is not in_configuration here: it is
-  /// used from now on, and tells what is missing. All that are sent in a search would each tell all
-  /// of it.
+  /// A control node contacted during a search has a newer configuration: switches to it, so that
+  /// only this one sends the missing changes.
   void OnBehind(const NodeId& from) {
     if (search_requests_ == 0 || from == sources_.current().node) return;
     UseSource(from);
@@ -435,8 +430,8 @@
     search_timer_.Arm(timing_.source_timeout, [this] { Search(); });
   }
 
-  /// A relay asks replicas alone, and few control nodes have one: those that its settings name,
-  /// that it was told to use, and the leader.
+  /// A relay sends requests to replicas only, and few control nodes have one: those named in its
+  /// settings, redirect targets, and the leader.
   void UpdateLeader(const NodeId& leader) {
     if (std::exchange(leader_, leader) == leader || !relay_) return;
     const auto record = configuration_.nodes.find(leader);
@@ -452,29 +447,29 @@
     sources_.Update(known, environment_.Random());
   }
 
-  /// The control node sent has too many nodes, or is not of this one's zone.
+  /// The control node has too many nodes attached, or is of another zone.
   void FollowRedirect(const NodeId& from, const ControlEndpoint& other) {
     if (from != sources_.current().node || other.node == from) return;
     AddSource(other);
     UseSource(other.node);
     redirect_target_ = other.node;
-    // Two that hold different configurations could send a node to and fro.
+    // Two control nodes with different configurations could redirect a node back and forth.
     no_redirect_until_ = environment_.Now() + kMinRedirectInterval;
     search_timer_.Arm(timing_.source_timeout, [this] { Search(); });
   }
 
-  /// The proof may still follow, so the heartbeat stays open.
+  /// The heartbeat stays open, since a confirmation may still follow.
   void OnRefused(const NodeId& from, HeartbeatRefusal refusal) {
     ++counts_.refused;
     counts_.refusal = refusal;
-    // Without a quorum the others mostly have none either: to ask them at once, from all gateways,
-    // would load the control nodes in the middle of their election. Nor does it help to ask round
-    // after round without pauses where no control node has a replica yet.
+    // Without a quorum, other control nodes mostly have none either, so a search would only add
+    // load during an election. Nor does it help to search without pauses while no control node has
+    // a replica yet.
     if (refusal != HeartbeatRefusal::kNoReplica) return;
     const bool first_round = search_requests_ < sources_.size();
-    const bool asked_last = search_requests_ > 0 && from == last_requested_;
+    const bool was_last_requested = search_requests_ > 0 && from == last_requested_;
     const bool in_use = search_requests_ == 0 && from == sources_.current().node;
-    if (first_round && (asked_last || in_use)) Search();
+    if (first_round && (was_last_requested || in_use)) Search();
   }
 
   void ReceivePush(const NodeId&, const std::string& payload) {
@@ -485,7 +480,7 @@
     if (delta.ok() && ApplyChanges(*delta)) NotifyListeners(*delta);
   }
 
-  /// Whether the configuration changed.
+  /// Returns whether the configuration changed.
   bool ApplyChanges(const ConfigurationDelta& delta) {
     const Revision before = configuration_.revision;
     if (faults_.smaller_revision_accepted && delta.to < before) {
@@ -506,7 +501,7 @@
     UpdateIsolation();
   }
 
-  /// Control nodes that joined later are sources too; those that are gone are sent last.
+  /// Adds control nodes that joined later; those that are gone move to the end of the order.
   void UpdateSources() {
     std::vector<ControlEndpoint> known;
     for (const auto& [node, record] : configuration_.nodes) {
@@ -540,18 +535,18 @@
   TimePoint lease_until_;
   /// When the lease last became valid.
   TimePoint confirmed_since_;
-  /// What the log last said of the lease.
+  /// The state of the lease as last logged.
   bool logged_lease_valid_ = false;
-  /// Since the lease was last noted over, or the last line about it.
+  /// Since the lease expired, or since the last log line about it.
   HeartbeatCounts counts_;
   TimePoint counts_logged_at_;
-  /// When a control node last proved the configuration.
+  /// When a control node last confirmed the configuration.
   TimePoint source_replied_at_;
-  /// Control nodes sent since the one in use is silent; 0 while it is not.
+  /// Control nodes contacted in the current search; 0 if the one in use responds.
   size_t search_requests_ = 0;
-  /// In the search.
+  /// During a search.
   NodeId last_requested_;
-  /// When a control node last said anything.
+  /// When a message was last received from any control node.
   TimePoint last_message_at_;
   bool reported_isolated_ = false;
   std::function<void(bool)> on_isolation_change_;
@@ -562,12 +557,12 @@
   TimePoint next_heartbeat_;
   std::map<EngineName, EngineObservation> observations_;
   std::set<EngineName> unsent_;
-  /// By the replies.
+  /// According to the replies.
   NodeId leader_;
-  /// The control node that another one has named last.
+  /// Target of the last redirect.
   NodeId redirect_target_;
   TimePoint no_redirect_until_;
-  /// In the order in which they were sent for.
+  /// In the order of requests.
   std::vector<PendingRead> reads_;
   FreshnessGate gate_;
   ScopedTimer timer_;
--- a/source/cluster/configuration_client.h
+++ b/source/cluster/configuration_client.h
@@ -1,12 +1,12 @@
-/// Keeps a node's configuration up to date and proves that it is fresh.
+/// Keeps a node's configuration up to date and confirms that it is current.
 ///
-/// The node sends a heartbeat with its own send time to one control node. That node confirms a
-/// read with a quorum *after* it received the heartbeat, and answers with the revision. So the
-/// configuration in_configuration was the newest at some moment after the send time, without
-/// comparing the clocks of two machines. The lease runs from the send time. A control node that is
-/// cut off cannot confirm, and says so. When the one in use is silent or refuses, the others are
-/// sent as well, one shortly after another without waiting for each, and the first that gives a
-/// proof is used from then on.
+/// The node sends a heartbeat with its own send time to one control node. That node runs a quorum
+/// read *after* it received the heartbeat, and replies with the revision. So the configuration held
+/// here was the newest at some moment after the send time, without comparing the clocks of two
+/// machines. The lease runs from the send time. An isolated control node cannot confirm, and
+/// replies with a refusal. When the control node in use is unresponsive or refuses, requests go to
+/// the others at short intervals, without waiting for each, and the first that confirms the
+/// configuration is used from then on.
 #pragma once
 
 #include <functional>
@@ -28,15 +28,14 @@
   Duration heartbeat = std::chrono::seconds(1);
   /// How long after a confirmed heartbeat was sent the node may give out new work.
   Duration lease = std::chrono::seconds(4);
-  /// Without an answer for this long, other control nodes are sent as well.
+  /// Without a confirmation for this long, requests go to other control nodes as well.
   Duration source_timeout = std::chrono::milliseconds(1500);
-  /// A heartbeat is confirmed within this time. It takes 10 ms in which the control node gathers
-  /// others, a confirmed read of a quorum (some 10 ms within a region) and the way; a node that
-  /// shares a tenth of a core may be this too_late.
+  /// Maximum wait for the reply to a heartbeat: it covers batching on the control node, a quorum
+  /// read, the network, and scheduling delay on a node with little CPU.
   Duration reply_timeout = std::chrono::milliseconds(200);
 };
 
-/// Report of a gateway about a back end or its own state, sent with heartbeats when it changed.
+/// A gateway's report about a back end or about itself; sent with a heartbeat when it changed.
 struct EngineObservation {
   EngineName engine;
   Incarnation incarnation;
@@ -52,48 +51,48 @@
   virtual ~ConfigurationClient() = default;
   virtual void Start() = 0;
   virtual const Configuration& configuration() const = 0;
-  /// True while the configuration in_configuration is proven fresh.
+  /// True while the configuration held is confirmed as current.
   virtual bool LeaseValid() const = 0;
-  /// Runs `work`, which goes by the configuration: at once while that is proven fresh. Else, where
-  /// a proof may be had, once it has come and all listeners have heard what changed with it; where
-  /// none is to be had, by what is in_configuration. Within `reply_timeout`, in the order in which
-  /// it came.
+  /// Runs `work`, which uses the configuration. If the configuration is confirmed, runs it at once.
+  /// Otherwise, if a confirmation is likely to arrive, runs it after the confirmation and after all
+  /// listeners were notified of the changes; if none is likely, runs it with the configuration
+  /// held. Runs work in the order of submission, within `reply_timeout`.
   virtual void WhenCurrent(std::function<void()> work) = 0;
-  /// How long ago the configuration in_configuration was last known to be the newest; nothing if it
-  /// never was.
+  /// How long ago the configuration held was last known to be the newest; nullopt if it never was.
   virtual std::optional<Duration> ConfirmationAge() const = 0;
-  /// Since when LeaseValid has been true all the time; nothing while it is not.
+  /// Since when LeaseValid has been true without interruption; nullopt while it is not.
   virtual std::optional<TimePoint> ConfirmedSince() const = 0;
-  /// True while no control node has said anything for several leases: this node is cut off from all
-  /// of them. Control nodes without a quorum refuse, so where the cluster has none it is false.
+  /// True if no message was received from any control node for several leases. Control nodes
+  /// without a quorum still send refusals, so this is false while only the quorum is lost.
   virtual bool IsIsolated() const = 0;
-  /// Hears when `IsIsolated` changes, within a heartbeat, on the executor.
+  /// `callback` runs on the executor within a heartbeat interval after `IsIsolated` changed.
   virtual void OnIsolationChange(std::function<void(bool isolated)> callback) = 0;
-  /// Hears what was applied, after each change, on the executor. Several listeners may be added.
+  /// `callback` runs on the executor after each applied change. Several listeners may be added.
   using ChangeListener = std::function<void(const ConfigurationDelta& changes)>;
   virtual void OnChange(ChangeListener callback) = 0;
-  /// Tells the control nodes what this gateway saw; sent with the next heartbeat.
+  /// Sends `observation` to the control nodes with the next heartbeat.
   virtual void Report(EngineObservation observation) = 0;
-  /// Announces that this node is leaving; heartbeats go on until the process ends.
+  /// Announces that this node is leaving; heartbeats continue until the process ends.
   virtual void SetLeaving() = 0;
   /// Messages of kinds kHeartbeatReply and kConfigurationPush.
   virtual void Receive(const NodeId& from, const PeerMessage& message) = 0;
 };
 
-/// The configuration as a control node without a replica gets it from one that has one.
+/// The configuration on a control node without a replica, received from a control node that has
+/// one.
 class RelayedConfigurationClient : public ConfigurationClient {
  public:
-  /// `done` once the configuration here holds everything committed before the call; Unavailable if
-  /// no replica confirms that in time.
+  /// Calls `done` once the configuration here holds everything committed before the call, or with
+  /// Unavailable if no replica confirms that in time.
   virtual void ConfirmRead(std::function<void(absl::Status)> done) = 0;
-  /// Who leads the cluster group by the word of the replica in use.
+  /// The leader of the cluster group according to the replica in use.
   virtual std::optional<NodeId> Leader() const = 0;
 };
 
 struct ControlEndpoint {
   NodeId node;
   std::string address;
-  /// Empty where it was told by address alone.
+  /// Empty if only the address is known.
   Zone zone;
 
   friend bool operator==(const ControlEndpoint&, const ControlEndpoint&) = default;
@@ -104,7 +103,7 @@
     std::vector<ControlEndpoint> control_nodes, ConfigurationTiming timing,
     ClusterFaults faults = {});
 
-/// `replica`: identity of the node's disk, by which the leader may make it a replica.
+/// `replica`: identity of the node's disk, under which the leader may add it as a replica.
 std::unique_ptr<RelayedConfigurationClient> MakeRelayedConfigurationClient(
     Environment& environment, PeerTransport& transport, NodeRecord self, ReplicaId replica,
     std::vector<ControlEndpoint> control_nodes, ConfigurationTiming timing,
