--- a/source/cluster/freshness_gate.cc
+++ b/source/cluster/freshness_gate.cc
@@ -49,8 +49,8 @@
 }
 
 void FreshnessGate::OnTimeout(TimePoint due) {
-  // A timer that goes off so late tells that the node stood still while it waited: the answer may
-  // lie in its sockets, and to have waited proves nothing.
+  // If the timer fires this late, the node was paused while it waited, and the reply may be unread
+  // in its sockets.
   const bool late = environment_.Now() - due > timing_.reply_timeout / 2;
   if (!late) return Release();
   last_sent_.reset();
--- a/source/cluster/freshness_gate.h
+++ b/source/cluster/freshness_gate.h
@@ -1,11 +1,11 @@
-/// Holds back work that would go by a configuration which the node knows to be unproven, for as
-/// long as a proof is likely to come.
+/// Delays work that would use an unconfirmed configuration, for as long as a confirmation is likely
+/// to arrive.
 ///
-/// A node that has no proof although it goes on asking is cut off, or the cluster has no majority:
-/// what it holds is all that there is, and work goes by it at once. One that stood still (its
-/// process was stopped, its machine was suspended or did not run it) or has just started has only
-/// not asked. What changed meanwhile lies in its sockets beside the work, and which of them is read
-/// first is chance; a proof takes some ten milliseconds.
+/// A node that keeps sending heartbeats without a confirmation is isolated, or the cluster has no
+/// majority: it uses the configuration it holds, at once. A node that was paused (its process was
+/// stopped, its machine suspended) or has just started has merely not sent a heartbeat. Pending
+/// configuration changes and work wait in its sockets in any order, and a confirmation takes only a
+/// round trip, so work waits for it.
 #pragma once
 
 #include <functional>
@@ -18,32 +18,30 @@
 namespace millstair {
 
 struct FreshnessGateTiming {
-  /// A heartbeat without an answer for this long was asked in vain.
+  /// Without a reply for this long, a heartbeat counts as unanswered.
   Duration reply_timeout{0};
-  /// Heartbeats go out more often than this: a longer pause between two means that the node stood
-  /// still.
+  /// A longer gap between two heartbeats means that the node was paused.
   Duration max_heartbeat_interval{0};
 };
 
 /// Lives on the node's serial executor.
 class FreshnessGate {
  public:
-  /// `confirmed`: whether the configuration held is confirmed fresh. `send_heartbeat` sends a
-  /// heartbeat now, which is told by OnHeartbeatSent.
+  /// `confirmed` returns whether the configuration held is confirmed. `send_heartbeat` sends a
+  /// heartbeat now and calls OnHeartbeatSent.
   FreshnessGate(Environment& environment, FreshnessGateTiming timing,
                 std::function<bool()> confirmed, std::function<void()> send_heartbeat);
 
-  /// Runs `work` at once if the configuration is confirmed or no proof is to be had, else as soon
-  /// as one of the two is so; in the order in which it came.
+  /// Runs `work` at once if the configuration is confirmed or no confirmation is likely to arrive,
+  /// otherwise as soon as either holds. Keeps the order of submission.
   void Submit(std::function<void()> work);
-  /// A heartbeat was sent.
   void OnHeartbeatSent();
-  /// The configuration is confirmed, and all who use it have heard what changed.
+  /// The configuration is confirmed, and all listeners have been notified of the changes.
   void OnConfirmed();
 
  private:
   bool WasPaused() const;
-  /// Whether an answer to what was asked may still come.
+  /// Whether a reply to a sent heartbeat may still arrive.
   bool ReplyMayArrive() const;
   void ArmTimer();
   void OnTimeout(TimePoint due);
@@ -54,7 +52,8 @@
   const std::function<bool()> confirmed_;
   const std::function<void()> send_heartbeat_;
   std::optional<TimePoint> last_sent_;
-  /// When the first heartbeat was sent since the last proof, or since the node last stood still.
+  /// When the first heartbeat was sent since the last confirmation, or since the node was last
+  /// paused.
   std::optional<TimePoint> unanswered_since_;
   std::vector<std::function<void()>> waiting_;
   TimePoint waiting_since_;
