--- a/source/cluster/heartbeat_service.cc
+++ b/source/cluster/heartbeat_service.cc
@@ -8,15 +8,14 @@
 namespace millstair {
 namespace {
 
-/// Heartbeats of so short a time share one confirmed read.
+/// Heartbeats received within this time share one quorum read.
 constexpr Duration kBatchDelay = std::chrono::milliseconds(10);
-/// A node without a proof beats several times a second at each of its control nodes; one line in
-/// this long tells as too_many.
+/// Interval of log lines about one node without a confirmation.
 constexpr Duration kLogInterval = std::chrono::seconds(5);
-/// So many revisions are told to a node that only asks, too: it may hold them by the next heartbeat
-/// without a change of its control node.
+/// A node that requests a confirmation only still gets up to this many revisions of changes, so
+/// that it can be confirmed without switching its control node.
 constexpr uint64_t kMaxRevisionsInConfirmation = 20;
-/// Nodes whose last line is remembered; a control node hears a few hundred.
+/// Bounds the nodes whose last log line is remembered.
 constexpr size_t kMaxLoggedNodes = 4096;
 
 }  // namespace
@@ -46,7 +45,7 @@
       return Redirect(waiting, *other);
   }
   if (!heartbeat.confirmation_only) push_.Attach(heartbeat);
-  // Should a leader be found in time the proof follows.
+  // If a leader is found in time, the confirmation follows.
   if (!cluster_.Leader()) Refuse(waiting, HeartbeatRefusal::kNoQuorum, "no leader is known");
   waiting_.push_back(waiting);
   if (faults_.heartbeat_unconfirmed) return Reply(std::exchange(waiting_, {}));
--- a/source/cluster/heartbeat_service.h
+++ b/source/cluster/heartbeat_service.h
@@ -1,5 +1,5 @@
-/// Answers the heartbeats of nodes with a proof of freshness: one confirmed read serves all
-/// heartbeats that came before it.
+/// Replies to nodes' heartbeats with a confirmation that the configuration is current. One quorum
+/// read serves all heartbeats received before it.
 #pragma once
 
 #include <cstdint>
@@ -21,17 +21,17 @@
   HeartbeatService(Environment& environment, PeerTransport& transport, ClusterReplica& cluster,
                    PushService& push, SourceSelector& source_selector, ClusterFaults faults);
 
-  /// Logs that the message of kind kHeartbeat that came from `from` can't be read.
+  /// Logs that a message of kind kHeartbeat from `from` could not be decoded.
   void OnUnreadable(const NodeId& from, const absl::Status& fault);
 
-  /// Answers `heartbeat` with a proof once a read that began after it was confirmed, and with a
-  /// refusal at once where that can't be, so that the sender turns elsewhere and knows that it is
-  /// heard.
+  /// Replies with a confirmation after a quorum read that began after the heartbeat arrived.
+  /// Replies with a refusal at once where that is not possible, so that the sender turns to another
+  /// control node and knows that it is not isolated.
   ///
-  /// Whoever asks gets the proof, whatever life of the node the cluster's record names: a proof is
-  /// about the configuration, and its nonce binds it to the process that asked. Lives are numbered
-  /// by clocks that jump; refusing the one that seems earlier left a gateway that was up without a
-  /// proof until it was started again.
+  /// Confirms for any incarnation of the node, whichever one the cluster's record holds: the
+  /// confirmation is about the configuration, and its nonce binds it to the process that requested
+  /// it. Incarnations are numbered by clocks that may jump; refusing the one that seems older would
+  /// leave a running gateway without a lease until its next restart.
   void OnHeartbeat(const NodeHeartbeat& heartbeat);
 
  private:
@@ -39,8 +39,7 @@
     NodeId node;
     uint64_t nonce = 0;
     Revision applied;
-    /// It uses another control node, and may be told that it lacks too_many without being told
-    /// what.
+    /// It uses another control node, and a confirmation may leave out the changes that it lacks.
     bool confirmation_only = false;
   };
 
@@ -48,9 +47,9 @@
   void ScheduleConfirmation();
   void ConfirmBatch();
   void Reply(const std::vector<Waiting>& batch);
-  /// Sends `reply` as the answer to the heartbeat of `waiting`.
+  /// Sends `reply` to the heartbeat of `waiting`.
   void Send(const Waiting& waiting, NodeHeartbeatReply reply);
-  /// Tells the sender, and the log once in a while for each node, why it gets no proof.
+  /// Replies with `refusal`, and logs `reason` at intervals for each node.
   void Refuse(const Waiting& waiting, HeartbeatRefusal refusal, const std::string& reason);
   void LogUnanswered(const NodeId& node, const std::string& reason);
 
@@ -61,10 +60,10 @@
   SourceSelector& source_selector_;
   const ClusterFaults faults_;
   std::vector<Waiting> waiting_;
-  /// A read is under way. One at a time: a leader that is slow gets fewer of them, each for more
-  /// nodes, and not more and more that wait behind each other.
+  /// A read is in progress. One at a time, so that a slow leader gets fewer reads for more nodes
+  /// each, and no growing queue.
   bool confirming_ = false;
-  /// When it was last logged that a node got no proof.
+  /// When it was last logged that a node got no confirmation.
   std::map<NodeId, TimePoint> logged_at_;
   ScopedTimer timer_;
   AliveFlag alive_;
