--- a/source/cluster/push_service.cc
+++ b/source/cluster/push_service.cc
@@ -7,15 +7,13 @@
 namespace millstair {
 namespace {
 
-/// Changes of so short a time go together.
+/// Changes within this time are sent together.
 constexpr Duration kPushDelay = std::chrono::milliseconds(10);
-/// Between two pushes. 520 servers that register in a second change the configuration as often;
-/// each push costs a message to every node attached here, and in force within 500 ms leaves room
-/// for it.
+/// Minimum time between two pushes: each costs a message to every attached node.
 constexpr Duration kMinPushInterval = std::chrono::milliseconds(50);
-/// A push arrives and is applied within this time, or is lost with its connection.
+/// A push is applied within this time, or was lost with its connection.
 constexpr Duration kDeliveryTimeout = std::chrono::milliseconds(500);
-/// A node that was silent for so long has moved to another control node or died.
+/// A node without a heartbeat for this long has moved to another control node or died.
 constexpr Duration kDetachAfter = std::chrono::seconds(5);
 
 }  // namespace
@@ -33,9 +31,9 @@
   const TimePoint now = environment_.Now();
   const auto [found, added] = attached_.try_emplace(sender.record.node);
   Attached& attached = found->second;
-  // What the node says wins over what was sent to it, once that has had the time to arrive: pushes
-  // may be lost. Before, each heartbeat under continuous change had what was on its way sent again,
-  // from a revision of its own for each node, so that nothing encoded served two of them.
+  // A node's own revision overrides what was sent to it only once that had time to arrive: pushes
+  // may be lost. Otherwise each heartbeat under continuous change would cause a resend of changes
+  // in flight, from a different revision for each node, so that no encoding could be shared.
   const bool checkpoint_due = added || now - attached.checkpoint_at >= kDeliveryTimeout;
   const bool lost = checkpoint_due && sender.applied < attached.checkpoint;
   if (added || lost || attached.sent < sender.applied) attached.sent = sender.applied;
--- a/source/cluster/push_service.h
+++ b/source/cluster/push_service.h
@@ -1,4 +1,4 @@
-/// Sends configuration changes to the nodes attached to this control node, as soon as they are
+/// Sends configuration changes to the nodes attached to this control node as soon as they are
 /// applied here. Each delta is encoded once for all nodes that start from the same revision.
 #pragma once
 
@@ -20,31 +20,31 @@
   PushService(Environment& environment, PeerTransport& transport, const ClusterReplica& cluster,
               SourceSelector& source_selector);
 
-  /// The sender of `heartbeat` sends its heartbeats here.
+  /// Attaches the sender of `heartbeat`.
   void Attach(const NodeHeartbeat& heartbeat);
-  /// The configuration changed; pushes it soon, so that a burst of changes goes as one.
+  /// Schedules a push; a burst of changes is sent as one.
   void ConfigurationChanged();
-  /// Encoded changes up to the newest revision here for a node that holds `from`; notes that it
-  /// gets them. What is on its way to it already is left out: messages to one node arrive in order.
+  /// Encoded changes up to the newest revision for a node that holds `from`, recorded as sent to
+  /// it. Leaves out changes that are already in flight: messages to one node arrive in order.
   const std::string& ChangesFor(const NodeId& node, Revision from);
 
  private:
   struct Attached {
-    /// The newest revision sent to it or held by it.
+    /// The newest revision sent to the node or held by it.
     Revision sent;
-    /// What was sent by `checkpoint_at`; a node that does not hold it by the next mark has lost it.
+    /// What was sent by `checkpoint_at`; a node that does not hold it by the next checkpoint has
+    /// lost it.
     Revision checkpoint;
     TimePoint checkpoint_at;
     TimePoint last_heartbeat;
-    /// For a node that may be told to use another control node.
+    /// Set for a node that may be redirected to another control node.
     std::optional<ForwardedNode> redirectable;
   };
 
   void Push();
-  /// Drops those that are silent, and those that are to use another control node: they are told so
-  /// with their next heartbeat, and get there what they miss. When the nodes of a fleet of 1,135
-  /// have become known the three that all of them asked at first sent each the whole list, 57 MB
-  /// from the leader in half a second.
+  /// Detaches nodes without recent heartbeats, and those that are to use another control node: they
+  /// are redirected with their next heartbeat and get the changes there. Without this, the control
+  /// nodes known to all nodes of a starting fleet would send the complete configuration to each.
   void DetachMoved();
   const std::string& EncodedSince(Revision from);
 
