--- a/source/cluster/source_selector.h
+++ b/source/cluster/source_selector.h
@@ -1,5 +1,5 @@
-/// Which control node a node is to use, so that no control node is used by many: gateways and
-/// storage nodes use one of their zone, control nodes without a replica one that has a replica.
+/// Selects the control node that a node uses, to spread the load: gateways and storage nodes use
+/// one of their zone, control nodes without a replica one that has a replica.
 #pragma once
 
 #include <map>
@@ -15,18 +15,18 @@
 /// Lives on the node's serial executor.
 class SourceSelector {
  public:
-  /// `self`: the control node that answers.
+  /// `self`: this control node.
   SourceSelector(const ClusterReplica& cluster, NodeId self)
       : cluster_(cluster), self_(std::move(self)) {}
 
-  /// The one that a node is to use in place of this one; none if this one is right, or none is
-  /// known.
+  /// The control node that `node` is to use in place of this one; nullopt if this one is right, or
+  /// no other is known.
   std::optional<ControlEndpoint> RedirectTargetFor(const ForwardedNode& node);
 
  private:
-  /// For a gateway or a storage node; none if its zone has no live control node that is known.
+  /// For a gateway or a storage node; nullopt if its zone has no known live control node.
   std::optional<ControlEndpoint> ForNode(const NodeRecord& node);
-  /// For a control node without a replica; none if this node has no replica itself.
+  /// For a control node without a replica; nullopt if this node has no replica itself.
   std::optional<ControlEndpoint> ForRelay(const NodeRecord& relay) const;
   void Refresh();
 
