--- a/source/cluster/control_node.cc
+++ b/source/cluster/control_node.cc
@@ -24,7 +24,7 @@
 
 constexpr Duration kLeaderTaskInterval = std::chrono::seconds(1);
 constexpr Duration kDrainPoll = std::chrono::milliseconds(100);
-/// Leaderships that could not be handed over by then go with the process.
+/// Leaderships not transferred by then are lost with the process.
 constexpr Duration kDrainTimeout = std::chrono::seconds(10);
 
 std::vector<ControlEndpoint> WithoutSelf(std::vector<ControlEndpoint> endpoints,
@@ -187,7 +187,7 @@
   }
 
  private:
-  /// Retires the last of `nodes`, then the others; to retire a node again changes nothing.
+  /// Retires the last of `nodes`, then the others. Retiring a node twice is harmless.
   void RetireAll(std::vector<NodeId> nodes,
                  std::function<void(absl::StatusOr<ClusterResult>)> done) {
     if (nodes.empty()) return done(ClusterResult());
@@ -208,7 +208,7 @@
     return cluster_.MakeStateMachine(limits, options_.faults);
   }
 
-  /// A member opens the group; any other node gets it from its leader once it has joined.
+  /// An initial member opens the group; any other node gets it from the leader once it has joined.
   absl::Status OpenClusterGroup(ReplicaId own) {
     if (!options_.bootstrap) return absl::OkStatus();
     for (const GroupMember& member : options_.initial_members) {
@@ -218,12 +218,12 @@
     return absl::OkStatus();
   }
 
-  /// Whether what is committed says all that the report does.
+  /// Whether the committed state contains everything in the report.
   bool IsCommitted(const BackendInstance& reported) const {
     const auto found = configuration().instances.find(reported.id);
     if (found == configuration().instances.end()) return false;
     const BackendInstance& committed = found->second;
-    // A life that is doubted, or claims to be another's successor, has to be counted.
+    // Reports of a superseded instance, or of one with a competing incarnation, have to be counted.
     if (committed.superseded || committed.rival.reports > 0) return false;
     if (committed.state < reported.state) return false;
     if (reported.address.empty() || reported.sequence <= committed.sequence) return true;
@@ -238,7 +238,7 @@
     if (heartbeat->nonce != 0) heartbeats_.OnHeartbeat(*heartbeat);
   }
 
-  /// Called while an entry is applied: only notes and arms timers.
+  /// Called while an entry is applied: only sets flags and arms timers.
   void ConfigurationChanged() {
     push_.ConfigurationChanged();
     operators_.ConfigurationChanged();
@@ -249,7 +249,7 @@
     }
   }
 
-  /// Follows a replica elsewhere while there is none here that is up to date.
+  /// Follows a remote replica while there is no current one here.
   void UpdateRelay() {
     if (relay_.running()) {
       if (cluster_.UsesReplica()) relay_.Stop();
@@ -272,10 +272,10 @@
     for (const auto& task : leader_tasks_) task->Run(cluster_.configuration());
   }
 
-  /// So that stream leaders can answer gateways that never called on this node.
+  /// Lets stream leaders reply to gateways that never contacted this node.
   void UpdateAddresses() {
-    // Not after each change of anything: 520 servers that register in a second would each cost a
-    // message to the transport for every node of the fleet.
+    // Skipped unless nodes changed: it costs one message to the transport for each node of the
+    // fleet.
     if (cluster_.nodes_changed_at() == addresses_updated_at_) return;
     addresses_updated_at_ = cluster_.nodes_changed_at();
     for (const auto& [node, record] : cluster_.configuration().nodes) {
@@ -320,7 +320,7 @@
   std::unique_ptr<ReplicaManager> replicas_;
   ColdReports cold_;
   ReplicaId own_replica_;
-  /// Of the last change of nodes whose addresses the transport was told.
+  /// Revision of the last node change whose addresses were set in the transport.
   Revision addresses_updated_at_;
   bool leader_tasks_due_ = false;
   TimePoint drain_until_;
--- a/source/cluster/control_node.h
+++ b/source/cluster/control_node.h
@@ -20,21 +20,21 @@
 
 namespace millstair {
 
-/// A stream group's duties on a control node that are not in its state machine: leases of
-/// attempts, staleness at hand-on. Implemented in rollout/.
+/// The part of a stream group outside its state machine, on the leader: leases of attempts,
+/// staleness checks of HandOn. Implemented in rollout/.
 class StreamLeader {
  public:
   virtual ~StreamLeader() = default;
   /// Messages of kind kWorkRequest for this stream; only called while this node leads the group.
   virtual void ReceiveWork(const NodeId& from, const PeerMessage& message) = 0;
-  /// Answers a command of mode kQuery for this stream.
+  /// Replies to a command of mode kQuery for this stream.
   virtual void Query(const std::string& query,
                      std::function<void(absl::StatusOr<std::string>)> done) = 0;
-  /// The cluster configuration changed, or the leadership of the group did.
+  /// The cluster configuration changed, or the leadership of the group.
   virtual void OnChange(const Configuration& configuration) = 0;
 };
 
-/// Makes what a stream needs; implemented in rollout/ so that cluster/ does not depend on it.
+/// Creates the parts of a stream; implemented in rollout/ so that cluster/ does not depend on it.
 class StreamFactory {
  public:
   virtual ~StreamFactory() = default;
@@ -42,23 +42,24 @@
   virtual std::unique_ptr<StreamLeader> MakeLeader(RaftGroup& group, StateMachine& state) = 0;
 };
 
-/// A task of the cluster leader alone, such as deciding weight targets. Implemented in weights/.
+/// A task that runs only on the leader of the cluster group, such as deciding weight targets.
+/// Implemented in weights/ and other folders.
 class LeaderTask {
  public:
   virtual ~LeaderTask() = default;
-  /// Called about once a second on the leader, and after each change; proposes through `propose`.
+  /// Called about once a second on the leader, and after each change.
   virtual void Run(const Configuration& configuration) = 0;
   /// An observation reported by a gateway.
   virtual void Observe(const NodeId& gateway, const EngineObservation& observation) = 0;
 };
 
 struct MembershipTiming {
-  /// Without a heartbeat for this long a node is gone.
+  /// A node without a heartbeat for this long is gone.
   Duration node_lease = std::chrono::seconds(5);
   Duration platform_poll = std::chrono::seconds(1);
-  /// A lost voter is replaced by a warm learner after this long.
+  /// A lost voter is replaced by a learner after this long.
   Duration replace_voter_after = std::chrono::seconds(10);
-  /// A node that is gone is forgotten after this long.
+  /// The record of a node that is gone is deleted after this long.
   Duration forget_after = std::chrono::hours(24);
 };
 
@@ -66,22 +67,22 @@
   NodeRecord self;
   std::string cluster_id;
   std::vector<ControlEndpoint> control_nodes;
-  /// Founders of the cluster group; the same list on each control node.
+  /// Initial members of the cluster group; the same list on each control node.
   std::vector<GroupMember> initial_members;
-  /// False if the group was founded in an earlier life: a member without its log then waits for
-  /// the leader like any other node.
+  /// False if the group was bootstrapped by an earlier incarnation: an initial member without its
+  /// log then waits for the leader like any other node.
   bool bootstrap = true;
-  /// Voters of the cluster group; 0 is as many as there are initial_members.
+  /// Voters of the cluster group; 0 means the number of initial members.
   size_t voters = 0;
-  /// Storage nodes that have to be left when a machine is emptied.
+  /// Minimum number of storage nodes left when a machine is emptied.
   size_t storage_voters = 3;
   ConsensusTiming consensus_timing;
   ConsensusLimits consensus_limits;
   ConfigurationTiming configuration_timing;
   MembershipTiming membership_timing;
-  /// How long a once-only key is remembered.
+  /// Retention of idempotency keys.
   std::chrono::hours claim_retention{24};
-  /// "ip:port" of the platform's machine list; empty polls nothing.
+  /// "ip:port" of the platform's machine list; polling is disabled if empty.
   std::string platform_list;
   ClusterFaults faults;
   ConsensusFaults consensus_faults;
@@ -92,40 +93,40 @@
  public:
   virtual absl::Status Start() = 0;
   virtual GroupHost& groups() = 0;
-  /// The cluster state as applied on this replica; may be behind.
+  /// The cluster state as applied on this replica; may be stale.
   virtual const Configuration& configuration() const = 0;
   virtual bool IsClusterLeader() const = 0;
   virtual void AddLeaderTask(std::unique_ptr<LeaderTask> task) = 0;
-  /// Proposes to the cluster group; Unavailable when not the leader.
+  /// Proposes to the cluster group; Unavailable if this node is not the leader.
   virtual void Propose(ClusterCommand command,
                        std::function<void(absl::StatusOr<ClusterResult>)> done) = 0;
-  /// Runs `operation` on the leader, wherever it is; it must bear being run more than once.
-  /// DeadlineExceeded or Unavailable leave the outcome unknown.
+  /// Runs `operation` on the leader, local or remote; it must tolerate being run more than once.
+  /// DeadlineExceeded and Unavailable leave the outcome unknown.
   virtual void Submit(ClusterOperation operation,
                       std::function<void(absl::StatusOr<ClusterResult>)> done) = 0;
-  /// A report of a back end that registers itself, or of its leaving. What is committed already is
-  /// acknowledged at once.
+  /// A back end's own report that it is registered or leaving. A report that is already committed
+  /// is acknowledged at once.
   virtual void ReportInstance(const BackendInstance& instance,
                               std::function<void(absl::StatusOr<ClusterResult>)> done) = 0;
-  /// Asks for a machine with a storage node to be emptied of all replicas; a conflict if too few
-  /// would be left. How far it is follows from `configuration()`, see machine_retirement.h.
+  /// Starts emptying a machine with a storage node of all replicas; a conflict if too few storage
+  /// nodes would be left. `configuration()` shows the progress, see machine_retirement.h.
   virtual void RetireMachine(const std::string& machine,
                              std::function<void(absl::StatusOr<ClusterResult>)> done) = 0;
   /// See ZoneEvacuation.
   virtual void EvacuateZone(const millstair::EvacuateZone& evacuation,
                             std::function<void(absl::StatusOr<ClusterResult>)> done) = 0;
-  /// `done` once `configuration()` holds everything committed before the call.
+  /// Calls `done` once `configuration()` holds everything committed before the call.
   virtual void ConfirmRead(std::function<void(absl::Status)> done) = 0;
-  /// Usage as applied on this replica; may be behind.
+  /// Usage as applied on this replica; may be stale.
   virtual const UsageLedger& usage() const = 0;
-  /// The time that most clocks of the cluster agree on; none on a node that does not lead, and
-  /// until enough nodes were heard of.
+  /// The time that most clocks of the cluster agree on; nullopt on a node that does not lead, and
+  /// until enough nodes have reported.
   virtual std::optional<WallTime> AgreedTime() const = 0;
-  /// `callback` hears of each announcement of a task that is applied here.
+  /// `callback` runs for each announcement of a task lease applied here.
   virtual void OnLeaseAnnounced(std::function<void(const HolderAnnouncement&)> callback) = 0;
-  /// The configuration is known here, and a leader of the cluster group.
+  /// The configuration and the leader of the cluster group are known here.
   virtual bool Ready() const = 0;
-  /// Hands over all leaderships, then calls `done`. For a planned stop.
+  /// Transfers all leaderships, then calls `done`. For a planned stop.
   virtual void Drain(std::function<void()> done) = 0;
 };
 
