--- a/source/cluster/control_messages.cc
+++ b/source/cluster/control_messages.cc
@@ -159,7 +159,7 @@
   }
   const bool names_another = reply.use.node != NodeId() && !reply.use.address.empty();
   if (reply.refusal == HeartbeatRefusal::kUseAnother && !names_another) {
-    return Invalid("heartbeat reply that names no other control node");
+    return Invalid("heartbeat redirect without a target");
   }
   return reply;
 }
--- a/source/cluster/control_messages.h
+++ b/source/cluster/control_messages.h
@@ -21,40 +21,41 @@
   EngineObservation observation;
 };
 
-/// A node as a control node heard it, passed on to the leader.
+/// A node's latest heartbeat as received by a control node, forwarded to the leader.
 struct ForwardedNode {
   NodeRecord record;
   Revision applied;
-  /// Identity of its disk; 0 without the control role.
+  /// Identity of the node's disk; 0 without the control role.
   ReplicaId replica;
-  /// What its build reads.
+  /// The level that its build can read.
   FeatureLevel feature_level = kFirstLevel;
-  /// A control node without a replica, which passes on what a replica says.
+  /// A control node without a replica, which relays what a replica reports.
   bool relays = false;
 };
 
 /// Message of kind kHeartbeat.
 struct NodeHeartbeat {
-  /// Names the heartbeat in its reply; 0 wants none.
+  /// Identifies the heartbeat in its reply; 0 requests no reply.
   uint64_t nonce = 0;
   ForwardedNode sender;
-  /// The sender wants a proof, and no pushes: it uses another control node.
+  /// The sender uses another control node: it wants a confirmation and no pushes.
   bool confirmation_only = false;
   std::vector<ReportedObservation> observations;
-  /// The sender may be told to use another control node.
+  /// The sender accepts a redirect to another control node.
   bool redirect = false;
   /// Only from a control node to the leader.
   std::vector<ForwardedNode> forwarded;
 };
 
-/// Why a control node that heard a heartbeat gives no proof. The proof may still follow.
+/// Why a control node replies to a heartbeat without a confirmation. The confirmation may still
+/// follow.
 enum class HeartbeatRefusal : uint8_t {
   kNone = 0,
   /// It holds no replica of the cluster group.
   kNoReplica = 1,
   /// It knows no leader, or no quorum confirmed the read.
   kNoQuorum = 2,
-  /// Another control node is to be used. Only said to nodes that allow it.
+  /// Redirect to another control node. Only sent to nodes that accept it.
   kUseAnother = 3,
 };
 
@@ -65,11 +66,11 @@
   Revision confirmed;
   /// Encoded ConfigurationDelta; empty if the node holds `confirmed`.
   std::string delta;
-  /// With a reason, `confirmed` and `delta` say nothing.
+  /// If set, `confirmed` and `delta` are unused.
   HeartbeatRefusal refusal = HeartbeatRefusal::kNone;
-  /// Who leads the cluster group; empty if that is not known.
+  /// Leader of the cluster group; empty if unknown.
   NodeId leader;
-  /// With kUseAnother.
+  /// Target of the redirect, with kUseAnother.
   ControlEndpoint use;
 };
 
@@ -80,35 +81,35 @@
   CommandMode mode = CommandMode::kPropose;
   std::string command;
   Duration timeout{0};
-  /// Node that asked, if a control node passed the command on.
+  /// Node that sent the command, if a control node forwarded it.
   NodeId origin;
 };
 
-/// Message of kind kCommandReply. Unavailable asks the sender to try again or elsewhere; any other
-/// code is final.
+/// Message of kind kCommandReply. Unavailable means that the sender should retry, here or
+/// elsewhere; any other code is final.
 struct GroupCommandReply {
   uint64_t id = 0;
   absl::StatusCode status = absl::StatusCode::kOk;
   std::string message;
   std::string result;
-  /// Where the reply is bound for, if it goes through another control node.
+  /// Node that the reply is forwarded to, if it passes through another control node.
   NodeId origin;
-  /// Who leads the group, if the replying node knows and does not lead itself; may be empty.
+  /// Leader of the group, if the replying node knows it and does not lead itself; may be empty.
   NodeId leader;
 };
 
-/// What the leader of the cluster group can be asked (command mode kQuery).
+/// Queries to the leader of the cluster group (command mode kQuery).
 enum class ClusterQueryKind : uint8_t {
-  kConfiguration = 1,  ///< answered with a full ConfigurationDelta
-  kLagging = 2,        ///< answered with the nodes that do not hold `revision`
-  kTime = 3,           ///< answered with the agreed time; tells the asking node's own
-  kFeatureLevel = 4,   ///< answered with the live node that reads least
+  kConfiguration = 1,  ///< replied to with a full ConfigurationDelta
+  kLagging = 2,        ///< replied to with the nodes that do not hold `revision`
+  kTime = 3,           ///< carries the sender's time; replied to with the agreed time
+  kFeatureLevel = 4,   ///< replied to with the live node of the lowest feature level
 };
 
 struct ClusterQuery {
   ClusterQueryKind kind = ClusterQueryKind::kConfiguration;
   Revision revision;
-  /// For kTime: who asks, and what its wall clock says.
+  /// For kTime: the sender and its wall clock.
   NodeId node;
   WallTime wall;
 };
@@ -117,11 +118,11 @@
 struct NodeProgress {
   NodeId node;
   Revision revision;
-  /// Why it lags: "gone", "leaving" or "behind".
+  /// Why it lags, for operators: "silent" or "behind".
   std::string reason;
 };
 
-/// As much of a message of kind kWorkRequest as is needed to pass it on.
+/// The part of a message of kind kWorkRequest that is needed to forward it.
 struct WorkRequestHead {
   StreamName stream;
   NodeId gateway;
