--- a/source/cluster/cluster_relay.cc
+++ b/source/cluster/cluster_relay.cc
@@ -48,7 +48,7 @@
 }
 
 void ClusterRelay::ConfirmRead(std::function<void(absl::Status)> done) {
-  if (client_ == nullptr) return done(absl::UnavailableError("no replica is followed"));
+  if (client_ == nullptr) return done(absl::UnavailableError("not following any replica"));
   client_->ConfirmRead(std::move(done));
 }
 
--- a/source/cluster/cluster_relay.h
+++ b/source/cluster/cluster_relay.h
@@ -1,6 +1,6 @@
-/// The cluster's configuration on a control node without a replica: what a replica elsewhere says,
-/// and its proofs. The node hands both on to the nodes that use it, so that replicas hear a few
-/// relays and not every node of the fleet.
+/// The cluster's configuration on a control node without a replica, with its confirmations, as
+/// received from a remote replica. The node forwards both to the nodes that use it, so that
+/// replicas serve a few relays instead of every node of the fleet.
 #pragma once
 
 #include <functional>
@@ -28,18 +28,18 @@
   void OnChange(std::function<void()> callback) { on_change_ = std::move(callback); }
   /// Begins to follow a replica; `replica` is the identity of this node's disk.
   void Start(ReplicaId replica);
-  /// Forgets what it held.
+  /// Stops following and drops the configuration.
   void Stop();
   bool running() const { return client_ != nullptr; }
 
   const Configuration& configuration() const;
-  /// Changes since `from`, as of the revision held.
+  /// Changes since `from`, up to the revision held.
   ConfigurationDelta DeltaSince(Revision from) const;
   Revision nodes_changed_at() const { return nodes_changed_at_; }
-  /// `done` once the configuration here holds everything committed before the call.
+  /// Calls `done` once the configuration here holds everything committed before the call.
   void ConfirmRead(std::function<void(absl::Status)> done);
   std::optional<NodeId> Leader() const;
-  /// The node is leaving.
+  /// Reports to the replica in use that this node is leaving.
   void SetLeaving();
   /// Messages of kinds kHeartbeatReply and kConfigurationPush.
   void Receive(const NodeId& from, const PeerMessage& message);
--- a/source/cluster/cluster_replica.cc
+++ b/source/cluster/cluster_replica.cc
@@ -22,14 +22,14 @@
 
 const ClusterStateMachine* ClusterReplica::state() const {
   if (groups_ == nullptr) return nullptr;
-  // The factory made it, so the type is known.
+  // The factory created it, so the type is known.
   return static_cast<const ClusterStateMachine*>(groups_->FindStateMachine(kClusterGroup));
 }
 
 bool ClusterReplica::UsesReplica() const {
   const ClusterStateMachine* machine = state();
   if (machine == nullptr) return false;
-  // A replica that was just made is behind what the relay has told.
+  // A new replica may be behind the relay.
   return relay_ == nullptr || !relay_->running() ||
          machine->configuration().revision >= relay_->configuration().revision;
 }
--- a/source/cluster/cluster_replica.h
+++ b/source/cluster/cluster_replica.h
@@ -1,5 +1,5 @@
-/// The cluster group as this node knows it: by its replica or, where it has none that is up to
-/// date, by a replica elsewhere (ClusterRelay).
+/// This node's view of the cluster group: from its own replica or, if it has no current one, from a
+/// remote replica (ClusterRelay).
 #pragma once
 
 #include <functional>
@@ -22,46 +22,47 @@
  public:
   explicit ClusterReplica(Environment& environment) : environment_(environment) {}
 
-  /// The state machine for the group; called by the group host's factory.
+  /// Creates the state machine of the group; called by the group host's factory.
   std::unique_ptr<StateMachine> MakeStateMachine(ClusterLimits limits, ClusterFaults faults);
   void Attach(GroupHost& groups) { groups_ = &groups; }
-  /// Called after each change of the configuration or of the founded groups.
+  /// Called after each change of the configuration or of the bootstrapped groups.
   void OnChange(std::function<void()> callback) { on_change_ = std::move(callback); }
 
-  /// Called for each applied announcement of a duty.
+  /// Called for each applied announcement of a task lease.
   void OnLeaseAnnounced(std::function<void(const HolderAnnouncement&)> callback) {
     on_duty_announced_ = std::move(callback);
   }
 
-  /// Outlives this object; none is used unless set.
+  /// `relay` outlives this object. Without a call no relay is used.
   void SetRelay(ClusterRelay& relay) { relay_ = &relay; }
-  /// Whether what is told here is that of the own replica.
+  /// Whether this view comes from the own replica.
   bool UsesReplica() const;
-  /// Whether a replica elsewhere is followed.
+  /// Whether a remote replica is followed.
   bool relaying() const { return relay_ != nullptr && relay_->running(); }
-  /// Whether there is a configuration here that may be proven.
+  /// Whether there is a configuration here that can be confirmed.
   bool CanConfirm() const;
-  /// Changes since `from`, as of the newest revision here.
+  /// Changes since `from`, up to the newest revision here.
   ConfigurationDelta DeltaSince(Revision from) const;
-  /// Revision of the last change of a node's record, as far as is known here.
+  /// Revision of the last change of a node's record, as far as known here.
   Revision nodes_changed_at() const;
 
   /// Null until this node has a replica.
   RaftGroup* group() const;
   /// Null until this node has a replica.
   const ClusterStateMachine* state() const;
-  /// Empty until a replica here or elsewhere has told it.
+  /// Empty until received from a replica, local or remote.
   const Configuration& configuration() const;
   const UsageLedger& usage() const;
   bool IsLeader() const;
   std::optional<NodeId> Leader() const;
 
-  /// Unavailable when not the leader; the outcome is unknown if leadership is lost on the way.
+  /// Unavailable if this node is not the leader; the outcome is unknown if leadership is lost
+  /// meanwhile.
   void Propose(ClusterCommand command, std::function<void(absl::StatusOr<ClusterResult>)> done);
-  /// The same for an encoded command, whose time is set by this node.
+  /// The same for an encoded command; this node sets its time.
   void ProposeEncoded(std::string_view command,
                       std::function<void(absl::StatusOr<std::string>)> done);
-  /// `done` once the state here holds everything committed before the call.
+  /// Calls `done` once the state here holds everything committed before the call.
   void ConfirmRead(std::function<void(absl::Status)> done);
 
  private:
--- a/source/cluster/cluster_submitter.cc
+++ b/source/cluster/cluster_submitter.cc
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr Duration kSubmitTimeout = std::chrono::seconds(10);
-/// A caller that may turn to another node waits this long at one that knows of no leader: as long
-/// as an election usually lasts once it has begun. Such callers give a node up after a second.
+/// About the length of an election. A caller that can turn to another node waits no longer than
+/// this at a node without a known leader.
 constexpr Duration kNoLeaderTimeout = std::chrono::milliseconds(300);
 
 }  // namespace
@@ -83,7 +83,7 @@
       if (result.ok()) {
         Change(std::move(change.operation), std::nullopt, std::move(change.done));
       } else {
-        change.done(absl::FailedPreconditionError("no session could be opened: " +
+        change.done(absl::FailedPreconditionError("opening a session failed: " +
                                                   std::string(result.status().message())));
       }
     }
--- a/source/cluster/cluster_submitter.h
+++ b/source/cluster/cluster_submitter.h
@@ -1,5 +1,5 @@
-/// Sends commands and queries of this control node itself to the leader of the cluster group,
-/// wherever it is.
+/// Sends this control node's own commands and queries to the leader of the cluster group, local or
+/// remote.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
   using EncodedCallback = std::function<void(absl::StatusOr<std::string>)>;
   using ResultCallback = std::function<void(absl::StatusOr<ClusterResult>)>;
 
-  /// `others` reaches the other control nodes.
+  /// `others` sends to the other control nodes.
   ClusterSubmitter(ClusterReplica& cluster, CommandService& commands,
                    std::unique_ptr<ControlClient> others)
       : cluster_(cluster), commands_(commands), others_(std::move(others)) {
@@ -27,13 +27,13 @@
     });
   }
 
-  /// Runs `operation` once, also if it has to be sent again: without the caller's own stamp it gets
-  /// one of a session of this node. DeadlineExceeded or Unavailable leave the outcome unknown.
+  /// Runs `operation` exactly once, even if it has to be resent: without a session stamp of the
+  /// caller it gets one of this node's session. DeadlineExceeded and Unavailable leave the outcome
+  /// unknown.
   void Change(ClusterOperation operation, std::optional<SessionStamp> session, ResultCallback done);
-  /// Runs an operation that may run more than once; it needs no session. Its caller may turn to
-  /// another node: where no leader is known, it is told so soon.
+  /// Runs an operation that tolerates repetition; it needs no session. Fails early if no leader is
+  /// known, so that the caller can turn to another node.
   void ChangeRepeatable(ClusterOperation operation, ResultCallback done);
-  /// Opens a session for a client.
   void OpenSession(ResultCallback done);
   void Query(const std::string& query, EncodedCallback done);
   /// Messages of kind kCommandReply.
@@ -45,7 +45,7 @@
     ResultCallback done;
   };
 
-  /// Where no leader is known, the command is given up after `no_leader_timeout`.
+  /// Without a known leader, the command fails after `no_leader_timeout`.
   void Submit(CommandMode mode, const std::string& command, Duration no_leader_timeout,
               EncodedCallback done);
   void SubmitCommand(ClusterCommand command, Duration no_leader_timeout, ResultCallback done);
