--- a/source/cluster/membership_manager.cc
+++ b/source/cluster/membership_manager.cc
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr Duration kTick = std::chrono::milliseconds(250);
-/// How often a follower passes on what it heard.
+/// How often a follower forwards the heartbeats it received.
 constexpr Duration kDigestInterval = std::chrono::seconds(1);
-/// Heartbeats come every second; a node unresponsive for this long is told as such.
+/// A lagging node without a heartbeat for this long is reported as unresponsive.
 constexpr Duration kUnresponsiveAfter = std::chrono::seconds(3);
-/// An observation that no gateway repeats counts no longer; the state found by it stays.
+/// An observation expires unless its gateway repeats it; the state derived from it stays.
 constexpr Duration kObservationTimeout = std::chrono::seconds(15);
 
 MemberState StateOf(PlatformMachineState state) {
@@ -64,7 +64,7 @@
   const TimePoint now = environment_.Now();
   nodes_.Record(heartbeat.sender, now);
   for (const ForwardedNode& node : heartbeat.forwarded) {
-    // Only the leader listens to others' words, or a word could go round for ever.
+    // Only the leader uses forwarded records; otherwise they could circulate forever.
     if (cluster_.IsLeader()) nodes_.Record(node, now);
   }
   for (const ReportedObservation& reported : heartbeat.observations) {
@@ -91,7 +91,7 @@
   next_digest_ = now + kDigestInterval;
   const auto leader = cluster_.Leader();
   if (leader) return SendDigest(*leader);
-  // A relay beats at the replica that it follows.
+  // A relay sends its heartbeats to the replica that it follows.
   if (!cluster_.relaying()) SendHeartbeatWithoutLeader();
 }
 
@@ -154,7 +154,7 @@
   proposing_ = true;
   cluster_.Propose({std::move(update), std::nullopt, {}},
                    alive_.Guard([this](const absl::StatusOr<ClusterResult>&) {
-                     // What did not get through is found again at the next tick.
+                     // Changes that failed to commit are found again at the next tick.
                      proposing_ = false;
                    }));
 }
@@ -163,7 +163,7 @@
   const TimePoint now = environment_.Now();
   const TimePoint since = now - timing_.node_lease;
   const auto& known = cluster_.configuration().nodes;
-  // The newest life at each address: another node that was there before is gone.
+  // The newest incarnation at each address: any other node recorded there is gone.
   std::map<std::string, Incarnation> newest_at;
   for (const auto& [node, liveness] : nodes_.nodes()) {
     if (liveness.last_seen < since) continue;
@@ -179,8 +179,8 @@
     gone_since_.erase(node);
     const auto found = known.find(node);
     if (found != known.end() && found->second == liveness.latest.record) continue;
-    // A new leader may have heard a message of a life that is over, and not yet the one that
-    // speaks.
+    // A new leader may have received a delayed message of a previous incarnation, and nothing yet
+    // from the current one.
     const bool older =
         found != known.end() && found->second.incarnation > liveness.latest.record.incarnation;
     if (older && now - leader_since_ <= timing_.node_lease) continue;
@@ -193,9 +193,9 @@
     if (record.state == MemberState::kGone) continue;
     const NodeLiveness* present = nodes_.FindSince(node, since);
     const bool responsive = present != nullptr;
-    // Its next life is among the changes already.
+    // Its next incarnation is among the changes already.
     if (responsive && present->latest.record.incarnation > record.incarnation) continue;
-    // A new leader waits until every node had the time to be heard.
+    // A new leader waits until every node had time to send a heartbeat.
     const bool unresponsive = !responsive && now - leader_since_ > timing_.node_lease;
     if (!unresponsive && !replaced(record)) continue;
     update.nodes.push_back(GoneRecord(record));
@@ -215,7 +215,7 @@
 }
 
 void MembershipManager::FindMachineChanges(UpdateMembers& update) const {
-  // An empty list is a fault of the platform, not the end of all machines.
+  // An empty list is a fault of the platform: it does not mean that all machines are gone.
   if (!platform_machines_ || platform_machines_->empty()) return;
   const Configuration& configuration = cluster_.configuration();
   for (const auto& [key, resource] : configuration.resources) {
@@ -223,7 +223,7 @@
     if (machine == nullptr) continue;
     const auto known = configuration.machines.find(key.name);
     const auto entry_in_list = platform_machines_->find(machine->address);
-    // A machine that was never entry_in_list may be too new for the list.
+    // A machine that was never in the list may be too new for it.
     if (entry_in_list == platform_machines_->end() && known == configuration.machines.end())
       continue;
     const MemberState state = entry_in_list == platform_machines_->end()
@@ -272,8 +272,7 @@
     status.incarnation = std::max(status.incarnation, observed.observation.incarnation);
   }
   for (const auto& [gateway, observed] : found->second) {
-    // A back end that was last_seen leaving without a word of its incarnation counts as the present
-    // one.
+    // A back end that was seen leaving, of unknown incarnation, counts as the current one.
     const Incarnation reported = observed.observation.incarnation;
     if (reported != status.incarnation && reported != Incarnation()) continue;
     if (observed.observation.leaving) status.state = MemberState::kLeaving;
@@ -288,7 +287,7 @@
     if (record.state == MemberState::kGone) continue;
     const auto found = nodes_.nodes().find(node);
     const bool unknown = found == nodes_.nodes().end();
-    // One that this leader has had the time to hear, and has not heard, is down.
+    // A node that had time to send a heartbeat to this leader and did not is down.
     if (unknown && all_reported) continue;
     const FeatureLevel level = unknown ? kFirstLevel : found->second.latest.feature_level;
     if (level < min.level) min = {level, node};
--- a/source/cluster/membership_manager.h
+++ b/source/cluster/membership_manager.h
@@ -1,5 +1,6 @@
-/// Finds out which nodes, machines and back ends are live, leaving or gone. Followers pass on what
-/// they hear; the leader of the cluster group decides and writes changes to the log, batched.
+/// Determines which nodes, machines and back ends are live, leaving or gone. Followers forward the
+/// heartbeats they receive; the leader of the cluster group decides and writes changes to the log
+/// in batches.
 #pragma once
 
 #include <functional>
@@ -23,20 +24,19 @@
   MembershipManager(Environment& environment, PeerTransport& transport, HttpCaller& platform,
                     ClusterReplica& cluster, const ControlNodeOptions& options);
 
-  /// Identity of this node's disk, known once the groups are open.
+  /// `own_replica`: identity of this node's disk, known once the groups are open.
   void Start(ReplicaId own_replica);
-  /// A heartbeat of a node, or a digest of another control node.
+  /// Handles a node's heartbeat, or a digest of another control node.
   void OnHeartbeat(const NodeHeartbeat& heartbeat);
   /// Called on the leader for each observation of a gateway.
   void OnObservation(ObservationListener listener) { listener_ = std::move(listener); }
-  /// This node is leaving.
   void SetLeaving() { self_.state = MemberState::kLeaving; }
 
   const NodeTable& nodes() const { return nodes_; }
   /// Nodes that are not gone and hold less than `revision`, with the reason. On the leader only.
   std::vector<NodeProgress> Lagging(Revision revision) const;
-  /// The node that reads min of those that are not gone; one that this leader has not had the
-  /// time to hear counts as of the first level. On the leader only.
+  /// The node with the lowest feature level of those that are not gone; a node from which this new
+  /// leader has not yet received a heartbeat counts as first level. On the leader only.
   LeastFeatureLevel MinLevel() const;
 
  private:
@@ -75,7 +75,7 @@
   size_t next_control_node_ = 0;
   TimePoint next_digest_;
   TimePoint last_digest_;
-  /// Since when this leader counts a node as gone.
+  /// When this leader first saw the node as gone.
   std::map<NodeId, TimePoint> gone_since_;
   std::map<EngineName, std::map<NodeId, Observed>> observed_;
   std::vector<ReportedObservation> unsent_observations_;
--- a/source/cluster/node_table.cc
+++ b/source/cluster/node_table.cc
@@ -9,7 +9,7 @@
   const bool same_incarnation = node.record.incarnation == liveness.latest.record.incarnation;
   const ReplicaId known_replica = liveness.latest.replica;
   liveness.latest = node;
-  // The gateway part of a process beats without the identity of the disk.
+  // The gateway part of a process sends heartbeats without the identity of the disk.
   if (same_incarnation && node.replica == ReplicaId()) liveness.latest.replica = known_replica;
   liveness.last_seen = now;
 }
--- a/source/cluster/node_table.h
+++ b/source/cluster/node_table.h
@@ -1,4 +1,5 @@
-/// What a control node heard of other nodes, and which of it is to be passed on to the leader.
+/// The latest heartbeat of each node as received by a control node, and which of them to forward to
+/// the leader.
 #pragma once
 
 #include <map>
@@ -17,18 +18,17 @@
 /// Lives on the node's serial executor.
 class NodeTable {
  public:
-  /// `takeover_after`: a life that was not heard for this long gives way to whichever one is.
+  /// `takeover_after`: an incarnation without a heartbeat for this long is replaced by any other
+  /// that sends one.
   explicit NodeTable(Duration takeover_after) : takeover_after_(takeover_after) {}
 
-  /// Notes a heartbeat. A life that began later takes the place of the one held at once; one that
-  /// began older does once the one held is unresponsive, since the times of their starts are those
-  /// of a clock that may have jumped in between. Until then its heartbeats count as held up on the
-  /// way.
+  /// Records a heartbeat. A newer incarnation replaces the recorded one at once. An older one does
+  /// so only once the recorded one is unresponsive: incarnations come from a clock that may have
+  /// been set back. Until then its heartbeats count as delayed messages and are ignored.
   void Record(const ForwardedNode& node, TimePoint now);
-  /// Forgets `node`.
   void Erase(const NodeId& node) { nodes_.erase(node); }
   const std::map<NodeId, NodeLiveness>& nodes() const { return nodes_; }
-  /// Null if `node` was not heard since `since`.
+  /// Null if there was no heartbeat of `node` since `since`.
   const NodeLiveness* FindSince(const NodeId& node, TimePoint since) const;
 
  private:
