--- a/source/cluster/replica_manager.cc
+++ b/source/cluster/replica_manager.cc
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr Duration kTick = std::chrono::milliseconds(250);
-/// Warm replicas beside the voters: whichever voter is lost, one of its zone takes its place, and a
-/// zone that is lost leaves those of the others. Each entry is sent to and synced by every replica,
-/// so their number follows from what is to be borne and not from the control nodes there are.
+/// Learners kept beside the voters, so that each lost voter can be replaced within its zone, and
+/// the loss of a zone leaves the learners of the others. Every replica receives and syncs each
+/// entry, so the number does not grow with the control nodes.
 constexpr size_t kLearnersPerZone = 1;
 
 const GroupMember* FindReplica(const std::vector<GroupMember>& members, ReplicaId replica) {
@@ -88,8 +88,7 @@
   const TimePoint now = environment_.Now();
   const NodeLiveness* liveness = nodes_.FindSince(member.node, now - replace_after_);
   if (liveness != nullptr) {
-    // The node is there with another disk: this replica is gone, whether the new one joins or
-    // relays.
+    // The node runs with another disk: this replica is lost, whether the new one joins or relays.
     const ReplicaId present = liveness->latest.replica;
     return present != ReplicaId() && present != member.replica;
   }
@@ -122,7 +121,7 @@
 
 bool ReplicaManager::PromoteToSpread(RaftGroup& group, const std::vector<GroupMember>& members) {
   const std::vector<GroupMember> voters = HealthyVoters(members);
-  // Only a group that is whole is rearranged.
+  // Only a complete group is rearranged.
   if (voters.size() != target_voters_ || CountVoters(members) != target_voters_) return false;
   const auto learner = BestLearner(members);
   if (!learner || !SpreadsBetter(ZoneOf(learner->node), ZonesOf(voters))) return false;
@@ -144,9 +143,9 @@
   const size_t voters = CountVoters(members);
   for (const GroupMember& member : members) {
     if (!IsLost(member)) continue;
-    // A lost voter stays until another has taken its place: the quorum must not shrink.
+    // A lost voter stays until it is replaced: the quorum must not shrink.
     if (member.voter && voters <= target_voters_) continue;
-    // A learner that is away may come back with its log.
+    // An unresponsive learner may come back with its log.
     const NodeLiveness* liveness =
         nodes_.FindSince(member.node, environment_.Now() - replace_after_);
     if (!member.voter && liveness == nullptr) continue;
@@ -168,7 +167,7 @@
 bool ReplicaManager::RemoveRetired(RaftGroup& group, const std::vector<GroupMember>& members) {
   for (const GroupMember& member : members) {
     if (!IsRetired(member.node)) continue;
-    // A voter stays until another has taken its place: the quorum must not shrink.
+    // A voter stays until it is replaced: the quorum must not shrink.
     if (member.voter && CountVoters(members) <= target_voters_) continue;
     if (member.node != self_) {
       Remove(group, member);
@@ -207,8 +206,8 @@
       continue;
     if (latest.record.state != MemberState::kLive) continue;
     if (FindReplica(members, latest.replica) != nullptr || IsRetired(node)) continue;
-    // One that relays does without a replica. Any other is of a build that can't, or has a replica
-    // that it would go on to use though it is no member.
+    // A relay works without a replica. Any other node is of a build that cannot relay, or has a
+    // replica that it would keep using although it is no longer a member.
     if (latest.relays && !NeedsLearner(latest.record.zone, members)) continue;
     candidates.push_back({latest.replica, node, latest.record.address, false});
   }
--- a/source/cluster/replica_manager.h
+++ b/source/cluster/replica_manager.h
@@ -1,8 +1,8 @@
-/// Keeps every group at its full number of voters. On the leader of a group: candidates with a disk
-/// join as learners, warm learners take the place of lost and retired voters, whose replicas are
-/// removed then. Voters of the cluster group are spread over zones: a learner takes the place of a
-/// voter in a crowded one, which stays as a learner's node. The members of stream groups follow
-/// those of the cluster group.
+/// Keeps every group at its full number of voters. On the leader of a group: control nodes with a
+/// disk join as learners, learners replace lost and retired voters, whose replicas are then
+/// removed. Voters of the cluster group are spread over zones: a learner replaces a voter of a
+/// crowded zone, whose node stays as a learner. The members of stream groups follow those of the
+/// cluster group.
 #pragma once
 
 #include <map>
@@ -29,29 +29,30 @@
   void Tick();
   void ManageClusterGroup(RaftGroup& group);
   void ManageStreamGroup(RaftGroup& group);
-  /// Whether a step was taken.
+  /// Returns whether a change was started.
   bool AddNonMember(RaftGroup& group, const std::vector<GroupMember>& members);
-  /// Whether a control node of `zone` that does without a replica is to get one.
+  /// Whether a relay in `zone` is to get a replica.
   bool NeedsLearner(const Zone& zone, const std::vector<GroupMember>& members) const;
   bool PromoteIfShort(RaftGroup& group, const std::vector<GroupMember>& members);
-  /// A learner in a zone with fewer voters becomes one: a voter of the most crowded zone goes next.
+  /// Promotes a learner in a zone with fewer voters; a voter of the most crowded zone is removed
+  /// next.
   bool PromoteToSpread(RaftGroup& group, const std::vector<GroupMember>& members);
   /// The live learner in the zone with the fewest healthy voters.
   std::optional<GroupMember> BestLearner(const std::vector<GroupMember>& members) const;
   /// Removes one healthy voter if there are too many.
   bool RemoveSurplus(RaftGroup& group, const std::vector<GroupMember>& members);
   std::vector<GroupMember> HealthyVoters(const std::vector<GroupMember>& members) const;
-  /// As its latest heartbeat says; empty if it was not heard of.
+  /// According to its latest heartbeat; empty if there was none.
   Zone ZoneOf(const NodeId& node) const;
   std::vector<Zone> ZonesOf(const std::vector<GroupMember>& members) const;
   bool RemoveLost(RaftGroup& group, const std::vector<GroupMember>& members);
   bool RemoveRetired(RaftGroup& group, const std::vector<GroupMember>& members);
-  /// Commits that a retired control node holds no replica of the cluster group any more. The entry
-  /// stands behind that of the removal, so that the one is not committed without the other.
+  /// Commits that a retired control node no longer holds a replica of the cluster group. The entry
+  /// follows that of the removal in the log, so it cannot be committed without it.
   void ReportEmptied(const std::vector<GroupMember>& members);
   bool IsRetired(const NodeId& node) const;
   size_t CountVoters(const std::vector<GroupMember>& members) const;
-  /// Its node is silent for long, or is there with another disk.
+  /// Its node has been unresponsive for long, or runs with another disk.
   bool IsLost(const GroupMember& member) const;
 
   void Add(RaftGroup& group, GroupMember member);
@@ -66,10 +67,11 @@
   const Duration node_lease_;
   const size_t target_voters_;
   const NodeId self_;
-  /// Since when this node leads the cluster group; a new leader has not heard everyone yet.
+  /// Since when this node leads the cluster group; a new leader has not received heartbeats of all
+  /// nodes yet.
   TimePoint leader_since_;
   bool was_leader_ = false;
-  /// Groups with a membership change under way.
+  /// Groups with a membership change in progress.
   std::set<GroupId> changing_;
   bool reporting_emptied_ = false;
   ScopedTimer timer_;
