--- a/source/cluster/control_client.cc
+++ b/source/cluster/control_client.cc
@@ -9,7 +9,8 @@
 namespace millstair {
 namespace {
 
-/// One client a group; all of them ask the same control nodes, which pass commands on to leaders.
+/// One GroupClient for each group; all of them use the same control nodes, which forward commands
+/// to leaders.
 class GroupsControlClient : public ControlClient {
  public:
   GroupsControlClient(Environment& environment, PeerTransport& transport,
@@ -54,7 +55,7 @@
 
   Environment& environment_;
   PeerTransport& transport_;
-  /// In the order in which they are tried.
+  /// In the order of attempts.
   std::vector<NodeId> nodes_;
   std::map<GroupId, std::unique_ptr<GroupClient>> clients_;
   KnownLeader known_leader_;
--- a/source/cluster/control_client.h
+++ b/source/cluster/control_client.h
@@ -1,4 +1,4 @@
-/// Sends commands of a node to the leader of a group, through any control node.
+/// Sends a node's commands to the leader of a group through any control node.
 #pragma once
 
 #include <functional>
@@ -15,14 +15,14 @@
 
 namespace millstair {
 
-/// How a command is treated by the control node that gets it.
+/// How the receiving control node treats a command.
 enum class CommandMode : uint8_t {
-  kPropose = 1,  ///< appended to the group's log; the answer is the state machine's result
+  kPropose = 1,  ///< appended to the group's log; the reply is the state machine's result
   kQuery = 2,    ///< read by the leader after it confirmed its leadership
 };
 
-/// Lives on the node's serial executor. Commands carry their own protection against a resend
-/// (session, key, step id, sample id), so an unanswered one is repeated until its deadline.
+/// Lives on the node's serial executor. Each command carries its own protection against duplicates
+/// (session, key, step id, sample id), so an unanswered one is resent until its deadline.
 class ControlClient {
  public:
   using Callback = std::function<void(absl::StatusOr<std::string>)>;
@@ -33,7 +33,8 @@
                       Callback done) = 0;
   /// Messages of kind kCommandReply.
   virtual void Receive(const NodeId& from, const PeerMessage& message) = 0;
-  /// Who leads a group as far as this node knows is tried first; nobody is known unless set.
+  /// The leader of a group as far as this node knows, which is tried first. Unset: no leader is
+  /// known.
   using KnownLeader = std::function<std::optional<NodeId>(const GroupId&)>;
   virtual void SetKnownLeader(KnownLeader) {}
 };
--- a/source/cluster/control_endpoints.cc
+++ b/source/cluster/control_endpoints.cc
@@ -10,7 +10,8 @@
 ControlEndpoints::ControlEndpoints(std::vector<ControlEndpoint> endpoints, Zone own_zone,
                                    RandomEngine& random)
     : own_zone_(std::move(own_zone)) {
-  // std::shuffle differs between standard libraries; runs must be the same everywhere.
+  // std::shuffle differs between standard libraries; simulated runs must be reproducible
+  // everywhere.
   for (size_t i = endpoints.size(); i > 1; --i) {
     std::swap(endpoints[i - 1], endpoints[DrawBelow(random, i)]);
   }
@@ -30,7 +31,7 @@
   for (const ControlEndpoint& endpoint : known) {
     if (Entry* entry = Find(endpoint.node)) {
       if (entry->in_configuration && entry->endpoint == endpoint) continue;
-      // A node that was told its first control nodes by address alone learns their zones here.
+      // Endpoints configured by address alone get their zones here.
       *entry = {endpoint};
     } else {
       const size_t position = DrawBelow(random, ordered_.size() + 1);
@@ -72,7 +73,7 @@
 
 const ControlEndpoint& ControlEndpoints::NextCandidate() {
   candidate_ = (candidate_ + 1) % ordered_.size();
-  // The one in use has heartbeats under way already.
+  // The one in use already has heartbeats in flight.
   if (candidate_ == current_) candidate_ = (candidate_ + 1) % ordered_.size();
   return ordered_[candidate_].endpoint;
 }
--- a/source/cluster/control_endpoints.h
+++ b/source/cluster/control_endpoints.h
@@ -1,4 +1,4 @@
-/// The control nodes that a node knows: the one in use, and the order in which others are sent.
+/// The control nodes known to a node: the one in use, and the order in which others are contacted.
 #pragma once
 
 #include <vector>
@@ -8,10 +8,10 @@
 
 namespace millstair {
 
-/// Those of the own zone stand first, then the others, last those that the configuration does not
-/// hold or calls gone: its word may be wrong, and they are sent before nobody is. Within each part
-/// the order is random, so that nodes of one zone spread over its control nodes, and one that falls
-/// silent is not followed by the same other one everywhere. Not empty once it was not.
+/// Control nodes of the own zone come first, then other zones, then those that the configuration
+/// does not contain or marks as gone: the configuration may be wrong, so they remain as a last
+/// resort. Within each rank the order is random, so that the nodes of a zone spread over its
+/// control nodes, also after one of them fails. Never becomes empty again.
 class ControlEndpoints {
  public:
   ControlEndpoints(std::vector<ControlEndpoint> endpoints, Zone own_zone, RandomEngine& random);
@@ -20,28 +20,26 @@
   size_t size() const { return ordered_.size(); }
   /// Undefined if empty.
   const ControlEndpoint& current() const { return ordered_[current_].endpoint; }
-  /// In the order in which they are sent.
+  /// In the order in which they are contacted.
   std::vector<ControlEndpoint> all() const;
 
-  /// Takes over what the configuration says of control nodes; the one in use stays in use. Whether
-  /// anything is new.
+  /// Applies the control nodes of the configuration; the one in use stays in use. Returns whether
+  /// anything changed.
   bool Update(const std::vector<ControlEndpoint>& known, RandomEngine& random);
 
-  /// Uses another one; a node that is not known changes nothing.
+  /// Uses another one; an unknown node is ignored.
   void Choose(const NodeId& node);
-  /// True if the one in use is of another zone although the own zone has one.
+  /// True if the one in use is in another zone although the own zone has one.
   bool InForeignZone() const;
   bool IsInOwnZone(const NodeId& node) const;
 
-  /// The first to ask when the one in use is silent; then one after another, from the first again
-  /// after the last.
+  /// The first to contact when the one in use is unresponsive; then the next ones in a cycle.
   const ControlEndpoint& FirstCandidate();
   const ControlEndpoint& NextCandidate();
-  /// One of the own zone, another at each call. Undefined if there is none.
+  /// One of the own zone, in rotation. Undefined if there is none.
   const ControlEndpoint& NextOfOwnZone();
 
  private:
-  /// Parts of the order.
   enum class Rank : uint8_t { kOwnZone, kOtherZone, kNotInConfiguration };
 
   struct Entry {
@@ -52,7 +50,7 @@
   Rank RankOf(const Entry& entry) const;
   size_t OwnZoneCount() const;
   Entry* Find(const NodeId& node);
-  /// Sorts by rank and keeps the one in use.
+  /// Sorts by rank; the one in use stays in use.
   void Sort();
 
   Zone own_zone_;
