--- a/source/cluster/stream_host.cc
+++ b/source/cluster/stream_host.cc
@@ -38,7 +38,7 @@
 std::unique_ptr<StateMachine> StreamHost::MakeStateMachine(const GroupId& group) {
   const auto stream = StreamOfGroupId(group);
   if (!stream || factory_ == nullptr) return nullptr;
-  // While the groups are being opened the configuration is not known yet.
+  // While groups are opened at start, the configuration is not known yet.
   if (groups_ != nullptr && !IsCurrent(group)) return nullptr;
   return factory_->MakeStateMachine(group);
 }
@@ -60,7 +60,7 @@
 
 void StreamHost::Update() {
   if (groups_ == nullptr || factory_ == nullptr || update_timer_.armed()) return;
-  // Later, because this is called while a group applies an entry.
+  // Deferred, because this is called while a group applies an entry.
   update_timer_.Arm(Duration(0), [this] {
     OpenBootstrapped();
     BootstrapMissing();
@@ -78,7 +78,7 @@
     const bool initial_member =
         std::any_of(found.founders.begin(), found.founders.end(),
                     [own](const GroupMember& member) { return member.replica == own; });
-    // Others get the group from its leader, once they are members.
+    // Others get the group from its leader once they are members.
     if (!initial_member) continue;
     const auto opened = groups_->OpenGroup(group, found.founders);
     if (opened.ok()) {
@@ -129,7 +129,8 @@
     const GroupId id = group->id();
     if (!StreamOfGroupId(id) || IsCurrent(id)) continue;
     if (!confirming_deletion_.insert(id).second) continue;
-    // A replica that is still catching up may not know the stream yet, so the absence is confirmed.
+    // A replica that is still catching up may not know the stream yet, so the deletion is
+    // confirmed.
     cluster_.ConfirmRead(alive_.Guard([this, id](const absl::Status& status) {
       confirming_deletion_.erase(id);
       if (status.ok()) DropIfStillDeleted(id);
@@ -171,7 +172,7 @@
   if (!head.ok() || groups_ == nullptr) return;
   const GroupId group = Resolve(GroupId(std::string(kPrefix) + head->stream.value()));
   if (StreamLeader* leader = FindLeading(group)) return leader->ReceiveWork(from, message);
-  // Passed on once only, or it could go round while the leader changes.
+  // Forwarded only once; otherwise it could circulate while the leader changes.
   if (from != head->gateway) return;
   const RaftGroup* replica = groups_->Find(group);
   const auto leader = replica == nullptr ? std::nullopt : replica->Leader();
--- a/source/cluster/stream_host.h
+++ b/source/cluster/stream_host.h
@@ -1,5 +1,5 @@
 /// The stream groups of this node: opens the group of each Stream resource, drops those of deleted
-/// streams, and hands work requests to the leader of a stream.
+/// streams, and forwards work requests to the leader of a stream.
 #pragma once
 
 #include <map>
@@ -15,10 +15,10 @@
 
 namespace millstair {
 
-/// "stream/<name>@<generation>": the group of one stream, which differs from that of an earlier
-/// stream of the same name.
+/// "stream/<name>@<generation>": the group of one stream, distinct from that of an earlier stream
+/// of the same name.
 GroupId GroupOfStream(const FoundGroup& found);
-/// The stream of "stream/<name>" or "stream/<name>@<generation>"; none for other groups.
+/// The stream of "stream/<name>" or "stream/<name>@<generation>"; nullopt for other groups.
 std::optional<StreamName> StreamOfGroupId(const GroupId& group);
 
 class StreamHost {
@@ -26,17 +26,17 @@
   StreamHost(Environment& environment, PeerTransport& transport, ClusterReplica& cluster,
              std::unique_ptr<StreamFactory> factory, NodeId self);
 
-  /// State machine of a stream's group; null for a stream that is known to be deleted.
+  /// State machine of a stream's group; null if the stream is known to be deleted.
   std::unique_ptr<StateMachine> MakeStateMachine(const GroupId& group);
-  /// `groups` holds the groups found on disk.
+  /// `groups` contains the groups found on disk.
   void Start(GroupHost& groups);
-  /// Before the groups go.
+  /// Must be called before the groups are destroyed.
   void Stop();
-  /// The configuration, the founded groups or a leadership changed.
+  /// The configuration, the bootstrapped groups or a leadership changed.
   void Update();
-  /// A message of kind kWorkRequest.
+  /// Handles a message of kind kWorkRequest.
   void ReceiveWork(const NodeId& from, const PeerMessage& message);
-  /// The group that "stream/<name>" means now. Other names mean themselves.
+  /// The group that "stream/<name>" currently refers to. Other names are returned unchanged.
   GroupId Resolve(const GroupId& group) const;
   /// Null unless this node leads the group of the stream.
   StreamLeader* FindLeading(const GroupId& group);
@@ -47,7 +47,7 @@
   void BootstrapMissing();
   void DropDeleted();
   void DropIfStillDeleted(const GroupId& group);
-  /// Whether `group` is that of a stream as it is now.
+  /// Whether `group` belongs to a stream that exists now.
   bool IsCurrent(const GroupId& group) const;
   void NotifyLeaders();
   StreamLeader* LeaderOf(RaftGroup& group);
