--- a/source/duties/usage_report_protocol.h
+++ b/source/duties/usage_report_protocol.h
@@ -1,4 +1,5 @@
-/// What the holder of a task says to the platform. Implemented by the interface in use.
+/// Calls by which the lease holder reports usage to the platform. Implemented by the interface in
+/// use.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,7 @@
 
 namespace millstair {
 
-/// Who holds a task, and the number that rises when the holder changes.
+/// The holder of a task lease, with a fencing token that rises when the holder changes.
 struct TaskLeaseHolder {
   std::string machine;
   uint64_t fence = 0;
@@ -23,9 +24,9 @@
 
 enum class UsageReportAnswer : uint8_t {
   kTaken,
-  kBusy,     ///< too many calls now
-  kRefused,  ///< the platform takes no such call; it was not carried out
-  kUnknown,  ///< it may have been taken
+  kBusy,     ///< rate limited
+  kRefused,  ///< rejected as invalid and not carried out
+  kUnknown,  ///< it may have been accepted
 };
 
 /// "taken", "busy" and so on, for logs.
@@ -37,7 +38,7 @@
   virtual ~UsageReportProtocol() = default;
   virtual HttpRequest MakeUsageCall(const UsageStatement& statement,
                                     const TaskLeaseHolder& holder) const = 0;
-  /// `status` 0 is no answer.
+  /// `status` is 0 if there was no response.
   virtual UsageReportAnswer ReadAnswer(int status) const = 0;
 };
 
--- a/source/duties/usage_report_task.cc
+++ b/source/duties/usage_report_task.cc
@@ -8,23 +8,20 @@
 namespace millstair {
 namespace {
 
-/// How often the leader looks whether there is something to close or to send.
+/// How often the leader checks for windows to close or to send.
 constexpr Duration kTick = std::chrono::milliseconds(250);
-/// From the end of a window until its sum is fixed. A request is counted once it is answered (1.5 s
-/// at the most where time limits are usual), reported within half a second, and committed by
-/// another leader after an election at the latest.
+/// From the end of a window until its sum is fixed: covers a request's time limit, the reporting
+/// interval, and a commit that is delayed by an election.
 constexpr Duration kLateReportPeriod = std::chrono::milliseconds(3500);
-/// A call without an answer for this long is given up. A slow platform still answers within it.
+/// Longer than the response time of a slow platform.
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
-/// Before a call that was not taken is repeated: a window is due seconds after its end, and the
-/// platform takes a few tens of calls a second from all nodes.
+/// Delay before a failed call is repeated; bounded by the platform's limit on calls.
 constexpr Duration kRetryPause = std::chrono::milliseconds(500);
-/// A call that the platform refuses as such will hardly be taken sooner.
+/// Delay after a call that the platform refuses, and is unlikely to accept soon.
 constexpr Duration kRefusedPause = std::chrono::seconds(5);
-/// All windows are one subject: calls of two holders may not alternate.
+/// One subject for all windows, because calls of two holders must not alternate.
 constexpr char kSubject[] = "usage";
 
-/// The control node's side of the task.
 class ControlNodeUsageReportHost : public UsageReportHost {
  public:
   explicit ControlNodeUsageReportHost(ControlNode& control) : control_(control) {}
@@ -50,7 +47,6 @@
   ControlNode& control_;
 };
 
-/// The task on a control node.
 class ControlNodeUsageReportTask : public LeaderTask {
  public:
   ControlNodeUsageReportTask(Environment& environment, HttpCaller& http,
@@ -200,7 +196,7 @@
   if (answer != UsageReportAnswer::kTaken) return FinishCall(kRetryPause);
   host_.Propose(AcceptUsage{window}, alive_.Guard([this, term = term_](bool committed) {
     if (term != term_) return;
-    // Unknown: it is sent again, which the platform takes for a repeat.
+    // After an unknown outcome the call is repeated, which the platform treats as a duplicate.
     FinishCall(committed ? Duration(0) : kRetryPause);
     SendOldest();
   }));
--- a/source/duties/usage_report_task.h
+++ b/source/duties/usage_report_task.h
@@ -1,10 +1,10 @@
 /// Sends the platform the sum of each window of usage, once the window is over and the gateways'
 /// late reports are in.
 ///
-/// The leader of the cluster group holds the task, with its term as the fence. It has the sum of a
-/// window committed before the window is first sent, so that whoever sends it again sends the same.
-/// Before each call it commits an announcement; it makes the call soon after or not at all, and a
-/// new leader makes none until the lease of the last announcement of another node is over.
+/// The leader of the cluster group runs the task, with its term as the fencing token. It commits
+/// the sum of a window before it first sends it, so that a resend by any leader carries the same
+/// sum. Before each call it commits a lease announcement; it makes the call soon after or not at
+/// all, and a new leader makes none until the lease last announced by another node has expired.
 #pragma once
 
 #include <functional>
@@ -22,17 +22,19 @@
 
 namespace millstair {
 
-/// What the task needs of the control node on which it runs; outlives it.
+/// Interface to the control node that runs the task; outlives it.
 class UsageReportHost {
  public:
   virtual ~UsageReportHost() = default;
-  /// Term in which this node leads the cluster group; none while it does not lead.
+  /// Term in which this node leads the cluster group; nullopt while it does not lead.
   virtual std::optional<Term> LeadingTerm() const = 0;
   virtual const UsageLedger& ledger() const = 0;
   virtual std::optional<WallTime> AgreedTime() const = 0;
-  /// `done` tells whether this node still leads and has applied all that earlier leaders committed.
+  /// `done` gets whether this node still leads and has applied everything that earlier leaders
+  /// committed.
   virtual void CatchUp(std::function<void(bool)> done) = 0;
-  /// `done` tells whether the operation is committed and applied here; false leaves it unknown.
+  /// `done` gets whether the operation is committed and applied here; false leaves the outcome
+  /// unknown.
   virtual void Propose(ClusterOperation operation, std::function<void(bool)> done) = 0;
 };
 
@@ -42,9 +44,8 @@
   std::string machine;
   /// "ip:port" of the platform.
   std::string platform;
-  /// Length of a window.
   Duration window{0};
-  /// No call within this time of another holder's.
+  /// No call within this time of a call by another holder.
   Duration holder_lease = std::chrono::seconds(3);
 };
 
@@ -54,14 +55,14 @@
   UsageReportTask(Environment& environment, HttpCaller& http, const UsageReportProtocol& protocol,
                   UsageReportHost& host, UsageReportOptions options);
 
-  /// An announcement of any task was applied here, in the order of the log.
+  /// A lease announcement of any task was applied here, in the order of the log.
   void NoteAnnouncement(const HolderAnnouncement& announcement);
-  /// Called about once a second while the node leads, and when it begins to.
+  /// Called about once a second while the node leads, and when it becomes leader.
   void Run();
 
  private:
   void Tick();
-  /// Forgets what was under way in an earlier term.
+  /// Drops operations of an earlier term.
   void BeginTerm(Term term);
   void CatchUp();
   void CloseWindows();
@@ -69,7 +70,7 @@
   void Announce(UsageWindow window);
   void Send(UsageWindow window, TimePoint announced_at);
   void HandleAnswer(UsageWindow window, UsageReportAnswer answer);
-  /// Nothing is under way any more; the next call is made after `pause`.
+  /// Ends the current call; the next one is made after `pause`.
   void FinishCall(Duration pause);
 
   Environment& environment_;
@@ -79,11 +80,11 @@
   const UsageReportOptions options_;
   HolderLeases leases_;
   Term term_;
-  /// Everything that earlier leaders committed is applied here, their announcements among it.
+  /// Everything that earlier leaders committed is applied here, including their announcements.
   bool caught_up_ = false;
-  /// A proposal that closes windows is under way.
+  /// A proposal that closes windows is in progress.
   bool closing_ = false;
-  /// An announcement, a call or the note of its answer is under way.
+  /// An announcement, a call or the commit of its result is in progress.
   bool sending_ = false;
   TimePoint next_call_at_;
   std::unique_ptr<BoundedCall> call_;
@@ -91,7 +92,7 @@
   AliveFlag alive_;
 };
 
-/// The task on `control`, which outlives it.
+/// Creates the task on `control`, which outlives it.
 std::unique_ptr<LeaderTask> MakeUsageReportTask(Environment& environment, HttpCaller& http,
                                                 const UsageReportProtocol& protocol,
                                                 ControlNode& control, UsageReportOptions options);
