--- a/source/membership/platform_list.cc
+++ b/source/membership/platform_list.cc
@@ -31,7 +31,8 @@
 absl::StatusOr<PlatformMachines> ParsePlatformList(const std::string& json) {
   boost::json::error_code error;
   const boost::json::value document = boost::json::parse(json, error);
-  const auto invalid = absl::InvalidArgumentError("not a list of machines");
+  const auto invalid =
+      absl::InvalidArgumentError("invalid machine list: expected machines with address and state");
   if (error || !document.is_object()) return invalid;
   const auto* field = document.as_object().if_contains("machines");
   const auto* machines = field == nullptr ? nullptr : field->if_array();
@@ -48,7 +49,7 @@
   return result;
 }
 
-/// One reading of the list.
+/// One fetch of the list.
 class PlatformPoller::Call : public HttpCallObserver {
  public:
   explicit Call(PlatformPoller& poller) : poller_(poller) {}
@@ -108,14 +109,14 @@
 }
 
 void PlatformPoller::Poll() {
-  // A reading that has not ended by now is given up.
+  // Replaces a call that has not finished within the interval.
   call_ = std::make_unique<Call>(*this);
   timer_.Arm(interval_, [this] { Poll(); });
   call_->Start();
 }
 
 void PlatformPoller::Finish(absl::StatusOr<std::string> body) {
-  // The call ends in its own callback, so it is destroyed later.
+  // Runs in the call's own callback, so the call is destroyed later.
   auto machines =
       body.ok() ? ParsePlatformList(*body) : absl::StatusOr<PlatformMachines>(body.status());
   if (!machines.ok()) {
--- a/source/membership/platform_list.h
+++ b/source/membership/platform_list.h
@@ -1,4 +1,4 @@
-/// The platform's list of live and leaving machines. It lags behind reality.
+/// The platform's list of machines with their states. It lags behind their actual states.
 #pragma once
 
 #include <functional>
@@ -15,18 +15,19 @@
 
 enum class PlatformMachineState : uint8_t { kLive, kLeaving, kGone };
 
-/// State of each machine, by its address (an IP number).
+/// State of each machine, by IP address.
 using PlatformMachines = std::map<std::string, PlatformMachineState>;
 
-/// Reads {"machines":[{"address","state":"live|leaving|gone"}]}. InvalidArgument for anything else.
+/// Parses {"machines":[{"address","state":"live|leaving|gone"}]}. InvalidArgument for anything
+/// else.
 absl::StatusOr<PlatformMachines> ParsePlatformList(const std::string& json);
 
-/// Reads the list every `interval` while it is started. Failed readings change nothing.
+/// Fetches the list every `interval` while started. Failed fetches are logged and change nothing.
 class PlatformPoller {
  public:
   using Listener = std::function<void(const PlatformMachines&)>;
 
-  /// Polls nothing if `address` is empty.
+  /// Disabled if `address` is empty.
   PlatformPoller(Environment& environment, HttpCaller& http, std::string address, Duration interval,
                  Listener listener);
   ~PlatformPoller();
