--- a/test/cluster/cluster_fleet.cc
+++ b/test/cluster/cluster_fleet.cc
@@ -11,7 +11,7 @@
 namespace millstair {
 namespace {
 
-/// Time of day when a run begins.
+/// Wall clock when a run begins.
 constexpr Duration kFirstStart = std::chrono::hours(24);
 
 const std::string kCluster = "fleet";
@@ -96,7 +96,7 @@
   return std::make_unique<CallHandle>();
 }
 
-/// Sends as one incarnation of a process.
+/// Sends on behalf of one incarnation of a process.
 class FleetTransport : public PeerTransport {
  public:
   FleetTransport(ClusterFleet& fleet, std::string self, uint64_t incarnation)
@@ -175,7 +175,7 @@
 }
 
 Incarnation ClusterFleet::NewIncarnation(const std::string& name) {
-  // Starts in the same moment of virtual time differ too.
+  // Starts at the same moment of virtual time get different numbers.
   const Duration time_of_day = kFirstStart + scheduler_.Now() + clocks_[name];
   return Incarnation(static_cast<uint64_t>(time_of_day.count()) + ++starts_);
 }
--- a/test/cluster/cluster_fleet.h
+++ b/test/cluster/cluster_fleet.h
@@ -1,4 +1,4 @@
-/// A fleet of control nodes and gateways' clients in virtual time, for the tests of the cluster.
+/// Control nodes and gateways' clients in virtual time, for the tests of the cluster.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 
 namespace millstair {
 
-/// The answer to one request of an operator.
+/// The response to one request of an operator.
 struct RecordedAnswer {
   bool finished = false;
   int status = 0;
@@ -24,7 +24,7 @@
   uint64_t revision = 0;
 };
 
-/// Answers every reading of the machine list from `list`.
+/// Responds to every fetch of the machine list with `list`.
 class ListCaller : public HttpCaller {
  public:
   explicit ListCaller(const std::string& list) : list_(list) {}
@@ -35,7 +35,7 @@
   const std::string& list_;
 };
 
-/// What the leaders of streams on one control node were asked.
+/// Calls received by the stream leaders on one control node.
 struct StreamRecord {
   int work_requests = 0;
   int changes = 0;
@@ -61,8 +61,8 @@
   ClusterFaults faults;
   MembershipTiming membership;
   uint64_t snapshot_after_entries = 2000;
-  /// All nodes start in the same moment and are told of the three founders alone; else the founders
-  /// start, and each node is told of all control nodes.
+  /// If true, all nodes start at the same moment and know only the three initial members. Otherwise
+  /// only the initial members start, and each node knows all control nodes.
   bool know_initial_members_only = false;
 };
 
@@ -86,9 +86,9 @@
   /// "c1".. are control nodes, "g1".. gateways. Zones "z1".."z3" in turn.
   void Start(const std::string& name);
   void Crash(const std::string& name);
-  /// From its next start on, the node is of a build that says no feature level, or of this one.
+  /// From its next start on, the node is of a build that reports no feature level, or of this one.
   void SetFirstBuild(const std::string& name, bool first) { first_builds_[name] = first; }
-  /// From its next start on, the node's time of day is `ahead` of true time.
+  /// From its next start on, the node's wall clock is `ahead` of true time.
   void SetClock(const std::string& name, Duration ahead) { clocks_[name] = ahead; }
   void LoseDisk(const std::string& name) { disks_.at(name)->LoseDisk(); }
   FleetProcess& Process(const std::string& name) { return processes_.at(name); }
@@ -102,23 +102,23 @@
   bool RunUntil(const std::function<bool()>& condition, Duration span) {
     return scheduler_.RunUntilTrue(condition, span);
   }
-  /// Name of the process that leads the cluster group and is not isolated; empty if none.
+  /// The process that leads the cluster group and is not isolated; empty if none.
   std::string Leader();
-  /// Waits for a leader; its name.
+  /// Waits for a leader and returns its name.
   std::string AwaitLeader();
 
-  /// Sends an operator's request to `node`; the answer fills in later.
+  /// Sends an operator's request to `node`; the response is filled in later.
   std::shared_ptr<RecordedAnswer> Request(const std::string& node, const std::string& method,
                                           const std::string& target, const std::string& body = "",
                                           HttpHeaders headers = {});
-  /// The same, waiting for the answer.
+  /// The same, but waits for the response.
   RecordedAnswer RequestAndWait(const std::string& node, const std::string& method,
                                 const std::string& target, const std::string& body = "",
                                 HttpHeaders headers = {});
-  /// Puts a machine resource through any control node that runs; its revision.
+  /// Puts a machine resource through the leader; returns its revision.
   Revision PutMachine(const std::string& name, bool drain = false);
 
-  /// Bytes of payload that gateways sent and received.
+  /// Payload bytes that gateways sent and received.
   uint64_t gateway_bytes() const { return gateway_bytes_; }
 
   /// Messages of kind kHeartbeat that reached `name`.
@@ -127,24 +127,24 @@
     return found == heartbeats_at_.end() ? 0 : found->second;
   }
 
-  /// Bytes of payload that `name` sent and that arrived.
+  /// Payload bytes from `name` that were delivered.
   uint64_t bytes_from(const std::string& name) const {
     const auto found = bytes_from_.find(name);
     return found == bytes_from_.end() ? 0 : found->second;
   }
 
-  /// Pushes of configuration changes that reached gateways.
+  /// Pushes of configuration changes delivered to gateways.
   uint64_t pushes() const { return pushes_; }
 
   std::string machine_list = "{\"machines\":[]}";
-  /// True once a node's configuration went back to a smaller revision.
+  /// Set once a node's configuration went back to a smaller revision.
   bool revision_decreased = false;
 
  private:
   friend class FleetTransport;
 
   void Deliver(const NodeId& from, const NodeId& to, const PeerMessage& message);
-  /// As the product numbers lives: the time of day at the start, in microseconds.
+  /// Numbered as in the product: the wall clock at the start, in microseconds.
   Incarnation NewIncarnation(const std::string& name);
   bool IsReachable(const std::string& from, const std::string& to) const;
   std::vector<ControlEndpoint> Endpoints() const;
--- a/test/cluster/control_clients_test.cc
+++ b/test/cluster/control_clients_test.cc
@@ -134,7 +134,7 @@
   for (const SentMessage& sent : fixture.transport.sent) ++heartbeats[sent.to];
   CHECK(heartbeats.size() == 3);
   CHECK(fixture.transport.sent.size() <= 5);
-  // An answer to an earlier heartbeat counts, and from then on there is no hurry.
+  // A reply to an earlier heartbeat counts, and ends the search.
   const uint64_t first = DecodeHeartbeat(fixture.transport.sent[0].message.payload)->nonce;
   fixture.Answer(first, 0);
   CHECK(fixture.client->LeaseValid());
@@ -153,7 +153,7 @@
   std::map<NodeId, int> heartbeats;
   for (const SentMessage& sent : fixture.transport.sent) ++heartbeats[sent.to];
   CHECK(heartbeats.size() == 3);
-  // Once all were sent, further refusals hurry nobody.
+  // Once each was contacted, further refusals trigger no requests.
   const size_t sent = fixture.transport.sent.size();
   for (int i = 0; i < 20; ++i) {
     fixture.Refuse(fixture.transport.sent.back().to, 1, HeartbeatRefusal::kNoReplica);
@@ -227,10 +227,8 @@
   CHECK(fixture.transport.sent.back().to == NodeId("c2"));
 }
 
-/// Nodes near a relay get their proofs by its reads, of which one message serves all of 10 ms
-/// (docs/design/fleet.md). The timer that gives a read up stays armed once the read is confirmed,
-/// and the next read is sent only with the relay's own heartbeat: 919 and 1,059 ms too_late by the
-/// default timing, of a lease of 4 s.
+/// Guards against a read that waits for the relay's next regular heartbeat because the timeout
+/// timer of an earlier, confirmed read is still armed.
 TEST_CASE("a relay sends each further read at once") {
   constexpr Duration kSentWithin = milliseconds(10);
   VirtualScheduler scheduler{1};
@@ -261,10 +259,8 @@
   }
 }
 
-/// A node that lacks much turns, in a search, to the control node that can prove it. What it had
-/// reported to the silent one may be lost, and was notified to the new one only with the next full
-/// report, up to five heartbeats later; the two other ways to another control node repeat it at
-/// once.
+/// Guards against losing observations that were reported to an unresponsive control node: they must
+/// be repeated at once after a switch to a control node that is ahead.
 TEST_CASE("a node that switches to a control node ahead of it repeats its observations") {
   ClientFixture fixture;
   fixture.client->Report({EngineName("e"), Incarnation(3), true});
--- a/test/cluster/control_node_test.cc
+++ b/test/cluster/control_node_test.cc
@@ -40,9 +40,8 @@
   return voters;
 }
 
-/// While a leader is elected answers take longer than the step of a search, so gateways ask all
-/// control nodes. 10 changes to 8 gateways in the 5 s after it: 160 pushes when each node
-/// asked pushed as well, 89 now.
+/// During an election gateways contact all control nodes; only the one in use may push changes to
+/// them.
 TEST_CASE(
     "a node is pushed changes by the control node that it uses, and by no other it contacted") {
   constexpr int kGateways = 8;
@@ -60,7 +59,7 @@
     newest = fleet.PutMachine(fmt::format("m{}", i));
     fleet.RunFor(milliseconds(100));
   }
-  // The node that was lost is found elapsed meanwhile, a change too.
+  // The isolated node is recorded as gone meanwhile, which is a change too.
   constexpr int kOtherChanges = 2;
   CHECK(fleet.pushes() - before <= (kChanges + kOtherChanges) * kGateways);
   for (int i = 1; i <= kGateways; ++i) CHECK(Holds(fleet, fmt::format("g{}", i), newest));
@@ -115,7 +114,7 @@
     ClusterFleet fleet({.faults = faults});
     fleet.AwaitLeader();
     fleet.RunFor(seconds(5));
-    // Only the control machines lose sight of c1; g1 of the same zone still reaches it.
+    // c1 is isolated from the control nodes only; g1 of the same zone still reaches it.
     for (const char* other : {"c2", "c3"}) {
       fleet.CutLink("c1", other);
       fleet.CutLink(other, "c1");
@@ -295,7 +294,7 @@
   fleet.Crash(lost);
   REQUIRE(fleet.RunUntil(
       [&] {
-        // On every machine that is left, so that the last change is committed.
+        // On every remaining node, so that the last change is committed.
         for (const std::string node : {"c1", "c2", "c3", "c4"}) {
           if (node == lost) continue;
           const auto members =
@@ -326,14 +325,14 @@
   };
   propose(RetireNode{{NodeId(retired), false}});
   fleet.RunFor(seconds(5));
-  // Nobody can take its place yet.
+  // There is no replacement yet.
   REQUIRE(held().retired_nodes.contains(NodeId(retired)));
   CHECK_FALSE(held().retired_nodes.at(NodeId(retired)).emptied);
   CHECK(Voters(fleet) == 3);
   fleet.Start("c4");
   REQUIRE(fleet.RunUntil([&] { return held().retired_nodes.at(NodeId(retired)).emptied; },
                          seconds(10)));
-  // The machine goes with its disk, and right after it another one is lost.
+  // The machine is lost with its disk, and right after it another one fails.
   fleet.Crash(retired);
   fleet.LoseDisk(retired);
   const auto members = ClusterMembers(fleet);
--- a/test/cluster/fake_configuration_client.h
+++ b/test/cluster/fake_configuration_client.h
@@ -1,4 +1,4 @@
-/// A node's configuration as a test sets it, in position of what control nodes tell.
+/// A configuration client whose configuration is set by a test.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 namespace millstair {
 
-/// Proven or not as the test says; work never waits for a proof.
+/// The test sets whether the configuration is confirmed; work never waits for a confirmation.
 class FakeConfigurationClient : public ConfigurationClient {
  public:
   void Start() override {}
@@ -26,7 +26,7 @@
   void SetLeaving() override { leaving = true; }
   void Receive(const NodeId&, const PeerMessage&) override {}
 
-  /// Takes over `configuration` and tells the listeners.
+  /// Applies `configuration` and notifies the listeners.
   void Set(Configuration configuration) {
     held = std::move(configuration);
     for (const auto& listener : listeners) listener(ConfigurationDelta{});
--- a/test/cluster/freshness_gate_test.cc
+++ b/test/cluster/freshness_gate_test.cc
@@ -1,4 +1,4 @@
-/// When work waits for a proof of the configuration, and when it does not.
+/// When work waits for a confirmation of the configuration, and when it does not.
 #include "cluster/freshness_gate.h"
 
 #include <catch2/catch.hpp>
--- a/test/cluster/node_restart_clock_test.cc
+++ b/test/cluster/node_restart_clock_test.cc
@@ -1,23 +1,6 @@
-/// What users saw: for 29 s, until all processes were started anew, two of 68 gateways sent
-/// requests by routes that acknowledged changes had replaced and refused those added. Their last
-/// proofs of freshness are 0.15 s apart; no control node answered them any more, and all answered
-/// the others.
-///
-/// Order of events, from logs of real processes (scripts/soak, restart_across_step; 11 and 81
-/// machines): a gateway starts while its time of day is ahead of what it is at the next start, some
-/// seconds later. All control nodes that hold the record of the former incarnation leave each
-/// heartbeat of the present one unanswered, without a push and without a line. One that lags
-/// answers: the record is committed up to 1.3 s after a start, and a control node that was
-/// suspended, or starts anew, is behind. From the moment at which it holds the record too there is
-/// no proof any more.
-///
-/// Evidence: "a later incarnation is known: 1796264394579352 after 1796264388493599" at all control
-/// nodes (6.1 s apart by the gateway's own clock), 30 heartbeats in 5 s with 0 answers and 0 pushes
-/// at the gateway; its one proof came 0.2 s after a suspended control node woke. On the users'
-/// landing the same: one proof from a control node that had just come back, none after, for the
-/// rest of its incarnation.
-///
-/// Cause: lives were ranked by the time of day at their start, and the proof hung on the rank.
+/// Guards against a gateway that gets no confirmations after a restart with its clock set back.
+/// Incarnations are numbered by the wall clock at the start, so the running incarnation may seem
+/// older than the recorded one.
 #include <catch2/catch.hpp>
 
 #include "fmt/format.h"
@@ -30,12 +13,12 @@
 using std::chrono::seconds;
 
 constexpr Duration kStep = milliseconds(20);
-/// A node that starts in calm times is proven within this long.
+/// A node that starts in a healthy cluster is confirmed within this time.
 constexpr Duration kMaxUnconfirmed = seconds(1);
-/// By then the record of the incarnation that speaks stands in place of one that is silent.
+/// By then the record of the running incarnation has replaced that of the unresponsive one.
 constexpr Duration kRecordTimeout = seconds(12);
 
-/// The longest time for which a gateway had no valid lease.
+/// The longest time for which the gateway had no valid lease.
 Duration LongestUnconfirmed(ClusterFleet& fleet, const std::string& gateway, Duration span) {
   Duration longest(0);
   Duration unconfirmed(0);
--- a/test/cluster/node_table_test.cc
+++ b/test/cluster/node_table_test.cc
@@ -1,4 +1,4 @@
-/// Which life of a node a control node believes.
+/// Which incarnation of a node is recorded.
 #include "cluster/node_table.h"
 
 #include <catch2/catch.hpp>
--- a/test/cluster/relay_test.cc
+++ b/test/cluster/relay_test.cc
@@ -1,6 +1,5 @@
-/// Control nodes without a replica: what a fleet of them, its gateways and its few replicas do, in
-/// virtual time. On a fleet of 150 control nodes each was a replica: every entry was sent and
-/// synced 150 times, and three of them, which all others asked at the start, ended by their memory.
+/// Control nodes without a replica: the number of replicas and the load on them must not grow with
+/// the number of control nodes.
 #include <catch2/catch.hpp>
 
 #include "common/random.h"
@@ -16,7 +15,7 @@
 
 constexpr size_t kVoters = 3;
 constexpr size_t kZones = 3;
-/// A change is to be in force everywhere within half a second.
+/// A change must be in force everywhere within this time.
 constexpr Duration kMaxPropagation = milliseconds(500);
 
 std::string GatewayName(int i) { return fmt::format("g{}", i); }
@@ -42,7 +41,7 @@
   return true;
 }
 
-/// Whether each gateway that holds the leader's revision holds its resources too.
+/// Whether each gateway at the leader's revision holds the leader's resources too.
 bool SameContent(ClusterFleet& fleet, int gateways) {
   const Configuration& truth = fleet.Process(fleet.AwaitLeader()).control->configuration();
   for (int i = 1; i <= gateways; ++i) {
@@ -52,7 +51,7 @@
   return true;
 }
 
-/// A control node that has no replica; empty if there is none.
+/// A running control node that has no replica; empty if there is none.
 std::string AnyRelay(ClusterFleet& fleet, int control_nodes) {
   for (int i = 1; i <= control_nodes; ++i) {
     const std::string name = fmt::format("c{}", i);
@@ -69,7 +68,7 @@
       {.control_nodes = control_nodes, .gateways = gateways, .know_initial_members_only = true});
   fleet.AwaitLeader();
   fleet.RunFor(seconds(20));
-  // One warm replica in each zone beside the voters.
+  // One learner in each zone beside the voters.
   CHECK(Members(fleet) <= kVoters + kZones);
   CHECK(Members(fleet) >= kVoters);
   CHECK(AllValid(fleet, gateways));
@@ -88,16 +87,15 @@
   const uint64_t before = fleet.heartbeats_at(leader);
   fleet.RunFor(seconds(10));
   const double received = static_cast<double>(fleet.heartbeats_at(leader) - before) / 10;
-  // Each gateway beats once a second; replicas share what relays could not merge. Beside that each
-  // control node sends the leader one digest a second.
+  // Each gateway sends one heartbeat a second, which the replicas share. In addition each control
+  // node sends the leader one digest a second.
   const double share = static_cast<double>(gateways) / static_cast<double>(kVoters + kZones);
   INFO(received << " heartbeats a second at " << size << " control nodes");
   CHECK(received <= share + size);
 }
 
-/// 1,135 nodes that start in one moment know three control nodes. Each of them sent the list of all
-/// nodes to all that asked it: 57 MB from one in half a second, 6.9 MB now (150 control nodes, 985
-/// others, virtual time).
+/// Guards against control nodes that are known to all nodes at the start sending the complete
+/// configuration to each of them.
 TEST_CASE("no control node known to all at the start sends the complete configuration to all") {
   constexpr int kControlNodes = 60;
   constexpr int kGateways = 400;
@@ -109,8 +107,8 @@
   const Configuration& held = fleet.Process("g1").configuration->configuration();
   REQUIRE(held.nodes.size() == kControlNodes + kGateways);
   const size_t complete_bytes = EncodeDelta(FullDelta(held)).size();
-  // Each of the others relays: once a initial_member, or another replica later, tells it all. Its
-  // own share of gateways is a few. Twice for what was sent before the list was complete_bytes.
+  // An initial member may send the complete configuration to each relay and to its own share of the
+  // gateways; the factor 2 allows for what it sent before the list of nodes was complete.
   constexpr size_t kOwnShare = kGateways / kControlNodes + 3;
   constexpr size_t kMaxCopies = 2 * (kControlNodes + kOwnShare);
   for (const char* initial_member : {"c1", "c2", "c3"}) {
@@ -161,7 +159,7 @@
   fleet.AwaitLeader();
   Revision newest;
   for (int round = 0; round < 25; ++round) {
-    // Founders may be killed too, but one at a time: a majority is left.
+    // Initial members may be killed too, but one at a time, so that a majority is left.
     const std::string name = fmt::format("c{}", 1 + DrawBelow(random, kControlNodes));
     const bool kills = DrawChance(random, 0.5);
     if (kills) {
@@ -176,8 +174,8 @@
       fleet.Heal(name);
     }
     newest = std::max(newest, fleet.PutMachine(fmt::format("m{}", round % 5)));
-    // What a gateway was proven has to be what it holds: a relay that answered with a new revision
-    // before it had noted what changed left routes out for good (404 for a route 2.5 s old).
+    // A gateway must hold the content of its confirmed revision: a relay that confirms a new
+    // revision before it recorded the changes would lose them for good.
     for (int step = 0; step < 50; ++step) {
       fleet.RunFor(milliseconds(10));
       REQUIRE(SameContent(fleet, kGateways));
@@ -189,9 +187,8 @@
   CHECK(AllHold(fleet, kGateways, newest));
 }
 
-/// A machine that came back without its disk relayed, and its earlier replica went on to count as a
-/// voter, since its node was received: after two of those the loss of two disks at the end of a day
-/// left no majority (lsipm-quotes-grown, trouble-2 --seed 495478178768: nothing served any more).
+/// Guards against counting the replica of a lost disk as a voter because its node is back as a
+/// relay: after two such losses, further disk losses would cost the majority.
 TEST_CASE("a voter whose disk was lost is replaced, though its node is back and relays") {
   constexpr int kControlNodes = 9;
   ClusterFleet fleet(
@@ -209,13 +206,13 @@
   size_t healthy = 0;
   for (const GroupMember& member : groups.Find(GroupId("cluster"))->Members()) {
     if (!member.voter) continue;
-    // A replica of a disk that is lost is nobody's.
+    // Every voter must exist on its node: none is of a lost disk.
     auto& own = fleet.Process(member.node.value()).control->groups();
     CHECK(own.Find(GroupId("cluster")) != nullptr);
     ++healthy;
   }
   CHECK(healthy == kVoters);
-  // One more is lost, as is to be borne.
+  // The group must survive the loss of one more.
   const std::string leader = fleet.Leader();
   fleet.Crash(leader);
   CHECK(fleet.PutMachine("m") > Revision());
@@ -227,7 +224,7 @@
       {.control_nodes = kControlNodes, .gateways = 6, .know_initial_members_only = true});
   fleet.AwaitLeader();
   fleet.RunFor(seconds(20));
-  // Founders are lost for good one after the other; each time another one takes the place.
+  // Initial members are lost for good one after the other; each time another node replaces it.
   for (const char* initial_member : {"c1", "c2", "c3"}) {
     fleet.Crash(initial_member);
     fleet.AwaitLeader();
--- a/test/cluster/stream_host_test.cc
+++ b/test/cluster/stream_host_test.cc
@@ -1,4 +1,4 @@
-/// Groups of streams on the control nodes, in virtual time.
+/// Stream groups on the control nodes, in virtual time.
 #include "cluster/stream_host.h"
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 
 using std::chrono::seconds;
 
-/// What gateways call the group; its replicas add the generation of the stream.
+/// The group's name as used by gateways; its replicas add the generation of the stream.
 const GroupId kGroup("stream/s");
 const std::vector<std::string> kInitialMembers = {"c1", "c2", "c3"};
 
@@ -90,7 +90,7 @@
   }
   fleet.RunFor(seconds(1));
   CHECK(fleet.Process(leader).streams.work_requests == 3);
-  // One that was passed on already and meets no leader is dropped.
+  // A forwarded request that reaches a node which does not lead is dropped.
   const std::string follower = leader == "c1" ? "c2" : "c1";
   fleet.Process(leader).transport->Send(NodeId(follower),
                                         {MessageKind::kWorkRequest, WorkFrom("g1")});
@@ -102,7 +102,7 @@
   ClusterFleet fleet({});
   PutStream(fleet);
   REQUIRE(fleet.RunUntil([&] { return !StreamLeaderOf(fleet).empty(); }, seconds(10)));
-  // A restarted replica first knows an old configuration; its group must stay.
+  // A restarted replica first has an old configuration; its group must stay.
   const std::string follower = fleet.Leader() == "c1" ? "c2" : "c1";
   fleet.Crash(follower);
   fleet.RunFor(seconds(1));
@@ -135,7 +135,7 @@
     return state;
   };
   CHECK(append("old") == "old");
-  // One replica is down while the stream is deleted and made anew.
+  // One replica is down while the stream is deleted and recreated.
   const std::string down = fleet.Leader() == "c1" ? "c2" : "c1";
   const GroupId earlier = GroupOn(fleet, down)->id();
   fleet.Crash(down);
@@ -192,7 +192,7 @@
   const uint64_t per_node_second = (fleet.gateway_bytes() - before) / (kNodes * kSeconds);
   INFO("bytes a second and node: " << per_node_second);
   CHECK(per_node_second < 400);
-  // A change reaches everyone as one delta, not as the complete_bytes state.
+  // A change reaches every node as one delta, not as the complete state.
   const uint64_t before_change = fleet.gateway_bytes();
   const Revision revision = fleet.PutMachine("m1");
   REQUIRE(fleet.RunUntil(
