--- a/test/duties/usage_report_history_test.cc
+++ b/test/duties/usage_report_history_test.cc
@@ -1,6 +1,6 @@
-/// Histories of the holders of the task of usage: leaders that change, that do not know yet that
-/// they were deposed, commits and calls that take long or get lost. What the platform sees must not
-/// depend on who holds the task.
+/// Random histories of the usage report's lease holders: leaders change, do not know yet that they
+/// were deposed, and their commits and calls are delayed or lost. What the platform sees must not
+/// depend on who holds the lease.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -48,8 +48,7 @@
   }
 };
 
-/// Calls arrive after up to 300 ms, also when their sender has given them up; some answers are
-/// lost.
+/// Calls arrive after up to 300 ms, even if their sender timed out; some responses are lost.
 class LossyPlatform : public HttpCaller {
  public:
   explicit LossyPlatform(VirtualScheduler& scheduler, RandomEngine& random)
@@ -89,8 +88,8 @@
   RandomEngine& random_;
 };
 
-/// A replicated log: what the leader of the newest term proposes is committed, and each node
-/// applies it in order, some time later.
+/// A replicated log: proposals by the leader of the newest term are committed, and each node
+/// applies them in order after a delay.
 class Log;
 
 class Replica : public UsageReportHost {
@@ -121,7 +120,7 @@
   VirtualEnvironment environment;
   TextProtocol protocol;
   UsageLedger state;
-  /// The term in which it believed_term to lead.
+  /// The term in which it believes it leads.
   std::optional<Term> believed_term;
   size_t applied = 0;
   UsageReportTask task;
@@ -138,7 +137,7 @@
     const auto term = proposer.believed_term;
     const Duration delay = DrawDuration(random_, milliseconds(1), milliseconds(400));
     scheduler_.Schedule(delay, [this, &proposer, term, operation = std::move(operation), done] {
-      // A deposed leader has no quorum; whether its proposal ran it learns late, or never.
+      // A deposed leader has no quorum and learns late whether its proposal was committed.
       if (!term || *term != newest_term) return done(false);
       Commit(operation);
       CatchUp(proposer, entries_.size());
@@ -165,7 +164,7 @@
     newest_term = Next(newest_term);
     for (Replica* replica : replicas) {
       if (replica == &leader || !replica->believed_term) continue;
-      // It does not know yet that it was deposed.
+      // The old leader learns late that it was deposed.
       const Duration delay = DrawDuration(random, milliseconds(0), milliseconds(1200));
       scheduler_.Schedule(delay, [replica, held = replica->believed_term] {
         if (replica->believed_term == held) replica->believed_term.reset();
@@ -224,7 +223,7 @@
   return received;
 }
 
-/// Whether holders act in turn, A, B and A again, within the lease.
+/// Whether calls of two holders alternate, A, B and A again, within the lease.
 bool CallsAlternate(const std::vector<ReceivedCall>& calls) {
   for (size_t i = 0; i < calls.size(); ++i) {
     bool other = false;
@@ -259,7 +258,7 @@
     REQUIRE_FALSE(CallsAlternate(calls));
     calls_seen += calls.size();
   }
-  // The property is worth something only if there were calls, and holders that followed another.
+  // Guards against a vacuous run: there must be calls and changes of the holder.
   CHECK(calls_seen > 2 * kSeeds);
   CHECK(changes_seen > kSeeds / 2);
 }
--- a/test/duties/usage_report_task_test.cc
+++ b/test/duties/usage_report_task_test.cc
@@ -1,4 +1,4 @@
-/// The task of usage against a scripted platform and a replicated ledger, in virtual time.
+/// The usage report task against a scripted platform and a replicated ledger, in virtual time.
 #include "duties/usage_report_task.h"
 
 #include <catch2/catch.hpp>
@@ -38,7 +38,7 @@
   }
 };
 
-/// The ledger and the announcements of the group, as each node applies them.
+/// The ledger and the announcements of the group, as applied by each node.
 class Group {
  public:
   explicit Group(VirtualScheduler& scheduler) : scheduler_(scheduler) {}
