--- a/source/cluster/command_service.cc
+++ b/source/cluster/command_service.cc
@@ -93,7 +93,7 @@
   const TimePoint now = environment_.Now();
   if (now >= level_queried_at_ + kLevelCacheLifetime) {
     level_queried_at_ = now;
-    can_group_reports_ = membership_.LeastLevel().level >= kGroupedReportsLevel;
+    can_group_reports_ = membership_.MinLevel().level >= kGroupedReportsLevel;
   }
   return can_group_reports_;
 }
@@ -117,7 +117,7 @@
   }
   if (query.kind == ClusterQueryKind::kFeatureLevel) {
     if (!cluster_.IsLeader()) return absl::UnavailableError("not the leader");
-    return EncodeLeastFeatureLevel(membership_.LeastLevel());
+    return EncodeMinFeatureLevel(membership_.MinLevel());
   }
   return EncodeDelta(FullDelta(cluster_.configuration()));
 }
--- a/source/cluster/control_messages.cc
+++ b/source/cluster/control_messages.cc
@@ -89,7 +89,7 @@
   wire.record = ToWire(arena, heartbeat.sender.record);
   wire.applied_revision = heartbeat.sender.applied.value();
   wire.replica = heartbeat.sender.replica.value();
-  wire.proof_only = heartbeat.proof_only;
+  wire.proof_only = heartbeat.confirmation_only;
   wire.feature_level = heartbeat.sender.feature_level;
   wire.relays = heartbeat.sender.relays;
   wire.redirect = heartbeat.redirect;
@@ -109,7 +109,7 @@
   heartbeat.nonce = wire.nonce;
   heartbeat.sender.applied = Revision(wire.applied_revision);
   heartbeat.sender.replica = ReplicaId(wire.replica);
-  heartbeat.proof_only = wire.proof_only;
+  heartbeat.confirmation_only = wire.proof_only;
   heartbeat.sender.feature_level = wire.feature_level;
   heartbeat.sender.relays = wire.relays;
   heartbeat.redirect = wire.redirect;
@@ -159,7 +159,7 @@
   }
   const bool names_another = reply.use.node != NodeId() && !reply.use.address.empty();
   if (reply.refusal == HeartbeatRefusal::kUseAnother && !names_another) {
-    return Invalid("heartbeat reply that names no other control node");
+    return Invalid("heartbeat redirect without a target");
   }
   return reply;
 }
@@ -272,7 +272,7 @@
   return WallTime(std::chrono::milliseconds((*decoded)->wall_milliseconds));
 }
 
-std::string EncodeLeastFeatureLevel(const MinFeatureLevel& least) {
+std::string EncodeMinFeatureLevel(const MinFeatureLevel& least) {
   WireArena arena;
   millstair_LeastFeatureLevel wire = millstair_LeastFeatureLevel_init_zero;
   wire.level = least.level;
@@ -280,7 +280,7 @@
   return EncodeNanopb(millstair_LeastFeatureLevel_fields, &wire);
 }
 
-absl::StatusOr<MinFeatureLevel> DecodeLeastFeatureLevel(std::string_view bytes) {
+absl::StatusOr<MinFeatureLevel> DecodeMinFeatureLevel(std::string_view bytes) {
   auto decoded = DecodedMessage<millstair_LeastFeatureLevel>::Decode(
       millstair_LeastFeatureLevel_fields, bytes);
   if (!decoded.ok()) return decoded.status();
--- a/source/cluster/control_node.cc
+++ b/source/cluster/control_node.cc
@@ -22,9 +22,9 @@
 namespace millstair {
 namespace {
 
-constexpr Duration kDutyInterval = std::chrono::seconds(1);
+constexpr Duration kLeaderTaskInterval = std::chrono::seconds(1);
 constexpr Duration kDrainPoll = std::chrono::milliseconds(100);
-/// Leaderships that could not be handed over by then go with the process.
+/// Leaderships not transferred by then are lost with the process.
 constexpr Duration kDrainTimeout = std::chrono::seconds(10);
 
 std::vector<ControlEndpoint> WithoutSelf(std::vector<ControlEndpoint> endpoints,
@@ -47,9 +47,9 @@
         relay_(environment, transport,
                {options_.self, WithoutSelf(options_.control_nodes, options_.self.node),
                 options_.configuration_timing, options_.faults}),
-        choice_(cluster_, options_.self.node),
-        push_(environment, transport, cluster_, choice_),
-        heartbeats_(environment, transport, cluster_, push_, choice_, options_.faults),
+        source_selector_(cluster_, options_.self.node),
+        push_(environment, transport, cluster_, source_selector_),
+        heartbeats_(environment, transport, cluster_, push_, source_selector_, options_.faults),
         membership_(environment, transport, platform, cluster_, options_),
         streams_(environment, transport, cluster_, std::move(streams), options_.self.node),
         commands_(environment, transport, cluster_, streams_, membership_, options_.self.node),
@@ -59,7 +59,7 @@
                                      options_.self.zone)),
         evacuation_(submitter_),
         operators_(environment, cluster_, submitter_, evacuation_),
-        duty_timer_(environment),
+        leader_task_timer_(environment),
         drain_timer_(environment) {}
 
   ~ReplicatedControlNode() override { streams_.Stop(); }
@@ -90,16 +90,18 @@
                                                  membership_.nodes(), options_);
     replicas_->Start();
     membership_.OnObservation([this](const NodeId& gateway, const EngineObservation& observation) {
-      for (const auto& duty : duties_) duty->Observe(gateway, observation);
+      for (const auto& task : leader_tasks_) task->Observe(gateway, observation);
     });
-    RunDuties();
+    RunLeaderTasks();
     return absl::OkStatus();
   }
 
   GroupHost& groups() override { return *groups_; }
   const Configuration& configuration() const override { return cluster_.configuration(); }
   bool IsClusterLeader() const override { return cluster_.IsLeader(); }
-  void AddDuty(std::unique_ptr<ClusterDuty> duty) override { duties_.push_back(std::move(duty)); }
+  void AddLeaderTask(std::unique_ptr<LeaderTask> task) override {
+    leader_tasks_.push_back(std::move(task));
+  }
 
   void Propose(ClusterCommand command,
                std::function<void(absl::StatusOr<ClusterResult>)> done) override {
@@ -113,14 +115,14 @@
 
   void ReportInstance(const BackendInstance& instance,
                       std::function<void(absl::StatusOr<ClusterResult>)> done) override {
-    const bool cold_news = cold_.NeedsCommit(instance.id, instance.cold_left, environment_.Now());
-    if (!cold_news && IsCommitted(instance)) return done(ClusterResult());
+    const bool cold_change = cold_.NeedsCommit(instance.id, instance.cold_left, environment_.Now());
+    if (!cold_change && IsCommitted(instance)) return done(ClusterResult());
     Submit(UpdateInstance{instance}, std::move(done));
   }
 
   void RetireMachine(const std::string& machine,
                      std::function<void(absl::StatusOr<ClusterResult>)> done) override {
-    const size_t voters = options_.voters != 0 ? options_.voters : options_.founders.size();
+    const size_t voters = options_.voters != 0 ? options_.voters : options_.initial_members.size();
     const absl::Status retirable =
         CheckRetirable(configuration(), machine, {voters, options_.storage_voters});
     if (retirable.ok()) return RetireAll(ReplicaNodesOf(configuration(), machine), std::move(done));
@@ -131,9 +133,9 @@
     done(refused);
   }
 
-  void EvacuateZone(const millstair::EvacuateZone& order,
+  void EvacuateZone(const millstair::EvacuateZone& evacuation,
                     std::function<void(absl::StatusOr<ClusterResult>)> done) override {
-    evacuation_.Submit(order, std::move(done));
+    evacuation_.Submit(evacuation, std::move(done));
   }
 
   void ConfirmRead(std::function<void(absl::Status)> done) override {
@@ -148,14 +150,14 @@
     cluster_.OnLeaseAnnounced(std::move(callback));
   }
 
-  bool Ready() const override { return cluster_.CanProve() && cluster_.Leader().has_value(); }
+  bool Ready() const override { return cluster_.CanConfirm() && cluster_.Leader().has_value(); }
 
   void Drain(std::function<void()> done) override {
     membership_.SetLeaving();
     relay_.SetLeaving();
     operators_.Drain();
     drain_until_ = environment_.Now() + kDrainTimeout;
-    HandOver(std::move(done));
+    TransferLeaderships(std::move(done));
   }
 
   void Receive(const NodeId& from, const PeerMessage& message) override {
@@ -185,7 +187,7 @@
   }
 
  private:
-  /// Retires the last of `nodes`, then the others; to retire a node again changes nothing.
+  /// Retires the last of `nodes`, then the others. Retiring a node twice is harmless.
   void RetireAll(std::vector<NodeId> nodes,
                  std::function<void(absl::StatusOr<ClusterResult>)> done) {
     if (nodes.empty()) return done(ClusterResult());
@@ -206,48 +208,48 @@
     return cluster_.MakeStateMachine(limits, options_.faults);
   }
 
-  /// A founder opens the group; any other node gets it from its leader once it has joined.
+  /// An initial member opens the group; any other node gets it from the leader once it has joined.
   absl::Status OpenClusterGroup(ReplicaId own) {
-    if (!options_.founding) return absl::OkStatus();
-    for (const GroupMember& founder : options_.founders) {
-      if (founder.replica != own) continue;
-      return groups_->OpenGroup(kClusterGroup, options_.founders).status();
+    if (!options_.bootstrap) return absl::OkStatus();
+    for (const GroupMember& member : options_.initial_members) {
+      if (member.replica != own) continue;
+      return groups_->OpenGroup(kClusterGroup, options_.initial_members).status();
     }
     return absl::OkStatus();
   }
 
-  /// Whether what is committed says all that the report does.
+  /// Whether the committed state contains everything in the report.
   bool IsCommitted(const BackendInstance& reported) const {
     const auto found = configuration().instances.find(reported.id);
     if (found == configuration().instances.end()) return false;
-    const BackendInstance& held = found->second;
-    // A life that is doubted, or claims to be another's successor, has to be counted.
-    if (held.superseded || held.rival.reports > 0) return false;
-    if (held.state < reported.state) return false;
-    if (reported.address.empty() || reported.sequence <= held.sequence) return true;
-    return held.address == reported.address && held.service == reported.service &&
-           held.models == reported.models && held.slots == reported.slots;
+    const BackendInstance& committed = found->second;
+    // Reports of a superseded instance, or of one with a competing incarnation, have to be counted.
+    if (committed.superseded || committed.rival.reports > 0) return false;
+    if (committed.state < reported.state) return false;
+    if (reported.address.empty() || reported.sequence <= committed.sequence) return true;
+    return committed.address == reported.address && committed.service == reported.service &&
+           committed.models == reported.models && committed.slots == reported.slots;
   }
 
   void ReceiveHeartbeat(const NodeId& from, const PeerMessage& message) {
     const auto heartbeat = DecodeHeartbeat(message.payload);
-    if (!heartbeat.ok()) return heartbeats_.NoteUnreadable(from, heartbeat.status());
-    membership_.Hear(*heartbeat);
-    if (heartbeat->nonce != 0) heartbeats_.Answer(*heartbeat);
+    if (!heartbeat.ok()) return heartbeats_.OnUnreadable(from, heartbeat.status());
+    membership_.OnHeartbeat(*heartbeat);
+    if (heartbeat->nonce != 0) heartbeats_.OnHeartbeat(*heartbeat);
   }
 
-  /// Called while an entry is applied: only notes and arms timers.
+  /// Called while an entry is applied: only sets flags and arms timers.
   void ConfigurationChanged() {
     push_.ConfigurationChanged();
     operators_.ConfigurationChanged();
     streams_.Update();
-    if (!duty_timer_soon_) {
-      duty_timer_soon_ = true;
-      duty_timer_.Arm(Duration(0), [this] { RunDuties(); });
+    if (!leader_tasks_due_) {
+      leader_tasks_due_ = true;
+      leader_task_timer_.Arm(Duration(0), [this] { RunLeaderTasks(); });
     }
   }
 
-  /// Follows a replica elsewhere while there is none here that is up to date.
+  /// Follows a remote replica while there is no current one here.
   void UpdateRelay() {
     if (relay_.running()) {
       if (cluster_.UsesReplica()) relay_.Stop();
@@ -258,31 +260,31 @@
 
   void LeadershipChanged() {
     streams_.Update();
-    duty_timer_.Arm(Duration(0), [this] { RunDuties(); });
+    leader_task_timer_.Arm(Duration(0), [this] { RunLeaderTasks(); });
   }
 
-  void RunDuties() {
-    duty_timer_soon_ = false;
-    duty_timer_.Arm(kDutyInterval, [this] { RunDuties(); });
+  void RunLeaderTasks() {
+    leader_tasks_due_ = false;
+    leader_task_timer_.Arm(kLeaderTaskInterval, [this] { RunLeaderTasks(); });
     UpdateRelay();
-    LearnAddresses();
+    UpdateAddresses();
     if (!cluster_.IsLeader()) return;
-    for (const auto& duty : duties_) duty->Run(cluster_.configuration());
+    for (const auto& task : leader_tasks_) task->Run(cluster_.configuration());
   }
 
-  /// So that stream leaders can answer gateways that never called on this node.
-  void LearnAddresses() {
-    // Not after each change of anything: 520 servers that register in a second would each cost a
-    // message to the transport for every node of the fleet.
-    if (cluster_.nodes_changed_at() == addresses_of_) return;
-    addresses_of_ = cluster_.nodes_changed_at();
+  /// Lets stream leaders reply to gateways that never contacted this node.
+  void UpdateAddresses() {
+    // Skipped unless nodes changed: it costs one message to the transport for each node of the
+    // fleet.
+    if (cluster_.nodes_changed_at() == addresses_updated_at_) return;
+    addresses_updated_at_ = cluster_.nodes_changed_at();
     for (const auto& [node, record] : cluster_.configuration().nodes) {
       if (node == options_.self.node || record.state == MemberState::kGone) continue;
       transport_.SetAddress(node, record.address);
     }
   }
 
-  void HandOver(std::function<void()> done) {
+  void TransferLeaderships(std::function<void()> done) {
     bool leads = false;
     for (RaftGroup* group : groups_->Groups()) {
       if (!group->IsLeader()) continue;
@@ -294,7 +296,7 @@
       group->TransferLeadership([](const absl::Status&) {});
     }
     if (!leads || environment_.Now() >= drain_until_) return done();
-    drain_timer_.Arm(kDrainPoll, [this, done = std::move(done)] { HandOver(done); });
+    drain_timer_.Arm(kDrainPoll, [this, done = std::move(done)] { TransferLeaderships(done); });
   }
 
   Environment& environment_;
@@ -304,7 +306,7 @@
 
   ClusterReplica cluster_;
   ClusterRelay relay_;
-  SourceChoice choice_;
+  SourceSelector source_selector_;
   PushService push_;
   HeartbeatService heartbeats_;
   MembershipManager membership_;
@@ -313,16 +315,16 @@
   ClusterSubmitter submitter_;
   ZoneEvacuation evacuation_;
   OperatorsApi operators_;
-  std::vector<std::unique_ptr<ClusterDuty>> duties_;
+  std::vector<std::unique_ptr<LeaderTask>> leader_tasks_;
   std::unique_ptr<GroupHost> groups_;
   std::unique_ptr<ReplicaManager> replicas_;
   ColdReports cold_;
   ReplicaId own_replica_;
-  /// Of the last change of nodes whose addresses the transport was told.
-  Revision addresses_of_;
-  bool duty_timer_soon_ = false;
+  /// Revision of the last node change whose addresses were set in the transport.
+  Revision addresses_updated_at_;
+  bool leader_tasks_due_ = false;
   TimePoint drain_until_;
-  ScopedTimer duty_timer_;
+  ScopedTimer leader_task_timer_;
   ScopedTimer drain_timer_;
   AliveFlag alive_;
 };
--- a/source/cluster/node_table.h
+++ b/source/cluster/node_table.h
@@ -1,4 +1,5 @@
-/// What a control node heard of other nodes, and which of it is to be passed on to the leader.
+/// The latest heartbeat of each node as received by a control node, and which of them to forward to
+/// the leader.
 #pragma once
 
 #include <map>
@@ -9,30 +10,30 @@
 
 namespace millstair {
 
-struct HeardNode {
+struct NodeLiveness {
   ForwardedNode latest;
-  TimePoint heard;
+  TimePoint last_seen;
 };
 
 /// Lives on the node's serial executor.
 class NodeTable {
  public:
-  /// `life_silence`: a life that was not heard for this long gives way to whichever one is.
-  explicit NodeTable(Duration life_silence) : life_silence_(life_silence) {}
-
-  /// Notes a heartbeat. A life that began later takes the place of the one held at once; one that
-  /// began earlier does once the one held is silent, since the times of their starts are those of a
-  /// clock that may have jumped in between. Until then its heartbeats count as held up on the way.
-  void Hear(const ForwardedNode& node, TimePoint now);
-  /// Forgets `node`.
+  /// `takeover_after`: an incarnation without a heartbeat for this long is replaced by any other
+  /// that sends one.
+  explicit NodeTable(Duration takeover_after) : takeover_after_(takeover_after) {}
+
+  /// Records a heartbeat. A newer incarnation replaces the recorded one at once. An older one does
+  /// so only once the recorded one is unresponsive: incarnations come from a clock that may have
+  /// been set back. Until then its heartbeats count as delayed messages and are ignored.
+  void Record(const ForwardedNode& node, TimePoint now);
   void Erase(const NodeId& node) { nodes_.erase(node); }
-  const std::map<NodeId, HeardNode>& nodes() const { return nodes_; }
-  /// Null if `node` was not heard since `since`.
-  const HeardNode* FindSince(const NodeId& node, TimePoint since) const;
+  const std::map<NodeId, NodeLiveness>& nodes() const { return nodes_; }
+  /// Null if there was no heartbeat of `node` since `since`.
+  const NodeLiveness* FindSince(const NodeId& node, TimePoint since) const;
 
  private:
-  const Duration life_silence_;
-  std::map<NodeId, HeardNode> nodes_;
+  const Duration takeover_after_;
+  std::map<NodeId, NodeLiveness> nodes_;
 };
 
 }  // namespace millstair
--- a/source/cluster/replica_manager.cc
+++ b/source/cluster/replica_manager.cc
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr Duration kTick = std::chrono::milliseconds(250);
-/// Warm replicas beside the voters: whichever voter is lost, one of its zone takes its place, and a
-/// zone that is lost leaves those of the others. Each entry is sent to and synced by every replica,
-/// so their number follows from what is to be borne and not from the control nodes there are.
+/// Learners kept beside the voters, so that each lost voter can be replaced within its zone, and
+/// the loss of a zone leaves the learners of the others. Every replica receives and syncs each
+/// entry, so the number does not grow with the control nodes.
 constexpr size_t kLearnersPerZone = 1;
 
 const GroupMember* FindReplica(const std::vector<GroupMember>& members, ReplicaId replica) {
@@ -32,17 +32,17 @@
       nodes_(nodes),
       replace_after_(options.membership_timing.replace_voter_after),
       node_lease_(options.membership_timing.node_lease),
-      target_voters_(options.voters != 0 ? options.voters : options.founders.size()),
+      target_voters_(options.voters != 0 ? options.voters : options.initial_members.size()),
       self_(options.self.node),
       timer_(environment) {}
 
 void ReplicaManager::Tick() {
   timer_.Arm(kTick, [this] { Tick(); });
   const bool leads = cluster_.IsLeader();
-  if (leads && !led_) leader_since_ = environment_.Now();
-  led_ = leads;
+  if (leads && !was_leader_) leader_since_ = environment_.Now();
+  was_leader_ = leads;
   for (RaftGroup* group : groups_.Groups()) {
-    if (!group->IsLeader() || busy_.contains(group->id())) continue;
+    if (!group->IsLeader() || changing_.contains(group->id())) continue;
     if (group->id() == kClusterGroup) {
       ManageClusterGroup(*group);
     } else {
@@ -53,18 +53,18 @@
 
 void ReplicaManager::ManageClusterGroup(RaftGroup& group) {
   const auto members = group.Members();
-  if (PromoteWhereShort(group, members)) return;
+  if (PromoteIfShort(group, members)) return;
   if (RemoveLost(group, members)) return;
   if (RemoveRetired(group, members)) return;
   ReportEmptied(members);
   if (RemoveSurplus(group, members)) return;
-  if (AddStranger(group, members)) return;
+  if (AddNonMember(group, members)) return;
   PromoteToSpread(group, members);
 }
 
 Zone ReplicaManager::ZoneOf(const NodeId& node) const {
-  const auto heard = nodes_.nodes().find(node);
-  return heard == nodes_.nodes().end() ? Zone() : heard->second.latest.record.zone;
+  const auto found = nodes_.nodes().find(node);
+  return found == nodes_.nodes().end() ? Zone() : found->second.latest.record.zone;
 }
 
 std::vector<Zone> ReplicaManager::ZonesOf(const std::vector<GroupMember>& members) const {
@@ -73,31 +73,30 @@
   return zones;
 }
 
-std::vector<GroupMember> ReplicaManager::SoundVoters(
+std::vector<GroupMember> ReplicaManager::HealthyVoters(
     const std::vector<GroupMember>& members) const {
-  std::vector<GroupMember> sound;
+  std::vector<GroupMember> healthy;
   for (const GroupMember& member : members) {
     const bool stays = !IsLost(member) && !IsRetired(member.node);
-    if (member.voter && stays) sound.push_back(member);
+    if (member.voter && stays) healthy.push_back(member);
   }
-  return sound;
+  return healthy;
 }
 
 bool ReplicaManager::IsLost(const GroupMember& member) const {
   if (member.node == self_) return false;
   const TimePoint now = environment_.Now();
-  const HeardNode* heard = nodes_.FindSince(member.node, now - replace_after_);
-  if (heard != nullptr) {
-    // The node is there with another disk: this replica is gone, whether the new one joins or
-    // relays.
-    const ReplicaId present = heard->latest.replica;
+  const NodeLiveness* liveness = nodes_.FindSince(member.node, now - replace_after_);
+  if (liveness != nullptr) {
+    // The node runs with another disk: this replica is lost, whether the new one joins or relays.
+    const ReplicaId present = liveness->latest.replica;
     return present != ReplicaId() && present != member.replica;
   }
   return now - leader_since_ > replace_after_;
 }
 
-bool ReplicaManager::PromoteWhereShort(RaftGroup& group, const std::vector<GroupMember>& members) {
-  if (SoundVoters(members).size() >= target_voters_) return false;
+bool ReplicaManager::PromoteIfShort(RaftGroup& group, const std::vector<GroupMember>& members) {
+  if (HealthyVoters(members).size() >= target_voters_) return false;
   const auto learner = BestLearner(members);
   if (!learner) return false;
   Promote(group, *learner);
@@ -110,19 +109,19 @@
   std::vector<GroupMember> learners;
   for (const GroupMember& member : members) {
     if (member.voter || IsLost(member) || IsRetired(member.node)) continue;
-    const HeardNode* heard = nodes_.FindSince(member.node, since);
-    if (heard == nullptr || heard->latest.replica != member.replica) continue;
-    if (heard->latest.record.state != MemberState::kLive) continue;
+    const NodeLiveness* liveness = nodes_.FindSince(member.node, since);
+    if (liveness == nullptr || liveness->latest.replica != member.replica) continue;
+    if (liveness->latest.record.state != MemberState::kLive) continue;
     learners.push_back(member);
   }
-  const auto best = LeastCrowded(ZonesOf(learners), ZonesOf(SoundVoters(members)));
+  const auto best = LeastCrowded(ZonesOf(learners), ZonesOf(HealthyVoters(members)));
   if (!best) return std::nullopt;
   return learners[*best];
 }
 
 bool ReplicaManager::PromoteToSpread(RaftGroup& group, const std::vector<GroupMember>& members) {
-  const std::vector<GroupMember> voters = SoundVoters(members);
-  // Only a group that is whole is rearranged.
+  const std::vector<GroupMember> voters = HealthyVoters(members);
+  // Only a complete group is rearranged.
   if (voters.size() != target_voters_ || CountVoters(members) != target_voters_) return false;
   const auto learner = BestLearner(members);
   if (!learner || !ImprovesSpread(ZoneOf(learner->node), ZonesOf(voters))) return false;
@@ -131,7 +130,7 @@
 }
 
 bool ReplicaManager::RemoveSurplus(RaftGroup& group, const std::vector<GroupMember>& members) {
-  const std::vector<GroupMember> voters = SoundVoters(members);
+  const std::vector<GroupMember> voters = HealthyVoters(members);
   if (voters.size() <= target_voters_) return false;
   const auto surplus = PickSurplus(ZonesOf(voters), IndexOf(voters, self_));
   if (!surplus) return false;
@@ -144,11 +143,12 @@
   const size_t voters = CountVoters(members);
   for (const GroupMember& member : members) {
     if (!IsLost(member)) continue;
-    // A lost voter stays until another has taken its place: the quorum must not shrink.
+    // A lost voter stays until it is replaced: the quorum must not shrink.
     if (member.voter && voters <= target_voters_) continue;
-    // A learner that is away may come back with its log.
-    const HeardNode* heard = nodes_.FindSince(member.node, environment_.Now() - replace_after_);
-    if (!member.voter && heard == nullptr) continue;
+    // An unresponsive learner may come back with its log.
+    const NodeLiveness* liveness =
+        nodes_.FindSince(member.node, environment_.Now() - replace_after_);
+    if (!member.voter && liveness == nullptr) continue;
     Remove(group, member);
     return true;
   }
@@ -167,15 +167,16 @@
 bool ReplicaManager::RemoveRetired(RaftGroup& group, const std::vector<GroupMember>& members) {
   for (const GroupMember& member : members) {
     if (!IsRetired(member.node)) continue;
-    // A voter stays until another has taken its place: the quorum must not shrink.
+    // A voter stays until it is replaced: the quorum must not shrink.
     if (member.voter && CountVoters(members) <= target_voters_) continue;
     if (member.node != self_) {
       Remove(group, member);
       return true;
     }
     const GroupId id = group.id();
-    busy_.insert(id);
-    group.TransferLeadership(alive_.Guard([this, id](const absl::Status&) { busy_.erase(id); }));
+    changing_.insert(id);
+    group.TransferLeadership(
+        alive_.Guard([this, id](const absl::Status&) { changing_.erase(id); }));
     return true;
   }
   return false;
@@ -196,22 +197,23 @@
   }
 }
 
-bool ReplicaManager::AddStranger(RaftGroup& group, const std::vector<GroupMember>& members) {
+bool ReplicaManager::AddNonMember(RaftGroup& group, const std::vector<GroupMember>& members) {
   const TimePoint since = environment_.Now() - node_lease_;
-  std::vector<GroupMember> strangers;
-  for (const auto& [node, heard] : nodes_.nodes()) {
-    const ForwardedNode& latest = heard.latest;
-    if (heard.heard < since || latest.replica == ReplicaId() || !latest.record.control) continue;
+  std::vector<GroupMember> candidates;
+  for (const auto& [node, liveness] : nodes_.nodes()) {
+    const ForwardedNode& latest = liveness.latest;
+    if (liveness.last_seen < since || latest.replica == ReplicaId() || !latest.record.control)
+      continue;
     if (latest.record.state != MemberState::kLive) continue;
     if (FindReplica(members, latest.replica) != nullptr || IsRetired(node)) continue;
-    // One that relays does without a replica. Any other is of a build that can't, or has a replica
-    // that it would go on to use though it is no member.
+    // A relay works without a replica. Any other node is of a build that cannot relay, or has a
+    // replica that it would keep using although it is no longer a member.
     if (latest.relays && !NeedsLearner(latest.record.zone, members)) continue;
-    strangers.push_back({latest.replica, node, latest.record.address, false});
+    candidates.push_back({latest.replica, node, latest.record.address, false});
   }
-  const auto best = LeastCrowded(ZonesOf(strangers), ZonesOf(members));
+  const auto best = LeastCrowded(ZonesOf(candidates), ZonesOf(members));
   if (!best) return false;
-  Add(group, strangers[*best]);
+  Add(group, candidates[*best]);
   return true;
 }
 
@@ -247,17 +249,17 @@
 
 void ReplicaManager::Add(RaftGroup& group, GroupMember member) {
   const GroupId id = group.id();
-  busy_.insert(id);
+  changing_.insert(id);
   LogEvent(EventId::kReplicaJoined, "group={} node={} replica={}", id, member.node, member.replica);
   group.AddLearner(std::move(member),
-                   alive_.Guard([this, id](const absl::Status&) { busy_.erase(id); }));
+                   alive_.Guard([this, id](const absl::Status&) { changing_.erase(id); }));
 }
 
 void ReplicaManager::Promote(RaftGroup& group, const GroupMember& member) {
   const GroupId id = group.id();
-  busy_.insert(id);
+  changing_.insert(id);
   group.Promote(member.replica, alive_.Guard([this, id, member](const absl::Status& status) {
-    busy_.erase(id);
+    changing_.erase(id);
     if (!status.ok()) return;
     LogEvent(EventId::kReplicaPromoted, "group={} node={} replica={}", id, member.node,
              member.replica);
@@ -266,11 +268,11 @@
 
 void ReplicaManager::Remove(RaftGroup& group, const GroupMember& member) {
   const GroupId id = group.id();
-  busy_.insert(id);
+  changing_.insert(id);
   LogEvent(EventId::kReplicaRemoved, "group={} node={} replica={}", id, member.node,
            member.replica);
   group.RemoveMember(member.replica,
-                     alive_.Guard([this, id](const absl::Status&) { busy_.erase(id); }));
+                     alive_.Guard([this, id](const absl::Status&) { changing_.erase(id); }));
 }
 
 }  // namespace millstair
--- a/source/cluster/stream_host.cc
+++ b/source/cluster/stream_host.cc
@@ -38,7 +38,7 @@
 std::unique_ptr<StateMachine> StreamHost::MakeStateMachine(const GroupId& group) {
   const auto stream = StreamOfGroupId(group);
   if (!stream || factory_ == nullptr) return nullptr;
-  // While the groups are being opened the configuration is not known yet.
+  // While groups are opened at start, the configuration is not known yet.
   if (groups_ != nullptr && !IsCurrent(group)) return nullptr;
   return factory_->MakeStateMachine(group);
 }
@@ -60,26 +60,26 @@
 
 void StreamHost::Update() {
   if (groups_ == nullptr || factory_ == nullptr || update_timer_.armed()) return;
-  // Later, because this is called while a group applies an entry.
+  // Deferred, because this is called while a group applies an entry.
   update_timer_.Arm(Duration(0), [this] {
-    OpenFounded();
-    FoundMissing();
+    OpenBootstrapped();
+    BootstrapMissing();
     DropDeleted();
-    TellLeaders();
+    NotifyLeaders();
   });
 }
 
-void StreamHost::OpenFounded() {
+void StreamHost::OpenBootstrapped() {
   if (cluster_.state() == nullptr) return;
   for (const auto& [stream, found] : cluster_.state()->bootstrapped_groups()) {
     const GroupId group = GroupOfStream(found);
     if (groups_->Find(group) != nullptr) continue;
     const ReplicaId own = groups_->identity().replica;
-    const bool founder =
+    const bool initial_member =
         std::any_of(found.initial_members.begin(), found.initial_members.end(),
                     [own](const GroupMember& member) { return member.replica == own; });
-    // Others get the group from its leader, once they are members.
-    if (!founder) continue;
+    // Others get the group from its leader once they are members.
+    if (!initial_member) continue;
     const auto opened = groups_->OpenGroup(group, found.initial_members);
     if (opened.ok()) {
       LogEvent(EventId::kStreamGroupOpened, "group={}", group);
@@ -90,18 +90,18 @@
   }
 }
 
-void StreamHost::FoundMissing() {
-  if (!cluster_.IsLeader() || founding_) return;
+void StreamHost::BootstrapMissing() {
+  if (!cluster_.IsLeader() || bootstrapping_) return;
   for (const auto& [key, resource] : cluster_.configuration().resources) {
     const StreamName stream(key.name);
     if (key.kind != ResourceKind::kStream) continue;
     if (cluster_.state()->bootstrapped_groups().contains(stream)) continue;
     BootstrapStreamGroup found{stream, Revision(), cluster_.group()->Members()};
     std::erase_if(found.initial_members, [](const GroupMember& member) { return !member.voter; });
-    founding_ = true;
+    bootstrapping_ = true;
     cluster_.Propose({std::move(found), std::nullopt, {}},
                      alive_.Guard([this](const absl::StatusOr<ClusterResult>& result) {
-                       founding_ = false;
+                       bootstrapping_ = false;
                        if (result.ok()) Update();
                      }));
     return;
@@ -128,10 +128,11 @@
   for (const RaftGroup* group : groups_->Groups()) {
     const GroupId id = group->id();
     if (!StreamOfGroupId(id) || IsCurrent(id)) continue;
-    if (!dropping_.insert(id).second) continue;
-    // A replica that is still catching up may not know the stream yet, so the absence is confirmed.
+    if (!confirming_deletion_.insert(id).second) continue;
+    // A replica that is still catching up may not know the stream yet, so the deletion is
+    // confirmed.
     cluster_.ConfirmRead(alive_.Guard([this, id](const absl::Status& status) {
-      dropping_.erase(id);
+      confirming_deletion_.erase(id);
       if (status.ok()) DropIfStillDeleted(id);
     }));
   }
@@ -153,7 +154,7 @@
   return leader.get();
 }
 
-void StreamHost::TellLeaders() {
+void StreamHost::NotifyLeaders() {
   for (RaftGroup* group : groups_->Groups()) {
     StreamLeader* leader = LeaderOf(*group);
     if (leader != nullptr) leader->OnChange(cluster_.configuration());
@@ -171,7 +172,7 @@
   if (!head.ok() || groups_ == nullptr) return;
   const GroupId group = Resolve(GroupId(std::string(kPrefix) + head->stream.value()));
   if (StreamLeader* leader = FindLeading(group)) return leader->ReceiveWork(from, message);
-  // Passed on once only, or it could go round while the leader changes.
+  // Forwarded only once; otherwise it could circulate while the leader changes.
   if (from != head->gateway) return;
   const RaftGroup* replica = groups_->Find(group);
   const auto leader = replica == nullptr ? std::nullopt : replica->Leader();
--- a/source/cluster/zone_evacuation.cc
+++ b/source/cluster/zone_evacuation.cc
@@ -18,7 +18,7 @@
 
 void ZoneEvacuation::SubmitIfSupported(const EvacuateZone& order,
                                        const absl::StatusOr<std::string>& answer, Done done) {
-  const auto min_level = answer.ok() ? DecodeLeastFeatureLevel(*answer) : answer.status();
+  const auto min_level = answer.ok() ? DecodeMinFeatureLevel(*answer) : answer.status();
   if (!min_level.ok()) return done(absl::UnavailableError(min_level.status().message()));
   if (min_level->level < kEvacuationLevel) {
     LogEvent(EventId::kFeatureNotRead, "node={} level={} needed={}", min_level->node,
--- a/source/jobs/ingress_node.h
+++ b/source/jobs/ingress_node.h
@@ -53,7 +53,7 @@
   /// Whether the routes are known, were confirmed current since the start, and this node is not
   /// isolated from the control nodes. An isolated gateway still forwards requests by the routes it
   /// has. Where the cluster has no majority all gateways stay ready.
-  bool Ready() const { return ready_ && !configuration_->CutOff(); }
+  bool Ready() const { return ready_ && !configuration_->IsIsolated(); }
   /// `callback` is called when this node becomes isolated from the control nodes, and when it no
   /// longer is.
   void OnCutOff(std::function<void(bool cut_off)> callback) { on_cut_off_ = std::move(callback); }
@@ -78,7 +78,7 @@
   const Configuration& configuration() const { return configuration_->configuration(); }
   bool LeaseValid() const { return configuration_->LeaseValid(); }
   /// Time since the configuration held was last confirmed current; nothing if it never was.
-  std::optional<Duration> ProofAge() const { return configuration_->ProofAge(); }
+  std::optional<Duration> ConfirmationAge() const { return configuration_->ConfirmationAge(); }
 
  private:
   void ConfigurationChanged(const ConfigurationDelta& changes);
--- a/source/jobs/job_group_bootstrapper.cc
+++ b/source/jobs/job_group_bootstrapper.cc
@@ -9,7 +9,7 @@
 namespace millstair {
 namespace {
 
-class JobGroupBootstrapper : public ClusterDuty {
+class JobGroupBootstrapper : public LeaderTask {
  public:
   JobGroupBootstrapper(Environment& environment, JobGroupBootstrapperOptions options,
                        std::function<void(ClusterCommand)> propose)
@@ -59,9 +59,9 @@
 
 }  // namespace
 
-std::unique_ptr<ClusterDuty> MakeJobGroupBootstrapper(Environment& environment,
-                                                      JobGroupBootstrapperOptions options,
-                                                      std::function<void(ClusterCommand)> propose) {
+std::unique_ptr<LeaderTask> MakeJobGroupBootstrapper(Environment& environment,
+                                                JobGroupBootstrapperOptions options,
+                                                std::function<void(ClusterCommand)> propose) {
   return std::make_unique<JobGroupBootstrapper>(environment, options, std::move(propose));
 }
 
--- a/source/jobs/job_group_bootstrapper.h
+++ b/source/jobs/job_group_bootstrapper.h
@@ -23,8 +23,8 @@
 };
 
 /// A leader task of the cluster group; proposes through `propose`.
-std::unique_ptr<ClusterDuty> MakeJobGroupBootstrapper(Environment& environment,
-                                                      JobGroupBootstrapperOptions options,
-                                                      std::function<void(ClusterCommand)> propose);
+std::unique_ptr<LeaderTask> MakeJobGroupBootstrapper(Environment& environment,
+                                                JobGroupBootstrapperOptions options,
+                                                std::function<void(ClusterCommand)> propose);
 
 }  // namespace millstair
--- a/source/server/node_options.cc
+++ b/source/server/node_options.cc
@@ -33,7 +33,7 @@
   ConfigurationTiming configuration;
   configuration.lease = timing.leave_bound * 7 / 10;
   configuration.heartbeat = configuration.lease / 4;
-  configuration.source_timeout = configuration.heartbeat + configuration.answer_patience;
+  configuration.source_timeout = configuration.heartbeat + configuration.reply_timeout;
   return configuration;
 }
 
@@ -75,8 +75,8 @@
   options.self = self;
   options.cluster_id = settings.cluster;
   options.control_nodes = EndpointsOf(settings);
-  options.founders = FoundersOf(settings);
-  options.founding = settings.bootstrap == "true";
+  options.initial_members = FoundersOf(settings);
+  options.bootstrap = settings.bootstrap == "true";
   if (!settings.seeds.empty()) options.voters = VotersOf(settings);
   options.storage_voters = VotersOf(settings);
   options.consensus_timing = ConsensusTimingOf(timing);
@@ -105,8 +105,8 @@
           nullptr, settings.timing.usage_window, ColdBoundOf(settings)};
 }
 
-UsageDutyOptions UsageOptionsOf(const ServerSettings& settings) {
-  UsageDutyOptions options;
+UsageReportOptions UsageOptionsOf(const ServerSettings& settings) {
+  UsageReportOptions options;
   options.self = NodeId(settings.node);
   options.machine = settings.machine;
   options.platform = settings.metering_platform;
--- a/source/server/server_node.cc
+++ b/source/server/server_node.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "common/event_log.h"
-#include "duties/usage_duty.h"
+#include "duties/usage_report_task.h"
 #include "jobs/job_group_bootstrapper.h"
 #include "platform/platform.h"
 #include "rollout/stream_factory.h"
@@ -101,11 +101,11 @@
   control_ =
       MakeControlNode(*environment_, *peers_, *files_, *back_ends_,
                       MakeStreamFactory(*environment_, *peers_), ControlOptionsOf(settings_, self));
-  control_->AddDuty(MakeWeightDuty(*environment_, [this](ClusterCommand command) {
+  control_->AddLeaderTask(MakeWeightDuty(*environment_, [this](ClusterCommand command) {
     control_->Propose(std::move(command), [](const absl::StatusOr<ClusterResult>&) {});
   }));
   if (ServesPlatform()) {
-    control_->AddDuty(MakeJobGroupBootstrapper(
+    control_->AddLeaderTask(MakeJobGroupBootstrapper(
         *environment_, JobFounderOptionsOf(settings_), [this](ClusterCommand command) {
           control_->Propose(std::move(command), [](const absl::StatusOr<ClusterResult>&) {});
         }));
@@ -113,8 +113,8 @@
   const bool meters =
       !settings_.metering_platform.empty() && settings_.timing.usage_window > Duration(0);
   if (ServesPlatform() && meters) {
-    control_->AddDuty(MakeUsageDuty(*environment_, *back_ends_, platform::Duties(), *control_,
-                                    UsageOptionsOf(settings_)));
+    control_->AddLeaderTask(MakeUsageReportTask(*environment_, *back_ends_, platform::Duties(),
+                                                *control_, UsageOptionsOf(settings_)));
   }
   const absl::Status started = control_->Start();
   if (started.ok()) return {};
@@ -261,7 +261,7 @@
         .Set(routes == nullptr ? 0 : static_cast<double>(routes->version));
     stats_.NewGauge({"millstair_lease_valid", "1 while the gateway's routes are proven fresh."})
         .Set(ingress_->LeaseValid() ? 1 : 0);
-    const auto proof_age = ingress_->ProofAge();
+    const auto proof_age = ingress_->ConfirmationAge();
     stats_
         .NewGauge({"millstair_proof_age_seconds",
                    "Since the gateway's routes were last known to be the newest; -1 is never."})
--- a/test/cluster/control_clients_test.cc
+++ b/test/cluster/control_clients_test.cc
@@ -78,7 +78,7 @@
   return delta;
 }
 
-TEST_CASE("the lease runs from the send time of the answered heartbeat") {
+TEST_CASE("the lease runs from the send time of the confirmed heartbeat") {
   ClientFixture fixture;
   CHECK(fixture.transport.sent.back().to == NodeId("c2"));
   CHECK_FALSE(fixture.client->LeaseValid());
@@ -127,14 +127,14 @@
   CHECK(fixture.client->configuration().revision == Revision(4));
 }
 
-TEST_CASE("a node that is not proven fresh yet asks all its control nodes within half a second") {
+TEST_CASE("a node that is not confirmed yet contacts all its control nodes within half a second") {
   ClientFixture fixture;
   fixture.scheduler.RunFor(milliseconds(500));
   std::map<NodeId, int> heartbeats;
   for (const SentMessage& sent : fixture.transport.sent) ++heartbeats[sent.to];
   CHECK(heartbeats.size() == 3);
   CHECK(fixture.transport.sent.size() <= 5);
-  // An answer to an earlier heartbeat counts, and from then on there is no hurry.
+  // A reply to an earlier heartbeat counts, and ends the search.
   const uint64_t first = DecodeHeartbeat(fixture.transport.sent[0].message.payload)->nonce;
   fixture.Answer(first, 0);
   CHECK(fixture.client->LeaseValid());
@@ -143,7 +143,7 @@
   CHECK(fixture.transport.sent.size() <= 3);
 }
 
-TEST_CASE("a control node without a replica is left at once for the next") {
+TEST_CASE("after a refusal for lack of a replica the next control node is contacted at once") {
   ClientFixture fixture;
   for (int i = 0; i < 3; ++i) {
     const SentMessage last = fixture.transport.sent.back();
@@ -153,15 +153,15 @@
   std::map<NodeId, int> heartbeats;
   for (const SentMessage& sent : fixture.transport.sent) ++heartbeats[sent.to];
   CHECK(heartbeats.size() == 3);
-  // Once all were asked, further refusals hurry nobody.
-  const size_t asked = fixture.transport.sent.size();
+  // Once each was contacted, further refusals trigger no requests.
+  const size_t sent = fixture.transport.sent.size();
   for (int i = 0; i < 20; ++i) {
     fixture.Refuse(fixture.transport.sent.back().to, 1, HeartbeatRefusal::kNoReplica);
   }
-  CHECK(fixture.transport.sent.size() <= asked + 1);
+  CHECK(fixture.transport.sent.size() <= sent + 1);
 }
 
-TEST_CASE("a refusal for want of a quorum hurries nobody, and a proof may follow it") {
+TEST_CASE("a refusal for lack of a quorum starts no search, and a confirmation may follow it") {
   ClientFixture fixture;
   const SentMessage first = fixture.transport.sent.back();
   const uint64_t nonce = DecodeHeartbeat(first.message.payload)->nonce;
@@ -172,7 +172,7 @@
   CHECK(fixture.client->LeaseValid());
 }
 
-TEST_CASE("changes that come too late for their proof are applied without it") {
+TEST_CASE("changes in the reply to an expired heartbeat are applied without a lease") {
   ClientFixture fixture;
   const uint64_t nonce = fixture.LastHeartbeat().nonce;
   fixture.scheduler.RunFor(seconds(6));
@@ -183,26 +183,26 @@
   CHECK_FALSE(fixture.client->LeaseValid());
 }
 
-TEST_CASE("a node is cut off when all control nodes are silent, not when they refuse") {
+TEST_CASE("a node is isolated when all control nodes are unresponsive, not when they refuse") {
   ClientFixture fixture;
-  std::vector<bool> told;
-  fixture.client->OnCutOff([&told](bool cut_off) { told.push_back(cut_off); });
+  std::vector<bool> notified;
+  fixture.client->OnIsolationChange([&notified](bool isolated) { notified.push_back(isolated); });
   fixture.Answer(fixture.LastHeartbeat().nonce, 0);
   for (int i = 0; i < 30; ++i) {
     fixture.Refuse(NodeId("c1"), 1, HeartbeatRefusal::kNoQuorum);
     fixture.scheduler.RunFor(seconds(1));
   }
   CHECK_FALSE(fixture.client->LeaseValid());
-  CHECK_FALSE(fixture.client->CutOff());
+  CHECK_FALSE(fixture.client->IsIsolated());
   fixture.scheduler.RunFor(seconds(10));
-  CHECK(fixture.client->CutOff());
-  CHECK(told == std::vector<bool>{true});
+  CHECK(fixture.client->IsIsolated());
+  CHECK(notified == std::vector<bool>{true});
   fixture.Answer(fixture.LastHeartbeat().nonce, 0);
-  CHECK_FALSE(fixture.client->CutOff());
-  CHECK(told == std::vector<bool>{true, false});
+  CHECK_FALSE(fixture.client->IsIsolated());
+  CHECK(notified == std::vector<bool>{true, false});
 }
 
-TEST_CASE("an unanswered control node is left for the next, round after round") {
+TEST_CASE("without replies a node contacts all its control nodes in turn") {
   ClientFixture fixture;
   fixture.scheduler.RunFor(seconds(10));
   std::map<NodeId, int> heartbeats;
@@ -210,7 +210,7 @@
   CHECK(heartbeats.size() == 3);
 }
 
-TEST_CASE("a node that found another zone's control node returns to its own zone later") {
+TEST_CASE("a node that uses another zone's control node returns to its own zone later") {
   ClientFixture fixture;
   const TimePoint start = fixture.environment.Now();
   while (fixture.environment.Now() - start < seconds(60)) {
@@ -227,10 +227,8 @@
   CHECK(fixture.transport.sent.back().to == NodeId("c2"));
 }
 
-/// Nodes near a relay get their proofs by its reads, of which one message serves all of 10 ms
-/// (docs/design/fleet.md). The timer that gives a read up stays armed once the read is confirmed,
-/// and the next read is sent only with the relay's own heartbeat: 919 and 1,059 ms late by the
-/// default timing, of a lease of 4 s.
+/// Guards against a read that waits for the relay's next regular heartbeat because the timeout
+/// timer of an earlier, confirmed read is still armed.
 TEST_CASE("a relay sends each further read at once") {
   constexpr Duration kSentWithin = milliseconds(10);
   VirtualScheduler scheduler{1};
@@ -261,11 +259,9 @@
   }
 }
 
-/// A node that lacks much turns, in a search, to the control node that can prove it. What it had
-/// reported to the silent one may be lost, and was told to the new one only with the next full
-/// report, up to five heartbeats later; the two other ways to another control node repeat it at
-/// once.
-TEST_CASE("a node that turns to a control node that is ahead of it repeats its observations") {
+/// Guards against losing observations that were reported to an unresponsive control node: they must
+/// be repeated at once after a switch to a control node that is ahead.
+TEST_CASE("a node that switches to a control node ahead of it repeats its observations") {
   ClientFixture fixture;
   fixture.client->Report({EngineName("e"), Incarnation(3), true});
   fixture.scheduler.RunFor(milliseconds(200));
@@ -277,16 +273,16 @@
     return SentMessage();
   };
   while (other().to == NodeId()) fixture.scheduler.RunFor(milliseconds(10));
-  const SentMessage asked = other();
+  const SentMessage sent = other();
   fixture.transport.sent.clear();
-  fixture.Answer(DecodeHeartbeat(asked.message.payload)->nonce, 100);
+  fixture.Answer(DecodeHeartbeat(sent.message.payload)->nonce, 100);
   fixture.scheduler.RunFor(milliseconds(10));
   REQUIRE_FALSE(fixture.transport.sent.empty());
-  CHECK(fixture.transport.sent.back().to == asked.to);
+  CHECK(fixture.transport.sent.back().to == sent.to);
   CHECK(fixture.LastHeartbeat().observations.size() == 1);
 }
 
-TEST_CASE("observations hasten the next heartbeat and are repeated") {
+TEST_CASE("observations bring the next heartbeat forward and are repeated") {
   ClientFixture fixture;
   fixture.client->Report({EngineName("e"), Incarnation(3), true});
   fixture.scheduler.RunFor(milliseconds(200));
@@ -325,7 +321,7 @@
   std::vector<absl::StatusOr<std::string>> results;
 };
 
-TEST_CASE("an answered command ends once; copies of the answer are ignored") {
+TEST_CASE("a command completes once; duplicates of the reply are ignored") {
   ControlClientFixture fixture;
   fixture.Submit(seconds(5));
   CHECK(fixture.transport.sent.back().to == NodeId("c2"));
@@ -336,18 +332,18 @@
   CHECK(*fixture.results[0] == "done");
 }
 
-TEST_CASE("an unanswered command is repeated elsewhere under its id until its deadline") {
+TEST_CASE("an unanswered command is resent elsewhere with the same id until its deadline") {
   ControlClientFixture fixture;
   fixture.Submit(seconds(6));
   const uint64_t id = fixture.LastCommand().id;
   fixture.scheduler.RunFor(milliseconds(5999));
   CHECK(fixture.results.empty());
-  std::map<NodeId, int> tries;
+  std::map<NodeId, int> attempts;
   for (const SentMessage& sent : fixture.transport.sent) {
-    ++tries[sent.to];
+    ++attempts[sent.to];
     CHECK(DecodeGroupCommand(sent.message.payload)->id == id);
   }
-  CHECK(tries.size() == 3);
+  CHECK(attempts.size() == 3);
   fixture.scheduler.RunFor(milliseconds(1));
   REQUIRE(fixture.results.size() == 1);
   CHECK(absl::IsDeadlineExceeded(fixture.results[0].status()));
@@ -356,7 +352,7 @@
   CHECK(fixture.transport.sent.size() == sent);
 }
 
-TEST_CASE("unavailable is tried again soon, other errors are final") {
+TEST_CASE("an unavailable command is retried soon, other errors are final") {
   ControlClientFixture fixture;
   fixture.Submit(seconds(6));
   fixture.Answer(fixture.LastCommand().id, absl::StatusCode::kUnavailable, "");
--- a/test/cluster/report_batch_test.cc
+++ b/test/cluster/report_batch_test.cc
@@ -47,7 +47,7 @@
 TEST_CASE("servers that register together take few entries, and each is acknowledged in time") {
   constexpr int kControlNodes = 6;
   constexpr int kServers = 2000;
-  ClusterFleet fleet({.control_nodes = kControlNodes, .by_seeds = true});
+  ClusterFleet fleet({.control_nodes = kControlNodes, .know_initial_members_only = true});
   fleet.AwaitLeader();
   fleet.RunFor(seconds(10));
   const uint64_t before = Entries(fleet);
--- a/test/jobs/job_group_bootstrapper_test.cc
+++ b/test/jobs/job_group_bootstrapper_test.cc
@@ -41,7 +41,7 @@
   VirtualEnvironment environment{scheduler, 2};
   Configuration configuration;
   std::optional<JobGroup> bootstrapped;
-  std::unique_ptr<ClusterDuty> task = MakeJobGroupBootstrapper(
+  std::unique_ptr<LeaderTask> task = MakeJobGroupBootstrapper(
       environment, JobGroupBootstrapperOptions{5}, [this](ClusterCommand command) {
         bootstrapped = std::get<BootstrapJobGroup>(command.operation).group;
       });
--- a/test/platform/control_calls_test.cc
+++ b/test/platform/control_calls_test.cc
@@ -24,7 +24,7 @@
   MAKE_MOCK0(groups, GroupHost&(), override);
   MAKE_CONST_MOCK0(configuration, const Configuration&(), override);
   MAKE_CONST_MOCK0(IsClusterLeader, bool(), override);
-  MAKE_MOCK1(AddDuty, void(std::unique_ptr<ClusterDuty>), override);
+  MAKE_MOCK1(AddLeaderTask, void(std::unique_ptr<LeaderTask>), override);
   MAKE_MOCK2(Propose, void(ClusterCommand, ResultCallback), override);
   MAKE_MOCK2(Submit, void(ClusterOperation, ResultCallback), override);
   MAKE_MOCK2(ReportInstance, void(const BackendInstance&, ResultCallback), override);
