--- a/source/ingress/life_check.h
+++ b/source/ingress/liveness_check.h
@@ -16,28 +16,28 @@
 
 namespace millstair {
 
-enum class LifeVerdict : uint8_t {
-  kLives,   ///< it answered
+enum class LivenessVerdict : uint8_t {
+  kAlive,   ///< it answered
   kEnded,   ///< nobody listens at its address, or another life of a back end answers there
   kUnsure,  ///< silence, or connections that break
 };
 
 /// "lives" and so on, for logs.
-std::string_view LifeVerdictName(LifeVerdict verdict);
+std::string_view LivenessVerdictName(LivenessVerdict verdict);
 
 /// Lives on the node's serial executor. Dropping it cancels the question.
-class LifeCheck : public HttpCallObserver {
+class LivenessCheck : public HttpCallObserver {
  public:
   /// Without an answer for this long nothing is known. A refused connection takes one way there and
   /// back: 3 ms within a region, some 100 ms to another; and this node may stand still for most of
   /// a tenth of a second where its share of a core is a quota.
-  static constexpr Duration kPatience = std::chrono::milliseconds(300);
+  static constexpr Duration kTimeout = std::chrono::milliseconds(300);
 
-  using Callback = std::function<void(LifeVerdict)>;
+  using Callback = std::function<void(LivenessVerdict)>;
 
   /// `done` is called once, never by the constructor, and may destroy the check.
-  LifeCheck(Environment& environment, HttpCaller& http, const BackendProtocol& protocol,
-            BackendInstance instance, std::string health_path, Callback done);
+  LivenessCheck(Environment& environment, HttpCaller& http, const BackendProtocol& protocol,
+                BackendInstance instance, std::string health_path, Callback done);
   void Start();
 
   void OnHead(const HttpResponseHead& head) override;
@@ -46,7 +46,7 @@
   void OnFailed(CallFailure failure, const std::string& reason) override;
 
  private:
-  void End(LifeVerdict verdict);
+  void End(LivenessVerdict verdict);
 
   HttpCaller& http_;
   const BackendProtocol& protocol_;
@@ -56,7 +56,7 @@
   int calls_ = 0;
   bool ended_ = false;
   std::unique_ptr<CallHandle> handle_;
-  ScopedTimer patience_;
+  ScopedTimer timeout_;
   ScopedTimer next_step_;
 };
 
--- a/source/ingress/request_guard.cc
+++ b/source/ingress/request_guard.cc
@@ -157,23 +157,23 @@
   const auto [check, added] = checks_.try_emplace(instance.id);
   check->second.requests.insert(request.fingerprint);
   if (!added) return;
-  check->second.check = std::make_unique<LifeCheck>(
+  check->second.check = std::make_unique<LivenessCheck>(
       environment_, http_, protocol_, instance, health_path_(instance.service),
-      [this, id = instance.id](LifeVerdict verdict) { OnChecked(id, verdict); });
+      [this, id = instance.id](LivenessVerdict verdict) { OnChecked(id, verdict); });
   check->second.check->Start();
 }
 
-void RequestGuard::OnChecked(const InstanceId& instance, LifeVerdict verdict) {
+void RequestGuard::OnChecked(const InstanceId& instance, LivenessVerdict verdict) {
   auto checked = checks_.extract(instance);
   LogEvent(EventId::kLifeChecked, "instance={} verdict={} requests={}", instance,
-           LifeVerdictName(verdict), checked.mapped().requests.size());
+           LivenessVerdictName(verdict), checked.mapped().requests.size());
   std::vector<RequestFingerprint> reports;
   for (const RequestFingerprint& request : checked.mapped().requests) {
     const auto found = seen_.find(request);
     // It was answered meanwhile.
     if (found == seen_.end() || found->second.in_doubt.erase(instance) == 0) continue;
     Seen& seen = found->second;
-    if (verdict == LifeVerdict::kEnded) {
+    if (verdict == LivenessVerdict::kEnded) {
       seen.crashed.insert(instance);
       seen.changed_at = environment_.Now();
       LogEvent(EventId::kCrashNoted, "fingerprint={} place=\"{}\" instance={} crashes={}", request,
--- a/source/ingress/request_guard.h
+++ b/source/ingress/request_guard.h
@@ -1,12 +1,12 @@
 /// Keeps requests that crash the servers that run them from being sent on and on.
 ///
 /// A request that loses its back end is counted against the back end's life only if that life has
-/// ended (LifeCheck). Who else ran there at that moment is counted as well: what tells them apart
-/// is that they are answered at the next back end, which clears them, that what was served lately
-/// is not counted, and that a request is held only after a second crash without an answer between.
-/// The counts of all nodes meet in the cluster's record (SuspectLedger), which reaches each node
-/// with its configuration, also one that has just started; a node adds what it saw itself and the
-/// record does not hold yet. A held request is sent by one node at a time in the cluster
+/// ended (LivenessCheck). Who else ran there at that moment is counted as well: what tells them
+/// apart is that they are answered at the next back end, which clears them, that what was served
+/// lately is not counted, and that a request is held only after a second crash without an answer
+/// between. The counts of all nodes meet in the cluster's record (SuspectLedger), which reaches
+/// each node with its configuration, also one that has just started; a node adds what it saw itself
+/// and the record does not hold yet. A held request is sent by one node at a time in the cluster
 /// (BeginTrial), long enough after its last crash that the servers it ended are back.
 #pragma once
 
@@ -24,7 +24,7 @@
 #include "common/alive_flag.h"
 #include "common/environment.h"
 #include "common/stats.h"
-#include "ingress/life_check.h"
+#include "ingress/liveness_check.h"
 #include "quarantine/suspect_register.h"
 
 namespace millstair {
@@ -137,11 +137,11 @@
     bool clearing = false;
   };
   struct Check {
-    std::unique_ptr<LifeCheck> check;
+    std::unique_ptr<LivenessCheck> check;
     std::set<RequestFingerprint> requests;
   };
 
-  void OnChecked(const InstanceId& instance, LifeVerdict verdict);
+  void OnChecked(const InstanceId& instance, LivenessVerdict verdict);
   void Report(const std::vector<RequestFingerprint>& requests);
   bool WantsReport(const Seen& seen) const;
   void ReportSoon();
