--- a/source/ingress/backend_directory.cc
+++ b/source/ingress/backend_directory.cc
@@ -105,7 +105,7 @@
   }
   const auto rate = cold_.service_rates.find(backend.record.service);
   if (rate == cold_.service_rates.end()) return kNoColdBound;
-  if (!cold_turn_(backend.record.id)) return 0;
+  if (!cold_assignment_check_(backend.record.id)) return 0;
   if (!backend.cold_tokens) {
     const ColdShare share = ColdShareOf(rate->second, cold_.bound);
     backend.cold_tokens.emplace(share.per_second, share.at_once, now);
--- a/source/ingress/backend_directory.h
+++ b/source/ingress/backend_directory.h
@@ -51,8 +51,10 @@
 
   /// Whether this node is the one of its kind that may send to a back end that is slow after its
   /// start; every node unless told otherwise.
-  using ColdTurn = std::function<bool(const InstanceId&)>;
-  void SetColdTurn(ColdTurn turn) { cold_turn_ = std::move(turn); }
+  using ColdAssignmentCheck = std::function<bool(const InstanceId&)>;
+  void SetColdAssignmentCheck(ColdAssignmentCheck turn) {
+    cold_assignment_check_ = std::move(turn);
+  }
   void SetColdPolicy(ColdPolicy policy);
   /// How many requests may be begun at `instance` now, since it is slow after its start; no bound
   /// for any other.
@@ -147,7 +149,7 @@
   const uint64_t preference_seed_;
   std::set<Zone> evacuated_;
   ColdPolicy cold_;
-  ColdTurn cold_turn_ = [](const InstanceId&) { return true; };
+  ColdAssignmentCheck cold_assignment_check_ = [](const InstanceId&) { return true; };
 };
 
 }  // namespace millstair
--- a/source/ingress/gateway_turns.cc
+++ b/source/ingress/cold_backend_assignment.cc
@@ -1,4 +1,4 @@
-#include "ingress/gateway_turns.h"
+#include "ingress/cold_backend_assignment.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,7 +6,7 @@
 
 namespace millstair {
 
-void GatewayTurns::Update(const Configuration& configuration) {
+void ColdBackendAssignment::Update(const Configuration& configuration) {
   std::set<NodeId> live;
   for (const auto& [node, record] : configuration.nodes) {
     if (record.gateway && record.state == MemberState::kLive) live.insert(node);
@@ -26,9 +26,10 @@
   }
 }
 
-bool GatewayTurns::IsOurs(std::string_view subject, std::optional<TimePoint> proven_since) {
-  if (!proven_since || !member_since_) return false;
-  if (environment_.Now() - std::max(*proven_since, *member_since_) < lease_) return false;
+bool ColdBackendAssignment::IsAssignedToSelf(std::string_view subject,
+                                             std::optional<TimePoint> confirmed_since) {
+  if (!confirmed_since || !member_since_) return false;
+  if (environment_.Now() - std::max(*confirmed_since, *member_since_) < lease_) return false;
   ForgetDeparted();
   if (!candidates_) {
     std::vector<NodeId> nodes(live_.begin(), live_.end());
@@ -39,7 +40,7 @@
   return !chosen.empty() && chosen.front() == self_;
 }
 
-void GatewayTurns::ForgetDeparted() {
+void ColdBackendAssignment::ForgetDeparted() {
   const TimePoint now = environment_.Now();
   const size_t over =
       std::erase_if(departed_, [&](const auto& entry) { return now - entry.second > lease_; });
--- a/source/ingress/gateway_turns.h
+++ b/source/ingress/cold_backend_assignment.h
@@ -24,17 +24,17 @@
 namespace millstair {
 
 /// Lives on the node's serial executor.
-class GatewayTurns {
+class ColdBackendAssignment {
  public:
   /// `lease`: for how long a proof of the configuration holds.
-  GatewayTurns(Environment& environment, NodeId self, Duration lease)
+  ColdBackendAssignment(Environment& environment, NodeId self, Duration lease)
       : environment_(environment), self_(std::move(self)), lease_(lease) {}
 
   /// Takes over the gateways of `configuration`.
   void Update(const Configuration& configuration);
-  /// Whether this gateway may act on `subject` now. `proven_since`: since when the configuration
+  /// Whether this gateway may act on `subject` now. `confirmed_since`: since when the configuration
   /// held has been proven fresh all the time; none while it is not.
-  bool IsOurs(std::string_view subject, std::optional<TimePoint> proven_since);
+  bool IsAssignedToSelf(std::string_view subject, std::optional<TimePoint> confirmed_since);
 
  private:
   void ForgetDeparted();
--- a/source/ingress/cold_limits.h
+++ b/source/ingress/cold_limits.h
@@ -2,8 +2,8 @@
 ///
 /// The platform bounds what arrives there in any second, from all nodes together. No node can count
 /// what others send, so two nodes at most send at a time, whichever others there are: one gateway
-/// (GatewayTurns) and the leader of the batch jobs. Each keeps within half of the bound, also in a
-/// second in which another one takes over from it.
+/// (ColdBackendAssignment) and the leader of the batch jobs. Each keeps within half of the bound,
+/// also in a second in which another one takes over from it.
 #pragma once
 
 #include <algorithm>
--- a/source/jobs/ingress_node.cc
+++ b/source/jobs/ingress_node.cc
@@ -47,8 +47,8 @@
       cold_turns_(environment, options.self.node, options.configuration_timing.lease),
       ready_timer_(environment) {
   ingress_.SetColdBound(options.cold_bound);
-  ingress_.directory().SetColdTurn([this](const InstanceId& instance) {
-    return cold_turns_.IsOurs(instance.value(), configuration_->ProvenSince());
+  ingress_.directory().SetColdAssignmentCheck([this](const InstanceId& instance) {
+    return cold_turns_.IsAssignedToSelf(instance.value(), configuration_->ProvenSince());
   });
   ingress_.SetSuspectRegister(suspects_);
   ingress_.SetFresh([this] { return LeaseValid(); });
--- a/source/jobs/ingress_node.h
+++ b/source/jobs/ingress_node.h
@@ -10,7 +10,7 @@
 #include "cluster/suspect_client.h"
 #include "common/environment.h"
 #include "common/peer_transport.h"
-#include "ingress/gateway_turns.h"
+#include "ingress/cold_backend_assignment.h"
 #include "ingress/ingress_service.h"
 #include "jobs/job_client.h"
 #include "metering/usage_counter.h"
@@ -100,7 +100,7 @@
   IngressService ingress_;
   JobClient jobs_;
   /// Which back ends that are slow after their start fall to this gateway.
-  GatewayTurns cold_turns_;
+  ColdBackendAssignment cold_turns_;
   bool ready_ = false;
   std::function<void(bool)> on_cut_off_;
   ScopedTimer ready_timer_;
--- a/source/jobs/storage_node.cc
+++ b/source/jobs/storage_node.cc
@@ -43,7 +43,8 @@
         drain_timer_(environment) {
     ingress_.SetSuspectRegister(suspects_);
     ingress_.SetColdBound(options_.cold_bound);
-    ingress_.directory().SetColdTurn([this](const InstanceId&) { return IsColdSender(); });
+    ingress_.directory().SetColdAssignmentCheck(
+        [this](const InstanceId&) { return IsColdSender(); });
   }
 
   absl::Status Start() override {
--- a/test/ingress/gateway_turns_test.cc
+++ b/test/ingress/cold_backend_assignment_test.cc
@@ -1,5 +1,5 @@
 /// Which gateway alone may send to a back end, while gateways come and go and see it late.
-#include "ingress/gateway_turns.h"
+#include "ingress/cold_backend_assignment.h"
 
 #include <catch2/catch.hpp>
 #include <deque>
@@ -62,8 +62,8 @@
     int acting = 0;
     for (Gateway& gateway : gateways_) {
       const bool valid = gateway.lease_until > environment_.Now();
-      const auto since = valid ? std::optional(gateway.proven_since) : std::nullopt;
-      acting += gateway.turns->IsOurs(subject, since) ? 1 : 0;
+      const auto since = valid ? std::optional(gateway.confirmed_since) : std::nullopt;
+      acting += gateway.turns->IsAssignedToSelf(subject, since) ? 1 : 0;
     }
     return acting;
   }
@@ -71,16 +71,17 @@
  private:
   struct Gateway {
     int index = 0;
-    std::unique_ptr<GatewayTurns> turns;
+    std::unique_ptr<ColdBackendAssignment> turns;
     TimePoint lease_until;
-    TimePoint proven_since;
+    TimePoint confirmed_since;
     TimePoint silent_until;
   };
 
   Gateway Restarted(int index) {
     Gateway gateway;
     gateway.index = index;
-    gateway.turns = std::make_unique<GatewayTurns>(environment_, NodeId(NameOf(index)), kLease);
+    gateway.turns =
+        std::make_unique<ColdBackendAssignment>(environment_, NodeId(NameOf(index)), kLease);
     return gateway;
   }
 
@@ -93,7 +94,7 @@
   /// It holds what was the newest when the proof was asked for.
   void Prove(Gateway& gateway) {
     gateway.turns->Update(truth_);
-    if (gateway.lease_until <= environment_.Now()) gateway.proven_since = environment_.Now();
+    if (gateway.lease_until <= environment_.Now()) gateway.confirmed_since = environment_.Now();
     gateway.lease_until = environment_.Now() + kLease;
   }
 
--- a/test/ingress/cold_backends_test.cc
+++ b/test/ingress/cold_backends_test.cc
@@ -8,7 +8,7 @@
 #include "common/virtual_environment.h"
 #include "fmt/format.h"
 #include "ingress/backend_directory.h"
-#include "ingress/gateway_turns.h"
+#include "ingress/cold_backend_assignment.h"
 #include "test/ingress/fake_backends.h"
 
 namespace millstair {
@@ -60,9 +60,9 @@
 /// A node that sends: its directory, and its turn.
 struct Sender {
   std::unique_ptr<BackendDirectory> directory;
-  std::unique_ptr<GatewayTurns> turns;
+  std::unique_ptr<ColdBackendAssignment> turns;
   TimePoint lease_until;
-  TimePoint proven_since;
+  TimePoint confirmed_since;
 };
 
 /// Gateways that all have more to send than one back end bears, and the leader of the batch jobs.
@@ -116,14 +116,14 @@
   Sender Gateway(int index) {
     Sender sender;
     sender.directory = Directory();
-    sender.turns =
-        std::make_unique<GatewayTurns>(environment_, NodeId(fmt::format("g{}", index)), kLease);
+    sender.turns = std::make_unique<ColdBackendAssignment>(
+        environment_, NodeId(fmt::format("g{}", index)), kLease);
     const size_t place = static_cast<size_t>(index);
-    sender.directory->SetColdTurn([this, place](const InstanceId& instance) {
+    sender.directory->SetColdAssignmentCheck([this, place](const InstanceId& instance) {
       Sender& asked = senders_[place];
       const bool valid = asked.lease_until > environment_.Now();
-      return asked.turns->IsOurs(instance.value(),
-                                 valid ? std::optional(asked.proven_since) : std::nullopt);
+      return asked.turns->IsAssignedToSelf(
+          instance.value(), valid ? std::optional(asked.confirmed_since) : std::nullopt);
     });
     return sender;
   }
@@ -131,13 +131,13 @@
   void RestartLeader() {
     leader_ = Directory();
     const TimePoint since = environment_.Now();
-    leader_->SetColdTurn(
+    leader_->SetColdAssignmentCheck(
         [this, since](const InstanceId&) { return environment_.Now() - since >= kLease; });
   }
 
   void Prove(Sender& sender) {
     sender.turns->Update(configuration_);
-    if (sender.lease_until <= environment_.Now()) sender.proven_since = environment_.Now();
+    if (sender.lease_until <= environment_.Now()) sender.confirmed_since = environment_.Now();
     sender.lease_until = environment_.Now() + kLease;
   }
 
