--- a/source/ingress/backend_directory.cc
+++ b/source/ingress/backend_directory.cc
@@ -108,7 +108,7 @@
   if (!cold_assignment_check_(backend.record.id)) return 0;
   if (!backend.cold_tokens) {
     const ColdShare share = ColdShareOf(rate->second, cold_.bound);
-    backend.cold_tokens.emplace(share.per_second, share.at_once, now);
+    backend.cold_tokens.emplace(share.per_second, share.burst, now);
   }
   return backend.cold_tokens->Available(now);
 }
--- a/source/ingress/cold_limits.h
+++ b/source/ingress/cold_limits.h
@@ -19,24 +19,24 @@
 };
 
 /// Nodes that may send to one such back end at a time.
-inline constexpr double kColdSenders = 2;
+inline constexpr double kConcurrentColdSenders = 2;
 /// Nodes that may have done so in one second, for each of them: it, and the one before.
-inline constexpr double kColdHolders = 2;
+inline constexpr double kColdSendersPerHandover = 2;
 
 /// A node's part.
 struct ColdShare {
   double per_second = 0;
   /// At once, beyond the rate.
-  double at_once = 1;
+  double burst = 1;
 };
 
 /// `service_rate`: requests a second that the service states for such a back end.
 inline ColdShare ColdShareOf(double service_rate, const ColdBound& bound) {
-  const double part = (service_rate * bound.rate_factor + bound.slack) / kColdSenders;
+  const double part = (service_rate * bound.rate_factor + bound.slack) / kConcurrentColdSenders;
   ColdShare share;
   // Less than one at once would send nothing ever.
-  share.at_once = std::max(1.0, bound.slack / (kColdSenders * kColdHolders));
-  share.per_second = std::max(0.0, part - kColdHolders * share.at_once);
+  share.burst = std::max(1.0, bound.slack / (kConcurrentColdSenders * kColdSendersPerHandover));
+  share.per_second = std::max(0.0, part - kColdSendersPerHandover * share.burst);
   return share;
 }
 
