--- a/source/ingress/forward_flow.cc
+++ b/source/ingress/forward_flow.cc
@@ -11,16 +11,16 @@
 
 /// Answers larger than this are not taken from back ends.
 constexpr size_t kMaxAnswerBytes = 32 * 1024 * 1024;
-constexpr Duration kLongestWithoutLimit = std::chrono::seconds(30);
+constexpr Duration kDefaultTimeout = std::chrono::seconds(30);
 /// Pause before back ends that refused or failed are asked again.
-constexpr Duration kPauseMin = std::chrono::milliseconds(10);
-constexpr Duration kPauseMax = std::chrono::milliseconds(40);
+constexpr Duration kRetryPauseMin = std::chrono::milliseconds(10);
+constexpr Duration kRetryPauseMax = std::chrono::milliseconds(40);
 /// A request that nobody takes is given up after this part of its time, so that the client can
 /// still be served elsewhere.
 constexpr double kGiveUpShare = 0.5;
 constexpr Duration kRetryAfter = std::chrono::milliseconds(50);
 /// The earliest further try of a request that may run more than once.
-constexpr Duration kHedgeMin = std::chrono::milliseconds(50);
+constexpr Duration kMinHedgeDelay = std::chrono::milliseconds(50);
 
 }  // namespace
 
@@ -43,9 +43,9 @@
 }
 
 /// One try at one back end.
-class ForwardFlow::Try : public HttpCallObserver {
+class ForwardFlow::Attempt : public HttpCallObserver {
  public:
-  Try(ForwardFlow& flow, BackendInstance target)
+  Attempt(ForwardFlow& flow, BackendInstance target)
       : flow_(flow), target_(std::move(target)), sent_at_(flow.context_.environment.Now()) {
     flow_.context_.directory.Begin(target_.id);
   }
@@ -112,18 +112,18 @@
       deadline_timer_(context.environment),
       retry_timer_(context.environment),
       hedge_timer_(context.environment) {
-  Duration limit = route_.timeout.value_or(kLongestWithoutLimit);
+  Duration limit = route_.timeout.value_or(kDefaultTimeout);
   if (request_.time_left) limit = std::min(limit, *request_.time_left);
   deadline_ = started_at_ + limit;
 }
 
-ForwardFlow::~ForwardFlow() { CancelTries(); }
+ForwardFlow::~ForwardFlow() { CancelAttempts(); }
 
-void ForwardFlow::CancelTries() {
+void ForwardFlow::CancelAttempts() {
   // Those still under way have begun, unless the back end holds them in its queue; an earlier try
   // that was answered goes before.
-  if (!tries_.empty()) meter_.NoteBegun(tries_.front()->sent_at());
-  for (const auto& attempt : tries_) attempt->End(BackendEnd::kCancelled);
+  if (!attempts_.empty()) meter_.NoteBegun(attempts_.front()->sent_at());
+  for (const auto& attempt : attempts_) attempt->End(BackendEnd::kCancelled);
 }
 
 void ForwardFlow::Start() {
@@ -155,9 +155,9 @@
   return std::max(deadline_ - context_.environment.Now(), Duration(0));
 }
 
-void LogLostTry(const ForwardContext& context, const ForwardRequest& request,
-                const RequestFingerprint& fingerprint, const InstanceId& instance,
-                TimePoint sent_at, const std::string& reason) {
+void LogLostAttempt(const ForwardContext& context, const ForwardRequest& request,
+                    const RequestFingerprint& fingerprint, const InstanceId& instance,
+                    TimePoint sent_at, const std::string& reason) {
   const Duration ran = context.environment.Now() - sent_at;
   LogEvent(EventId::kTryLost,
            "request={} fingerprint={} instance={} ran_ms={} running_there={} reason=\"{}\"",
@@ -180,9 +180,9 @@
 
 void ForwardFlow::SendOrWait() {
   // A try beside the one that was lost may have waited for the same proof, and be on its way now.
-  if (!tries_.empty()) return;
-  SendTry();
-  if (!tries_.empty()) return ArmHedge();
+  if (!attempts_.empty()) return;
+  SendAttempt();
+  if (!attempts_.empty()) return ArmHedge();
   // Nobody is there: those tried before may be again.
   tried_.clear();
   const Duration used = context_.environment.Now() - started_at_;
@@ -196,11 +196,11 @@
   }
   // The guard is asked again: a request that waits for a server to come back is the first to reach
   // it, and what became of the same request elsewhere is known by then.
-  retry_timer_.Arm(DrawDuration(context_.environment.Random(), kPauseMin, kPauseMax),
+  retry_timer_.Arm(DrawDuration(context_.environment.Random(), kRetryPauseMin, kRetryPauseMax),
                    [this] { SendIfAllowed(); });
 }
 
-void ForwardFlow::SendTry() {
+void ForwardFlow::SendAttempt() {
   auto target = context_.directory.Pick(DrawService(route_, context_.environment), tried_);
   if (!target) return;
   tried_.insert(target->id);
@@ -212,38 +212,38 @@
   watch_.NoteSent();
   BackendRequest request{request_.http, request_.host, request_.request_id, TimeLeft(),
                          target->id,    std::nullopt,  request_.tenant};
-  tries_.push_back(std::make_unique<Try>(*this, *std::move(target)));
-  tries_.back()->Start(context_.protocol.MakeRequest(request));
+  attempts_.push_back(std::make_unique<Attempt>(*this, *std::move(target)));
+  attempts_.back()->Start(context_.protocol.MakeRequest(request));
 }
 
 void ForwardFlow::ArmHedge() {
   if (!repeatable()) return;
-  hedge_timer_.Arm(std::max(route_.target, kHedgeMin),
+  hedge_timer_.Arm(std::max(route_.target, kMinHedgeDelay),
                    [this] { WhenCurrentAndOpen([this] { Hedge(); }); });
 }
 
 void ForwardFlow::Hedge() {
   // It could end two back ends at once.
   if (watch_.IsSuspect()) return;
-  if (may_have_run_ < route_.attempts) SendTry();
+  if (may_have_run_ < route_.attempts) SendAttempt();
   if (may_have_run_ < route_.attempts) ArmHedge();
 }
 
-void ForwardFlow::OnAnswer(Try& attempt, const HttpResponseHead& head, std::string body) {
+void ForwardFlow::OnAnswer(Attempt& attempt, const HttpResponseHead& head, std::string body) {
   const std::string signature = attempt.signature();
   meter_.NoteBegun(attempt.sent_at());
   // A server's own failure of a request that may run again is worth another try elsewhere.
   constexpr int kServerError = 500;
   const bool failed = head.status == kServerError;
   if (failed) ++server_errors_;
-  EndTry(attempt, BackendEnd::kAnswered);
+  EndAttempt(attempt, BackendEnd::kAnswered);
   watch_.NoteServed();
   if (failed && repeatable() && may_have_run_ < route_.attempts) {
     last_reason_ = "the back end answered 500";
-    if (tries_.empty()) SendIfAllowed();
+    if (attempts_.empty()) SendIfAllowed();
     return;
   }
-  if (failed && !tries_.empty()) return;
+  if (failed && !attempts_.empty()) return;
   ForwardResult result;
   result.outcome = ForwardOutcome::kAnswered;
   result.head = head;
@@ -252,14 +252,14 @@
   Finish(std::move(result));
 }
 
-void ForwardFlow::OnRefused(Try& attempt, bool wrong_instance) {
+void ForwardFlow::OnRefused(Attempt& attempt, bool wrong_instance) {
   --may_have_run_;
   last_reason_ = wrong_instance ? "another back end has the address" : "the back end refused";
-  EndTry(attempt, wrong_instance ? BackendEnd::kWrongInstance : BackendEnd::kRefused);
-  if (tries_.empty()) SendIfAllowed();
+  EndAttempt(attempt, wrong_instance ? BackendEnd::kWrongInstance : BackendEnd::kRefused);
+  if (attempts_.empty()) SendIfAllowed();
 }
 
-void ForwardFlow::OnFailed(Try& attempt, bool unreachable, const std::string& reason) {
+void ForwardFlow::OnFailed(Attempt& attempt, bool unreachable, const std::string& reason) {
   if (unreachable) {
     --may_have_run_;
     watch_.NoteUnreachable();
@@ -267,16 +267,16 @@
   // What was sent and not refused has most likely begun.
   if (!unreachable) {
     meter_.NoteBegun(attempt.sent_at());
-    LogLostTry(context_, request_, watch_.fingerprint(), attempt.instance(), attempt.sent_at(),
-               reason);
+    LogLostAttempt(context_, request_, watch_.fingerprint(), attempt.instance(), attempt.sent_at(),
+                   reason);
     watch_.NoteLost(attempt.target());
   }
   last_reason_ = reason;
-  EndTry(attempt, unreachable ? BackendEnd::kUnreachable : BackendEnd::kFailed);
-  if (tries_.empty()) TryAgainOrFail();
+  EndAttempt(attempt, unreachable ? BackendEnd::kUnreachable : BackendEnd::kFailed);
+  if (attempts_.empty()) RetryOrFail();
 }
 
-void ForwardFlow::TryAgainOrFail() {
+void ForwardFlow::RetryOrFail() {
   const bool may_run_again =
       may_have_run_ == 0 || (repeatable() && may_have_run_ < route_.attempts);
   if (may_run_again) return SendIfAllowed();
@@ -286,14 +286,14 @@
   Finish(std::move(result));
 }
 
-void ForwardFlow::EndTry(Try& attempt, BackendEnd end) {
+void ForwardFlow::EndAttempt(Attempt& attempt, BackendEnd end) {
   attempt.End(end);
   last_instance_ = attempt.instance();
-  const auto found = std::find_if(tries_.begin(), tries_.end(), [&attempt](const auto& entry) {
-    return entry.get() == &attempt;
-  });
-  ended_tries_.push_back(std::move(*found));
-  tries_.erase(found);
+  const auto found =
+      std::find_if(attempts_.begin(), attempts_.end(),
+                   [&attempt](const auto& entry) { return entry.get() == &attempt; });
+  ended_attempts_.push_back(std::move(*found));
+  attempts_.erase(found);
 }
 
 void ForwardFlow::OnDeadline() {
@@ -305,14 +305,14 @@
 }
 
 void ForwardFlow::Finish(ForwardResult result) {
-  result.tries = sent_;
+  result.attempts = sent_;
   result.instance = last_instance_;
   result.server_errors = server_errors_;
   result.proof_age_at_send = proof_age_at_send_;
   deadline_timer_.Cancel();
   retry_timer_.Cancel();
   hedge_timer_.Cancel();
-  CancelTries();
+  CancelAttempts();
   const Callback done = std::move(done_);
   done(std::move(result));
 }
--- a/source/ingress/forward_flow.h
+++ b/source/ingress/forward_flow.h
@@ -1,6 +1,6 @@
-/// One request of a client on its way through the system: choice of a back end, further tries, time
-/// limits, and the one final answer. The whole answer of a back end is read before it is passed on,
-/// so that a broken one can be replaced by another try.
+/// One request of a client on its way through the system: choice of a back end, further attempts,
+/// time limits, and the one final answer. The whole answer of a back end is read before it is
+/// passed on, so that a broken one can be replaced by another try.
 #pragma once
 
 #include <functional>
@@ -52,8 +52,8 @@
   std::optional<Duration> proof_age_at_send;
   /// For the log.
   std::string reason;
-  uint32_t tries = 0;
-  /// Answers of 500 among the tries.
+  uint32_t attempts = 0;
+  /// Answers of 500 among the attempts.
   uint32_t server_errors = 0;
 };
 
@@ -99,9 +99,9 @@
 };
 
 /// Says that `instance` got the request at `sent_at` and gave no whole answer.
-void LogLostTry(const ForwardContext& context, const ForwardRequest& request,
-                const RequestFingerprint& fingerprint, const InstanceId& instance,
-                TimePoint sent_at, const std::string& reason);
+void LogLostAttempt(const ForwardContext& context, const ForwardRequest& request,
+                    const RequestFingerprint& fingerprint, const InstanceId& instance,
+                    TimePoint sent_at, const std::string& reason);
 
 /// The service that one request of `route` goes to, by the weights.
 ServiceName DrawService(const Route& route, Environment& environment);
@@ -117,7 +117,7 @@
   void Start();
 
  private:
-  class Try;
+  class Attempt;
 
   bool repeatable() const { return route_.kind == RouteKind::kRepeatable; }
   /// Asks the guard, then sends or waits.
@@ -126,16 +126,16 @@
   void Withhold(Duration retry_after);
   /// Runs `work` when the configuration may be gone by, unless the flow has ended by then.
   void WhenCurrentAndOpen(std::function<void()> work);
-  void SendTry();
+  void SendAttempt();
   void SendOrWait();
   void Hedge();
   void ArmHedge();
-  void OnAnswer(Try& attempt, const HttpResponseHead& head, std::string body);
-  void OnRefused(Try& attempt, bool wrong_instance);
-  void OnFailed(Try& attempt, bool unreachable, const std::string& reason);
-  void EndTry(Try& attempt, BackendEnd end);
-  void CancelTries();
-  void TryAgainOrFail();
+  void OnAnswer(Attempt& attempt, const HttpResponseHead& head, std::string body);
+  void OnRefused(Attempt& attempt, bool wrong_instance);
+  void OnFailed(Attempt& attempt, bool unreachable, const std::string& reason);
+  void EndAttempt(Attempt& attempt, BackendEnd end);
+  void CancelAttempts();
+  void RetryOrFail();
   void OnDeadline();
   void Finish(ForwardResult result);
   Duration TimeLeft() const;
@@ -146,9 +146,9 @@
   Callback done_;
   TimePoint started_at_;
   TimePoint deadline_;
-  std::vector<std::unique_ptr<Try>> tries_;
+  std::vector<std::unique_ptr<Attempt>> attempts_;
   /// Tries that ended; kept until the flow goes, since their callbacks may be running.
-  std::vector<std::unique_ptr<Try>> ended_tries_;
+  std::vector<std::unique_ptr<Attempt>> ended_attempts_;
   std::set<InstanceId> tried_;
   RequestMeter meter_;
   RequestWatch watch_;
--- a/source/ingress/ingress_service.cc
+++ b/source/ingress/ingress_service.cc
@@ -104,7 +104,7 @@
                       std::string(ForwardOutcomeName(result.outcome))})
       .Observe(ToSeconds(took));
   stats_->NewCounter({"millstair_forward_tries_total", "Requests sent to back ends."})
-      .Add(result.tries);
+      .Add(result.attempts);
 }
 
 void IngressService::FinishUnrouted(Callback done) {
--- a/source/ingress/stream_flow.cc
+++ b/source/ingress/stream_flow.cc
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr int kOk = 200;
-constexpr Duration kLongestWithoutLimit = std::chrono::minutes(10);
-constexpr Duration kPauseMin = std::chrono::milliseconds(10);
-constexpr Duration kPauseMax = std::chrono::milliseconds(40);
+constexpr Duration kDefaultTimeout = std::chrono::minutes(10);
+constexpr Duration kRetryPauseMin = std::chrono::milliseconds(10);
+constexpr Duration kRetryPauseMax = std::chrono::milliseconds(40);
 /// A stream that no back end takes is given up after this part of its time.
 constexpr double kGiveUpShare = 0.5;
 constexpr Duration kRetryAfter = std::chrono::milliseconds(50);
@@ -76,7 +76,7 @@
       retry_after_(kRetryAfter),
       deadline_timer_(context.environment),
       retry_timer_(context.environment) {
-  Duration limit = route_.timeout.value_or(kLongestWithoutLimit);
+  Duration limit = route_.timeout.value_or(kDefaultTimeout);
   if (request_.time_left) limit = std::min(limit, *request_.time_left);
   deadline_ = started_at_ + limit;
   events_ = request_.resume_after.value_or(0);
@@ -119,7 +119,7 @@
     if (!begun_ && used >= kGiveUpShare * ToSeconds(deadline_ - started_at_)) {
       return Finish(ForwardOutcome::kFailed, "no back end takes it");
     }
-    retry_timer_.Arm(DrawDuration(context_.environment.Random(), kPauseMin, kPauseMax),
+    retry_timer_.Arm(DrawDuration(context_.environment.Random(), kRetryPauseMin, kRetryPauseMax),
                      [this] { SendIfAllowed(); });
     return;
   }
@@ -203,7 +203,8 @@
     --may_have_run_;
     watch_.NoteUnreachable();
   } else {
-    LogLostTry(context_, request_, watch_.fingerprint(), run.target().id, run.sent_at(), reason);
+    LogLostAttempt(context_, request_, watch_.fingerprint(), run.target().id, run.sent_at(),
+                   reason);
     watch_.NoteLost(run.target());
     after_loss_ = true;
   }
@@ -232,7 +233,7 @@
   result.forward.outcome = not_run ? ForwardOutcome::kNotRun : outcome;
   result.forward.retry_after = retry_after_;
   result.forward.reason = reason;
-  result.forward.tries = sent_;
+  result.forward.attempts = sent_;
   result.forward.instance = last_instance_;
   result.forward.proof_age_at_send = proof_age_at_send_;
   result.forward.head = head_;
