--- a/source/ingress/forward_flow.cc
+++ b/source/ingress/forward_flow.cc
@@ -107,7 +107,7 @@
       request_(std::move(request)),
       done_(std::move(done)),
       started_at_(context.environment.Now()),
-      meter_(context.on_begun, request_.tenant),
+      meter_(context.on_request_started, request_.tenant),
       watch_(context.guard, request_),
       deadline_timer_(context.environment),
       retry_timer_(context.environment),
@@ -122,7 +122,7 @@
 void ForwardFlow::CancelAttempts() {
   // Those still under way have begun, unless the back end holds them in its queue; an earlier try
   // that was answered goes before.
-  if (!attempts_.empty()) meter_.NoteBegun(attempts_.front()->sent_at());
+  if (!attempts_.empty()) meter_.RecordStart(attempts_.front()->sent_at());
   for (const auto& attempt : attempts_) attempt->End(BackendEnd::kCancelled);
 }
 
@@ -231,7 +231,7 @@
 
 void ForwardFlow::OnAnswer(Attempt& attempt, const HttpResponseHead& head, std::string body) {
   const std::string signature = attempt.signature();
-  meter_.NoteBegun(attempt.sent_at());
+  meter_.RecordStart(attempt.sent_at());
   // A server's own failure of a request that may run again is worth another try elsewhere.
   constexpr int kServerError = 500;
   const bool failed = head.status == kServerError;
@@ -266,7 +266,7 @@
   }
   // What was sent and not refused has most likely begun.
   if (!unreachable) {
-    meter_.NoteBegun(attempt.sent_at());
+    meter_.RecordStart(attempt.sent_at());
     LogLostAttempt(context_, request_, watch_.fingerprint(), attempt.instance(), attempt.sent_at(),
                    reason);
     watch_.NoteLost(attempt.target());
--- a/source/ingress/forward_flow.h
+++ b/source/ingress/forward_flow.h
@@ -58,7 +58,7 @@
 };
 
 /// Hears that a request of a tenant began to run at a back end, at the given time.
-using BegunListener = std::function<void(const TenantName& tenant, TimePoint at)>;
+using RequestStartListener = std::function<void(const TenantName& tenant, TimePoint at)>;
 
 /// Runs `work`, at once or later, when the configuration held may be gone by.
 using WhenCurrent = std::function<void(std::function<void()> work)>;
@@ -71,7 +71,7 @@
   const BackendProtocol& protocol;
   RequestGuard& guard;
   /// May be empty.
-  BegunListener on_begun = {};
+  RequestStartListener on_request_started = {};
   /// Asked before each choice of a back end: a flow may have waited while its node stood still, and
   /// the back ends that it knows may have left.
   WhenCurrent when_current = [](const std::function<void()>& work) { work(); };
@@ -83,17 +83,17 @@
 class RequestMeter {
  public:
   /// `listener` outlives the meter. Requests of nobody are not metered.
-  RequestMeter(const BegunListener& listener, const TenantName& tenant)
+  RequestMeter(const RequestStartListener& listener, const TenantName& tenant)
       : listener_(listener), tenant_(tenant) {}
   /// A back end began to run the request at `at`, or is taken to have done so.
-  void NoteBegun(TimePoint at) {
+  void RecordStart(TimePoint at) {
     if (noted_ || tenant_ == TenantName() || !listener_) return;
     noted_ = true;
     listener_(tenant_, at);
   }
 
  private:
-  const BegunListener& listener_;
+  const RequestStartListener& listener_;
   const TenantName tenant_;
   bool noted_ = false;
 };
--- a/source/ingress/ingress_service.h
+++ b/source/ingress/ingress_service.h
@@ -33,7 +33,9 @@
                  StatsRegistry* stats = nullptr);
 
   /// Hears of requests that began to run.
-  void OnBegun(BegunListener listener) { context_.on_begun = std::move(listener); }
+  void SetRequestStartListener(RequestStartListener listener) {
+    context_.on_request_started = std::move(listener);
+  }
   /// Whether the routes held are proven fresh. Where they are not, a request without a route is
   /// told that this node can't tell now, since its route may be newer.
   void SetFresh(std::function<bool()> fresh) { fresh_ = std::move(fresh); }
--- a/source/ingress/stream_flow.cc
+++ b/source/ingress/stream_flow.cc
@@ -71,7 +71,7 @@
       sink_(sink),
       done_(std::move(done)),
       started_at_(context.environment.Now()),
-      meter_(context.on_begun, request_.tenant),
+      meter_(context.on_request_started, request_.tenant),
       watch_(context.guard, request_),
       retry_after_(kRetryAfter),
       deadline_timer_(context.environment),
@@ -183,7 +183,7 @@
     // It got further than where the last back end ended.
     if (std::exchange(after_loss_, false)) watch_.NoteServed();
     // A generation begins with its first token.
-    meter_.NoteBegun(context_.environment.Now());
+    meter_.RecordStart(context_.environment.Now());
     sink_.OnEvents(std::move(whole));
   }
   return sound;
--- a/source/jobs/ingress_node.cc
+++ b/source/jobs/ingress_node.cc
@@ -55,7 +55,7 @@
   ingress_.SetProofAge([this] { return ProofAge(); });
   ingress_.SetWhenCurrent(
       [this](std::function<void()> work) { configuration_->WhenCurrent(std::move(work)); });
-  ingress_.OnBegun(
+  ingress_.SetRequestStartListener(
       [this](const TenantName& tenant, TimePoint at) { usage_.NoteBegun(tenant, at); });
 }
 
--- a/test/ingress/forward_flow_test.cc
+++ b/test/ingress/forward_flow_test.cc
@@ -87,7 +87,7 @@
 /// How often requests of the tenant "t" were metered, and when the first one began.
 struct Metered {
   explicit Metered(Fixture& fixture) {
-    fixture.service_.OnBegun([this](const TenantName& tenant, TimePoint at) {
+    fixture.service_.SetRequestStartListener([this](const TenantName& tenant, TimePoint at) {
       CHECK(tenant == TenantName("t"));
       if (count++ == 0) first_at = at;
     });
