--- a/source/ingress/forward_flow.cc
+++ b/source/ingress/forward_flow.cc
@@ -208,7 +208,7 @@
   ++sent_;
   // Counted before the send: a try is taken back only on the back end's own word.
   ++may_have_run_;
-  proof_age_at_send_ = std::max(proof_age_at_send_, context_.proof_age());
+  confirmation_age_at_send_ = std::max(confirmation_age_at_send_, context_.confirmation_age());
   watch_.NoteSent();
   BackendRequest request{request_.http, request_.host, request_.request_id, TimeLeft(),
                          target->id,    std::nullopt,  request_.tenant};
@@ -308,7 +308,7 @@
   result.attempts = sent_;
   result.instance = last_instance_;
   result.server_errors = server_errors_;
-  result.proof_age_at_send = proof_age_at_send_;
+  result.confirmation_age_at_send = confirmation_age_at_send_;
   deadline_timer_.Cancel();
   retry_timer_.Cancel();
   hedge_timer_.Cancel();
--- a/source/ingress/forward_flow.h
+++ b/source/ingress/forward_flow.h
@@ -49,7 +49,7 @@
   uint64_t routing_digest = 0;
   /// Greatest age of the configuration's proof as the request was sent to a back end; none if it
   /// was not sent, or never proven.
-  std::optional<Duration> proof_age_at_send;
+  std::optional<Duration> confirmation_age_at_send;
   /// For the log.
   std::string reason;
   uint32_t attempts = 0;
@@ -76,7 +76,9 @@
   /// the back ends that it knows may have left.
   WhenCurrent when_current = [](const std::function<void()>& work) { work(); };
   /// How long ago the configuration held was last known to be the newest; none if it never was.
-  std::function<std::optional<Duration>()> proof_age = [] { return std::optional<Duration>(); };
+  std::function<std::optional<Duration>()> confirmation_age = [] {
+    return std::optional<Duration>();
+  };
 };
 
 /// Meters one request: it counts once, wherever and however often it ran.
@@ -156,7 +158,7 @@
   uint32_t may_have_run_ = 0;
   uint32_t sent_ = 0;
   uint32_t server_errors_ = 0;
-  std::optional<Duration> proof_age_at_send_;
+  std::optional<Duration> confirmation_age_at_send_;
   std::string last_reason_;
   InstanceId last_instance_;
   ScopedTimer deadline_timer_;
--- a/source/ingress/ingress_service.cc
+++ b/source/ingress/ingress_service.cc
@@ -44,11 +44,11 @@
   // have been lost with disks and sent anew.
   const bool held = routes_ && routes_->version == document.version && routes_->digest == digest;
   if (held) {
-    newest_unread_ = false;
+    newest_unreadable_ = false;
     return;
   }
   auto table = reader_.Read(document.content);
-  newest_unread_ = !table.ok();
+  newest_unreadable_ = !table.ok();
   if (!table.ok()) {
     LogEvent(EventId::kRoutingUnread, "version={} error=\"{}\"", document.version,
              std::string(table.status().message()));
@@ -111,7 +111,7 @@
   if (!routes_) {
     return FinishSoon(ForwardOutcome::kNotConfigured, "no routes are known yet", std::move(done));
   }
-  if (!fresh_() || newest_unread_) {
+  if (!is_current_() || newest_unreadable_) {
     return FinishSoon(ForwardOutcome::kNotConfigured, "the routes held may be too old",
                       std::move(done));
   }
--- a/source/ingress/ingress_service.h
+++ b/source/ingress/ingress_service.h
@@ -18,7 +18,7 @@
 namespace millstair {
 
 /// When a caller may come back to a node that does not know yet, or can't be sure of, what is
-/// configured. One that has just started is proven fresh after one or two heartbeats, and the
+/// configured. One that has just started is proven is_current after one or two heartbeats, and the
 /// caller's next try reaches another node anyway.
 inline constexpr Duration kRetryWhenUnconfigured = std::chrono::milliseconds(250);
 
@@ -36,15 +36,15 @@
   void SetRequestStartListener(RequestStartListener listener) {
     context_.on_request_started = std::move(listener);
   }
-  /// Whether the routes held are proven fresh. Where they are not, a request without a route is
-  /// told that this node can't tell now, since its route may be newer.
-  void SetFresh(std::function<bool()> fresh) { fresh_ = std::move(fresh); }
-  /// Runs what goes by the configuration once that is proven fresh, or known not to be provable
-  /// now.
+  /// Whether the routes held are proven is_current. Where they are not, a request without a route
+  /// is told that this node can't tell now, since its route may be newer.
+  void SetIsCurrent(std::function<bool()> is_current) { is_current_ = std::move(is_current); }
+  /// Runs what goes by the configuration once that is proven is_current, or known not to be
+  /// provable now.
   void SetWhenCurrent(WhenCurrent when_current) { context_.when_current = std::move(when_current); }
   /// How long ago the configuration held was last known to be the newest; for logs.
-  void SetProofAge(std::function<std::optional<Duration>()> age) {
-    context_.proof_age = std::move(age);
+  void SetConfirmationAge(std::function<std::optional<Duration>()> age) {
+    context_.confirmation_age = std::move(age);
   }
   /// Where crashes of back ends are reported; outlives the service.
   void SetSuspectRegister(SuspectRegister& suspects) { guard_.SetRegister(&suspects); }
@@ -59,7 +59,7 @@
   /// Null before the first routing configuration.
   const RouteTable* routes() const { return routes_ ? &*routes_ : nullptr; }
   /// Whether the newest document that came can't be read, so that the routes held are older.
-  bool NewestUnread() const { return newest_unread_; }
+  bool NewestUnreadable() const { return newest_unreadable_; }
   BackendDirectory& directory() { return directory_; }
   const BackendProtocol& protocol() const { return context_.protocol; }
 
@@ -85,8 +85,8 @@
   RequestGuard guard_;
   ForwardContext context_;
   std::optional<RouteTable> routes_;
-  bool newest_unread_ = false;
-  std::function<bool()> fresh_ = [] { return true; };
+  bool newest_unreadable_ = false;
+  std::function<bool()> is_current_ = [] { return true; };
   ColdBound cold_bound_;
   FlowId last_flow_ = 0;
   std::map<FlowId, std::unique_ptr<ForwardFlow>> flows_;
--- a/source/ingress/stream_flow.cc
+++ b/source/ingress/stream_flow.cc
@@ -127,7 +127,7 @@
   last_instance_ = target->id;
   ++sent_;
   ++may_have_run_;
-  proof_age_at_send_ = std::max(proof_age_at_send_, context_.proof_age());
+  confirmation_age_at_send_ = std::max(confirmation_age_at_send_, context_.confirmation_age());
   watch_.NoteSent();
   BackendRequest request{request_.http, request_.host,         request_.request_id, deadline_ - now,
                          target->id,    request_.resume_after, request_.tenant};
@@ -235,7 +235,7 @@
   result.forward.reason = reason;
   result.forward.attempts = sent_;
   result.forward.instance = last_instance_;
-  result.forward.proof_age_at_send = proof_age_at_send_;
+  result.forward.confirmation_age_at_send = confirmation_age_at_send_;
   result.forward.head = head_;
   result.forward.body = std::move(plain_body_);
   result.begun = begun_;
--- a/source/ingress/stream_flow.h
+++ b/source/ingress/stream_flow.h
@@ -94,7 +94,7 @@
   bool after_loss_ = false;
   uint32_t may_have_run_ = 0;
   uint32_t sent_ = 0;
-  std::optional<Duration> proof_age_at_send_;
+  std::optional<Duration> confirmation_age_at_send_;
   /// When the client may come back, if nothing ran.
   Duration retry_after_;
   ScopedTimer deadline_timer_;
--- a/source/jobs/ingress_node.cc
+++ b/source/jobs/ingress_node.cc
@@ -51,8 +51,8 @@
     return cold_turns_.IsAssignedToSelf(instance.value(), configuration_->ProvenSince());
   });
   ingress_.SetSuspectRegister(suspects_);
-  ingress_.SetFresh([this] { return LeaseValid(); });
-  ingress_.SetProofAge([this] { return ProofAge(); });
+  ingress_.SetIsCurrent([this] { return LeaseValid(); });
+  ingress_.SetConfirmationAge([this] { return ProofAge(); });
   ingress_.SetWhenCurrent(
       [this](std::function<void()> work) { configuration_->WhenCurrent(std::move(work)); });
   ingress_.SetRequestStartListener(
@@ -129,7 +129,7 @@
     if (by_key && !ready_) return {AdmissionVerdict::kUnsure, {}, kRetryWhenUnconfigured};
     return {AdmissionVerdict::kAllowed, access.tenant, Duration(0)};
   }
-  const bool sure = ready_ && LeaseValid() && !ingress_.NewestUnread();
+  const bool sure = ready_ && LeaseValid() && !ingress_.NewestUnreadable();
   if (!sure) return {AdmissionVerdict::kUnsure, {}, kRetryWhenUnconfigured};
   return {AdmissionVerdict::kUnknownKey, {}, Duration(0)};
 }
