--- a/source/ingress/event_stream.cc
+++ b/source/ingress/event_stream.cc
@@ -7,7 +7,7 @@
 
 }  // namespace
 
-std::vector<std::string> EventStreamSplitter::Take(std::string_view bytes) {
+std::vector<std::string> EventStreamSplitter::Append(std::string_view bytes) {
   const size_t searched = pending_.empty() ? 0 : pending_.size() - 1;
   for (const char byte : bytes) {
     if (byte != '\r') pending_.push_back(byte);
--- a/source/ingress/event_stream.h
+++ b/source/ingress/event_stream.h
@@ -11,7 +11,7 @@
  public:
   /// Takes the next bytes; returns the lines of each event that is whole now, without the empty
   /// line that ends it. Line ends are "\n".
-  std::vector<std::string> Take(std::string_view bytes);
+  std::vector<std::string> Append(std::string_view bytes);
   /// Bytes of an event that is not whole yet.
   bool HasPartialEvent() const { return !pending_.empty(); }
 
--- a/source/ingress/stream_flow.cc
+++ b/source/ingress/stream_flow.cc
@@ -158,35 +158,35 @@
 void StreamFlow::OnBody(Run& run, std::string bytes) {
   if (plain_) {
     plain_body_ += bytes;
-  } else if (!TakeEvents(bytes)) {
+  } else if (!ForwardEvents(bytes)) {
     OnFailed(run, BackendEnd::kFailed, "its events do not follow one another");
   }
 }
 
-bool StreamFlow::TakeEvents(const std::string& bytes) {
-  std::string whole;
-  bool sound = true;
-  for (const std::string& lines : splitter_.Take(bytes)) {
+bool StreamFlow::ForwardEvents(const std::string& bytes) {
+  std::string complete;
+  bool valid = true;
+  for (const std::string& lines : splitter_.Append(bytes)) {
     const auto event = context_.protocol.ReadEvent(lines);
-    sound = event.ok();
-    if (!sound) break;
+    valid = event.ok();
+    if (!valid) break;
     if (event->has_value()) {
       // Ids rise; a run that goes on has to begin after what was passed on.
-      sound = (*event)->id > events_;
-      if (!sound) break;
+      valid = (*event)->id > events_;
+      if (!valid) break;
       events_ = (*event)->id;
     }
-    whole += lines;
-    whole += "\n\n";
+    complete += lines;
+    complete += "\n\n";
   }
-  if (!whole.empty()) {
+  if (!complete.empty()) {
     // It got further than where the last back end ended.
     if (std::exchange(after_loss_, false)) watch_.NoteServed();
     // A generation begins with its first token.
     meter_.RecordStart(context_.environment.Now());
-    sink_.OnEvents(std::move(whole));
+    sink_.OnEvents(std::move(complete));
   }
-  return sound;
+  return valid;
 }
 
 void StreamFlow::OnFinished(Run& run) {
@@ -209,10 +209,10 @@
     after_loss_ = true;
   }
   EndRun(end);
-  GoOnOrFail(reason);
+  ResumeOrFail(reason);
 }
 
-void StreamFlow::GoOnOrFail(const std::string& reason) {
+void StreamFlow::ResumeOrFail(const std::string& reason) {
   const bool may_run_again =
       may_have_run_ == 0 || (route_.resumable && may_have_run_ < route_.attempts);
   if (!may_run_again) return Finish(ForwardOutcome::kFailed, reason);
--- a/source/ingress/stream_flow.h
+++ b/source/ingress/stream_flow.h
@@ -65,10 +65,10 @@
   void OnFinished(Run& run);
   void OnFailed(Run& run, BackendEnd end, const std::string& reason);
   void EndRun(BackendEnd end);
-  void GoOnOrFail(const std::string& reason);
+  void ResumeOrFail(const std::string& reason);
   void Finish(ForwardOutcome outcome, const std::string& reason);
   /// Passes on what is whole; false if the events do not follow one another.
-  bool TakeEvents(const std::string& bytes);
+  bool ForwardEvents(const std::string& bytes);
 
   ForwardContext& context_;
   const Route route_;
--- a/source/jobs/item_run.cc
+++ b/source/jobs/item_run.cc
@@ -100,7 +100,7 @@
 void ItemRun::OnBody(std::string bytes) {
   if (ended_ || !streaming_) return;
   WatchForStall();
-  for (const std::string& lines : splitter_.Take(bytes)) {
+  for (const std::string& lines : splitter_.Append(bytes)) {
     if (!TakeEvent(lines)) return;
   }
 }
