--- a/source/ingress/forward_flow.cc
+++ b/source/ingress/forward_flow.cc
@@ -209,7 +209,7 @@
   // Counted before the send: a try is taken back only on the back end's own word.
   ++may_have_run_;
   confirmation_age_at_send_ = std::max(confirmation_age_at_send_, context_.confirmation_age());
-  watch_.NoteSent();
+  watch_.OnSent();
   BackendRequest request{request_.http, request_.host, request_.request_id, TimeLeft(),
                          target->id,    std::nullopt,  request_.tenant};
   attempts_.push_back(std::make_unique<Attempt>(*this, *std::move(target)));
@@ -237,7 +237,7 @@
   const bool failed = head.status == kServerError;
   if (failed) ++server_errors_;
   EndAttempt(attempt, BackendEnd::kAnswered);
-  watch_.NoteServed();
+  watch_.OnServed();
   if (failed && repeatable() && may_have_run_ < route_.attempts) {
     last_reason_ = "the back end answered 500";
     if (attempts_.empty()) SendIfAllowed();
@@ -262,14 +262,14 @@
 void ForwardFlow::OnFailed(Attempt& attempt, bool unreachable, const std::string& reason) {
   if (unreachable) {
     --may_have_run_;
-    watch_.NoteUnreachable();
+    watch_.OnUnreachable();
   }
   // What was sent and not refused has most likely begun.
   if (!unreachable) {
     meter_.RecordStart(attempt.sent_at());
     LogLostAttempt(context_, request_, watch_.fingerprint(), attempt.instance(), attempt.sent_at(),
                    reason);
-    watch_.NoteLost(attempt.target());
+    watch_.OnLost(attempt.target());
   }
   last_reason_ = reason;
   EndAttempt(attempt, unreachable ? BackendEnd::kUnreachable : BackendEnd::kFailed);
--- a/source/ingress/ingress_service.cc
+++ b/source/ingress/ingress_service.cc
@@ -24,7 +24,7 @@
 void IngressService::Update(const Configuration& configuration) {
   directory_.Update(configuration);
   guard_.Update(configuration.suspects);
-  guard_.NoteRevision(configuration.revision);
+  guard_.OnRevision(configuration.revision);
   UpdateRoutes(configuration.routing, configuration.revision);
 }
 
@@ -33,7 +33,7 @@
   directory_.Apply(configuration, changes);
   const bool suspects = !changes.changed_suspects.empty() || !changes.deleted_suspects.empty();
   if (suspects) guard_.Update(configuration.suspects);
-  guard_.NoteRevision(configuration.revision);
+  guard_.OnRevision(configuration.revision);
   if (changes.routing) UpdateRoutes(configuration.routing, configuration.revision);
 }
 
--- a/source/ingress/request_guard.cc
+++ b/source/ingress/request_guard.cc
@@ -10,10 +10,10 @@
 
 /// Requests of which a node remembers what it saw itself (some 100 kB). Those with the fewest
 /// crashes go first.
-constexpr size_t kMostSeen = 256;
+constexpr size_t kMaxSeen = 256;
 /// Requests that are remembered as served in one span (some 30 kB); a busier node remembers those
 /// of a shorter one.
-constexpr size_t kMostServed = 2048;
+constexpr size_t kMaxServed = 2048;
 /// Between two reports of what the cluster did not take.
 constexpr Duration kReportPause = std::chrono::seconds(1);
 
@@ -48,18 +48,18 @@
     // What the cluster holds it holds for this node too.
     if (seen == seen_.end()) continue;
     for (const InstanceId& instance : record.crashed) seen->second.crashed.erase(instance);
-    if (seen->second.crashed.empty() && seen->second.in_doubt.empty()) seen_.erase(seen);
+    if (seen->second.crashed.empty() && seen->second.unverified.empty()) seen_.erase(seen);
   }
   DropOldSeen();
   RefreshPlaces();
 }
 
-void RequestGuard::NoteRevision(Revision revision) {
+void RequestGuard::OnRevision(Revision revision) {
   revision_ = revision;
-  if (!seen_.empty()) DropAccounted();
+  if (!seen_.empty()) DropCommitted();
 }
 
-void RequestGuard::DropAccounted() {
+void RequestGuard::DropCommitted() {
   const size_t before = seen_.size();
   for (auto entry = seen_.begin(); entry != seen_.end();) {
     Seen& seen = entry->second;
@@ -68,7 +68,7 @@
       seen.reported.clear();
       seen.reported_at.reset();
     }
-    const bool nothing_left = seen.crashed.empty() && seen.in_doubt.empty();
+    const bool nothing_left = seen.crashed.empty() && seen.unverified.empty();
     entry = nothing_left ? seen_.erase(entry) : std::next(entry);
   }
   if (seen_.size() != before) RefreshPlaces();
@@ -102,9 +102,9 @@
   const size_t crashes = CrashesOf(seen, known);
   decision.count = known == nullptr ? CrashCount{crashes, 0, 0} : known->record.CountWith(crashes);
   decision.standing = StandingOf(decision.count);
-  const size_t in_doubt = seen == nullptr ? 0 : seen->in_doubt.size();
+  const size_t unverified = seen == nullptr ? 0 : seen->unverified.size();
   if (decision.standing == SuspectStanding::kWatched) {
-    const bool may_hold = in_doubt > 0 && crashes + in_doubt >= kCrashesToHold;
+    const bool may_hold = unverified > 0 && crashes + unverified >= kCrashesToHold;
     decision.verdict = may_hold ? GuardVerdict::kWait : GuardVerdict::kSend;
     return decision;
   }
@@ -117,7 +117,7 @@
     decision.retry_after = kBarredRetryAfter;
     return decision;
   }
-  TimePoint since = known == nullptr ? seen->changed_at : known->learned_at;
+  TimePoint since = known == nullptr ? seen->changed_at : known->received_at;
   if (seen != nullptr) since = std::max(since, seen->changed_at);
   const Duration pause = pauses[decision.count.trials];
   decision.retry_after = std::max(since + pause - environment_.Now(), Duration(0));
@@ -148,10 +148,10 @@
   LogEvent(EventId::kTrialReturned, "fingerprint={}", request);
 }
 
-void RequestGuard::NoteLost(const GuardedRequest& request, const BackendInstance& instance) {
+void RequestGuard::OnLost(const GuardedRequest& request, const BackendInstance& instance) {
   Seen& seen = seen_[request.fingerprint];
   seen.place = request.place;
-  seen.in_doubt.insert(instance.id);
+  seen.unverified.insert(instance.id);
   seen.changed_at = environment_.Now();
   places_.insert(request.place);
   const auto [check, added] = checks_.try_emplace(instance.id);
@@ -171,7 +171,7 @@
   for (const RequestFingerprint& request : checked.mapped().requests) {
     const auto found = seen_.find(request);
     // It was answered meanwhile.
-    if (found == seen_.end() || found->second.in_doubt.erase(instance) == 0) continue;
+    if (found == seen_.end() || found->second.unverified.erase(instance) == 0) continue;
     Seen& seen = found->second;
     if (verdict == LivenessVerdict::kEnded) {
       seen.crashed.insert(instance);
@@ -186,7 +186,7 @@
       }
       if (WantsReport(seen)) reports.push_back(request);
     }
-    if (seen.crashed.empty() && seen.in_doubt.empty()) seen_.erase(found);
+    if (seen.crashed.empty() && seen.unverified.empty()) seen_.erase(found);
   }
   Report(reports);
   DropOldSeen();
@@ -222,7 +222,7 @@
   }
   if (!at) return ReportSoon();
   // A record that was cleared before it was pushed here is never seen as such.
-  DropAccounted();
+  DropCommitted();
 }
 
 void RequestGuard::ReportSoon() {
@@ -235,7 +235,7 @@
   });
 }
 
-void RequestGuard::NoteServed(const RequestFingerprint& request) {
+void RequestGuard::OnServed(const RequestFingerprint& request) {
   if (seen_.erase(request) > 0) RefreshPlaces();
   const auto known = known_.find(request);
   if (known == known_.end() || known->second.clearing || register_ == nullptr) return;
@@ -249,26 +249,26 @@
   }));
 }
 
-void RequestGuard::RememberServed(uint64_t digest) {
-  BeginSpanIfDue();
+void RequestGuard::RecordServed(uint64_t digest) {
+  RotateServedIfDue();
   served_.insert(digest);
 }
 
-bool RequestGuard::ServedLately(uint64_t digest) {
-  BeginSpanIfDue();
+bool RequestGuard::ServedRecently(uint64_t digest) {
+  RotateServedIfDue();
   return served_.contains(digest) || served_before_.contains(digest);
 }
 
-void RequestGuard::BeginSpanIfDue() {
-  const Duration passed = environment_.Now() - span_begun_;
-  if (passed < kServedSpan && served_.size() < kMostServed) return;
+void RequestGuard::RotateServedIfDue() {
+  const Duration passed = environment_.Now() - span_started_at_;
+  if (passed < kServedSpan && served_.size() < kMaxServed) return;
   served_before_.clear();
   if (passed < 2 * kServedSpan) std::swap(served_, served_before_);
   served_.clear();
-  span_begun_ = environment_.Now();
+  span_started_at_ = environment_.Now();
 }
 
-void RequestGuard::NoteGivenUp(const RequestFingerprint& request) {
+void RequestGuard::OnGivenUp(const RequestFingerprint& request) {
   const auto found = seen_.find(request);
   if (found == seen_.end()) return;
   found->second.given_up = true;
@@ -280,9 +280,9 @@
   std::erase_if(seen_, [&](const auto& entry) {
     const Seen& seen = entry.second;
     const Duration kept = seen.crashed.size() >= kCrashesToHold ? kHeldFor : kWatchedFor;
-    return seen.in_doubt.empty() && now - seen.changed_at > kept;
+    return seen.unverified.empty() && now - seen.changed_at > kept;
   });
-  while (seen_.size() > kMostSeen) {
+  while (seen_.size() > kMaxSeen) {
     seen_.erase(std::min_element(seen_.begin(), seen_.end(), [](const auto& a, const auto& b) {
       return std::pair(a.second.crashed.size(), a.second.changed_at) <
              std::pair(b.second.crashed.size(), b.second.changed_at);
--- a/source/ingress/request_guard.h
+++ b/source/ingress/request_guard.h
@@ -87,7 +87,7 @@
   /// The cluster's record changed, or may have.
   void Update(const SuspectRequests& suspects);
   /// The configuration held is that of `revision`, its record of suspects included.
-  void NoteRevision(Revision revision);
+  void OnRevision(Revision revision);
 
   /// Nothing is suspected.
   bool idle() const { return places_.empty(); }
@@ -103,18 +103,18 @@
   void ReturnTrial(const RequestFingerprint& request);
 
   /// `instance` got the request and gave no whole answer.
-  void NoteLost(const GuardedRequest& request, const BackendInstance& instance);
+  void OnLost(const GuardedRequest& request, const BackendInstance& instance);
   /// A back end has answered the request, or got further with it than those that ended.
-  void NoteServed(const RequestFingerprint& request);
+  void OnServed(const RequestFingerprint& request);
   /// A back end has answered a request, suspect or not; `digest` tells it from others.
-  void RememberServed(uint64_t digest);
-  bool ServedLately(uint64_t digest);
+  void RecordServed(uint64_t digest);
+  bool ServedRecently(uint64_t digest);
   /// Seeds the digests of this process, so that nobody can foresee them.
   uint64_t digest_seed() const { return digest_seed_; }
   /// No try of this node follows: its crashes are reported even if there is only one. One crash of
   /// a request that is tried again here is not: the next answer clears it, and a crash of a server
   /// strikes all that runs there.
-  void NoteGivenUp(const RequestFingerprint& request);
+  void OnGivenUp(const RequestFingerprint& request);
 
  private:
   /// What this node saw and the cluster's record may not hold yet.
@@ -122,7 +122,7 @@
     std::string place;
     std::set<InstanceId> crashed;
     /// Lives that are being asked for.
-    std::set<InstanceId> in_doubt;
+    std::set<InstanceId> unverified;
     TimePoint changed_at;
     bool given_up = false;
     /// Lives that the cluster has been told of, and the revision with which they count there; none
@@ -133,7 +133,7 @@
   /// The cluster's record of a request, and since when this node holds it.
   struct Known {
     SuspectRequest record;
-    TimePoint learned_at;
+    TimePoint received_at;
     bool clearing = false;
   };
   struct Check {
@@ -148,10 +148,10 @@
   void OnReported(const std::vector<RequestFingerprint>& requests, std::optional<Revision> at);
   /// What the configuration held accounts for is not this node's to hold against a request: the
   /// cluster's record does, or has been cleared since.
-  void DropAccounted();
+  void DropCommitted();
   void DropOldSeen();
   void RefreshPlaces();
-  void BeginSpanIfDue();
+  void RotateServedIfDue();
   static size_t CrashesOf(const Seen* seen, const Known* known);
   const Seen* FindSeen(const RequestFingerprint& request) const;
   const Known* FindKnown(const RequestFingerprint& request) const;
@@ -174,7 +174,7 @@
   /// Digests of what was served in this span and in the one before.
   absl::flat_hash_set<uint64_t> served_;
   absl::flat_hash_set<uint64_t> served_before_;
-  TimePoint span_begun_;
+  TimePoint span_started_at_;
   ScopedTimer report_timer_;
   AliveFlag alive_;
 };
--- a/source/ingress/request_watch.cc
+++ b/source/ingress/request_watch.cc
@@ -20,11 +20,11 @@
   if (!MayBeSuspect()) return {};
   GuardDecision decision = guard_.Judge(fingerprint());
   if (on_trial_ && !trial_used_) decision.verdict = GuardVerdict::kSend;
-  if (decision.verdict != GuardVerdict::kSend && !lost_ && guard_.ServedLately(digest())) {
+  if (decision.verdict != GuardVerdict::kSend && !lost_ && guard_.ServedRecently(digest())) {
     // Nodes that have not seen it served counted crashes of an outage against it: what a back end
     // answered a moment ago crashes none. One page that all callers ask for was withheld 102 times
     // in 5 s without this.
-    guard_.NoteServed(fingerprint());
+    guard_.OnServed(fingerprint());
     return {};
   }
   if (decision.verdict == GuardVerdict::kRefuse) {
@@ -70,21 +70,21 @@
   return MayBeSuspect() && guard_.Judge(fingerprint()).count.crashes > 0;
 }
 
-void RequestWatch::NoteLost(const BackendInstance& instance) {
-  if (!on_trial_ && guard_.ServedLately(digest())) return;
+void RequestWatch::OnLost(const BackendInstance& instance) {
+  if (!on_trial_ && guard_.ServedRecently(digest())) return;
   lost_ = true;
-  guard_.NoteLost({fingerprint(), place()}, instance);
+  guard_.OnLost({fingerprint(), place()}, instance);
 }
 
 uint64_t RequestWatch::digest() const {
   return DigestOf(IdentityOf(request_), guard_.digest_seed());
 }
 
-void RequestWatch::NoteServed() {
-  guard_.RememberServed(digest());
+void RequestWatch::OnServed() {
+  guard_.RecordServed(digest());
   if (!MayBeSuspect()) return;
   lost_ = false;
-  guard_.NoteServed(fingerprint());
+  guard_.OnServed(fingerprint());
 }
 
 }  // namespace millstair
--- a/source/ingress/request_watch.h
+++ b/source/ingress/request_watch.h
@@ -18,7 +18,7 @@
       : guard_(guard), request_(request) {}
   /// A request that was lost and not answered is one that its caller may bring elsewhere.
   ~RequestWatch() {
-    if (lost_) guard_.NoteGivenUp(fingerprint());
+    if (lost_) guard_.OnGivenUp(fingerprint());
     if (on_trial_ && !trial_used_) guard_.ReturnTrial(fingerprint());
   }
   RequestWatch(const RequestWatch&) = delete;
@@ -34,15 +34,15 @@
 
   /// It is on its way to a back end; a trial is used up by that, also if the back end refuses it,
   /// since each send counts.
-  void NoteSent() { trial_used_ = on_trial_; }
+  void OnSent() { trial_used_ = on_trial_; }
   /// Nothing of it reached the back end.
-  void NoteUnreachable() { trial_used_ = false; }
+  void OnUnreachable() { trial_used_ = false; }
   /// `instance` got it and gave no whole answer.
-  void NoteLost(const BackendInstance& instance);
+  void OnLost(const BackendInstance& instance);
   /// Tells its content from others, also in logs.
   const RequestFingerprint& fingerprint();
   /// A back end answered it, or got further with it than the one that was lost before.
-  void NoteServed();
+  void OnServed();
 
  private:
   /// What may be done with the request now. A trial that was granted allows one send.
--- a/source/ingress/stream_flow.cc
+++ b/source/ingress/stream_flow.cc
@@ -128,7 +128,7 @@
   ++sent_;
   ++may_have_run_;
   confirmation_age_at_send_ = std::max(confirmation_age_at_send_, context_.confirmation_age());
-  watch_.NoteSent();
+  watch_.OnSent();
   BackendRequest request{request_.http, request_.host,         request_.request_id, deadline_ - now,
                          target->id,    request_.resume_after, request_.tenant};
   if (begun_) request.resume_after = events_;
@@ -181,7 +181,7 @@
   }
   if (!complete.empty()) {
     // It got further than where the last back end ended.
-    if (std::exchange(after_loss_, false)) watch_.NoteServed();
+    if (std::exchange(after_loss_, false)) watch_.OnServed();
     // A generation begins with its first token.
     meter_.RecordStart(context_.environment.Now());
     sink_.OnEvents(std::move(complete));
@@ -194,18 +194,18 @@
     return OnFailed(run, BackendEnd::kFailed, "it ended inside an event");
   }
   EndRun(BackendEnd::kAnswered);
-  watch_.NoteServed();
+  watch_.OnServed();
   Finish(ForwardOutcome::kAnswered, "");
 }
 
 void StreamFlow::OnFailed(Run& run, BackendEnd end, const std::string& reason) {
   if (end == BackendEnd::kUnreachable) {
     --may_have_run_;
-    watch_.NoteUnreachable();
+    watch_.OnUnreachable();
   } else {
     LogLostAttempt(context_, request_, watch_.fingerprint(), run.target().id, run.sent_at(),
                    reason);
-    watch_.NoteLost(run.target());
+    watch_.OnLost(run.target());
     after_loss_ = true;
   }
   EndRun(end);
--- a/source/jobs/job_guard.cc
+++ b/source/jobs/job_guard.cc
@@ -83,14 +83,14 @@
   const bool whole = end == ItemRunEnd::kWhole;
   const std::string place = PlaceOf(record.spec.host, record.spec.items[work.index].path);
   if ((further || whole) && guard.MayBeSuspect(place)) {
-    guard.NoteServed(FingerprintOf(work, record));
+    guard.OnServed(FingerprintOf(work, record));
   }
   if (std::exchange(work.runs_on_trial, false) && end == ItemRunEnd::kUnreachable) {
     guard.ReturnTrial(FingerprintOf(work, record));
   }
   if (end != ItemRunEnd::kBroken) return;
   work.lost_after_events = events;
-  guard.NoteLost({FingerprintOf(work, record), place}, engine);
+  guard.OnLost({FingerprintOf(work, record), place}, engine);
 }
 
 }  // namespace millstair
--- a/test/ingress/request_guard_test.cc
+++ b/test/ingress/request_guard_test.cc
@@ -31,7 +31,7 @@
 
   /// `address` got the request and lost it; what that is taken for is known after.
   void Lose(const std::string& address) {
-    guard.NoteLost(kGuarded, LiveInstance(address, "pages"));
+    guard.OnLost(kGuarded, LiveInstance(address, "pages"));
     scheduler.RunFor(milliseconds(200));
   }
 
@@ -74,7 +74,7 @@
 TEST_CASE("One question is asked of a life for all that it lost") {
   Fixture fixture;
   for (const char* name : {"r1", "r2", "r3"}) {
-    fixture.guard.NoteLost({RequestFingerprint(name), name}, LiveInstance("nobody:1", "pages"));
+    fixture.guard.OnLost({RequestFingerprint(name), name}, LiveInstance("nobody:1", "pages"));
   }
   fixture.scheduler.RunFor(milliseconds(200));
   CHECK(fixture.backends.CountAt("nobody:1") == 1);
@@ -85,10 +85,10 @@
 
 TEST_CASE("A request waits for the verdict that may hold it, and for no other") {
   Fixture fixture;
-  fixture.guard.NoteLost(kGuarded, LiveInstance("nobody:1", "pages"));
+  fixture.guard.OnLost(kGuarded, LiveInstance("nobody:1", "pages"));
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kSend);
   fixture.scheduler.RunFor(milliseconds(200));
-  fixture.guard.NoteLost(kGuarded, LiveInstance("nobody:2", "pages"));
+  fixture.guard.OnLost(kGuarded, LiveInstance("nobody:2", "pages"));
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kWait);
   fixture.scheduler.RunFor(milliseconds(200));
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kRefuse);
@@ -99,14 +99,14 @@
   fixture.Lose("nobody:1");
   CHECK(fixture.cluster.reported.empty());
   SECTION("the request is given up") {
-    fixture.guard.NoteGivenUp(kRequest);
+    fixture.guard.OnGivenUp(kRequest);
     REQUIRE(fixture.cluster.reported.size() == 1);
     CHECK(fixture.cluster.reported[0].crashed == std::vector{InstanceId("nobody:1")});
     CHECK(fixture.cluster.reported[0].place == "a.example/p");
   }
   SECTION("it is answered by the next back end") {
-    fixture.guard.NoteServed(kRequest);
-    fixture.guard.NoteGivenUp(kRequest);
+    fixture.guard.OnServed(kRequest);
+    fixture.guard.OnGivenUp(kRequest);
     CHECK(fixture.cluster.reported.empty());
     CHECK(fixture.guard.idle());
   }
@@ -138,11 +138,11 @@
   fixture.Lose("nobody:2");
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kRefuse);
   // The report is committed, and this node's configuration has not come so far.
-  fixture.guard.NoteRevision(Revision(99));
+  fixture.guard.OnRevision(Revision(99));
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kRefuse);
   // Another node cleared the record: the next changes tell of it and of its end at once.
   fixture.guard.Update({});
-  fixture.guard.NoteRevision(Revision(101));
+  fixture.guard.OnRevision(Revision(101));
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kSend);
   CHECK(fixture.guard.idle());
 }
@@ -224,16 +224,16 @@
 
 TEST_CASE("What was served lately is remembered for one span or two, within a bound") {
   Fixture fixture;
-  fixture.guard.RememberServed(1);
-  CHECK(fixture.guard.ServedLately(1));
-  CHECK_FALSE(fixture.guard.ServedLately(2));
+  fixture.guard.RecordServed(1);
+  CHECK(fixture.guard.ServedRecently(1));
+  CHECK_FALSE(fixture.guard.ServedRecently(2));
   fixture.scheduler.RunFor(kServedSpan);
-  CHECK(fixture.guard.ServedLately(1));
+  CHECK(fixture.guard.ServedRecently(1));
   fixture.scheduler.RunFor(kServedSpan);
-  CHECK_FALSE(fixture.guard.ServedLately(1));
-  for (uint64_t digest = 10; digest < 100'000; ++digest) fixture.guard.RememberServed(digest);
-  CHECK_FALSE(fixture.guard.ServedLately(10));
-  CHECK(fixture.guard.ServedLately(99'999));
+  CHECK_FALSE(fixture.guard.ServedRecently(1));
+  for (uint64_t digest = 10; digest < 100'000; ++digest) fixture.guard.RecordServed(digest);
+  CHECK_FALSE(fixture.guard.ServedRecently(10));
+  CHECK(fixture.guard.ServedRecently(99'999));
 }
 
 TEST_CASE("What this node saw and what the cluster holds count together, each life once") {
@@ -250,10 +250,10 @@
   Fixture fixture;
   fixture.Know({"i1", "i2"});
   fixture.cluster.commits = false;
-  fixture.guard.NoteServed(kRequest);
+  fixture.guard.OnServed(kRequest);
   fixture.cluster.commits = true;
-  fixture.guard.NoteServed(kRequest);
-  fixture.guard.NoteServed(kRequest);
+  fixture.guard.OnServed(kRequest);
+  fixture.guard.OnServed(kRequest);
   CHECK(fixture.cluster.cleared == std::vector<size_t>{2, 2});
   fixture.guard.Update({});
   CHECK(fixture.guard.idle());
@@ -266,7 +266,7 @@
   fixture.Lose("nobody:2");
   for (int i = 0; i < 2000; ++i) {
     const std::string name = fmt::format("flood{}", i);
-    fixture.guard.NoteLost({RequestFingerprint(name), name}, LiveInstance("nobody:3", "pages"));
+    fixture.guard.OnLost({RequestFingerprint(name), name}, LiveInstance("nobody:3", "pages"));
   }
   fixture.scheduler.RunFor(milliseconds(200));
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kRefuse);
--- a/test/jobs/crashing_item_test.cc
+++ b/test/jobs/crashing_item_test.cc
@@ -55,7 +55,7 @@
     apply(ledger);
     scheduler_.Schedule(milliseconds(1), [this] {
       guard_.Update(suspects_);
-      guard_.NoteRevision(revision_);
+      guard_.OnRevision(revision_);
     });
   }
 
