--- a/source/ingress/backend_directory.cc
+++ b/source/ingress/backend_directory.cc
@@ -16,16 +16,16 @@
 constexpr size_t kCandidates = 4;
 /// Sound back ends looked at for one pick. With six places each they work on some 140 requests of
 /// one node at once; a service of fewer is looked at whole.
-constexpr size_t kMostLookedAt = 24;
+constexpr size_t kMaxHealthyCandidates = 24;
 constexpr double kSmoothing = 0.2;
 /// Assumed until an answer was seen.
-constexpr double kFirstAnswerSeconds = 0.05;
+constexpr double kDefaultAnswerSeconds = 0.05;
 /// What a back end of another zone costs beyond its time.
 constexpr double kOtherZoneFactor = 1.15;
 constexpr Duration kFullPause = std::chrono::milliseconds(30);
 /// Servers beat every second or two; a back end that may be slow again has said so by then, with
 /// one of two heartbeats and the way of its word to this node.
-constexpr Duration kColdDoubt = std::chrono::seconds(4);
+constexpr Duration kAssumedColdPeriod = std::chrono::seconds(4);
 constexpr uint32_t kNoColdBound = std::numeric_limits<uint32_t>::max();
 
 }  // namespace
@@ -41,20 +41,20 @@
     if (!configuration.instances.contains(id)) deleted.push_back(id);
   }
   for (const InstanceId& id : deleted) Forget(id);
-  for (const auto& [id, record] : configuration.instances) Take(record);
-  TakeEvacuations(configuration.evacuated_zones);
+  for (const auto& [id, record] : configuration.instances) ApplyRecord(record);
+  ApplyEvacuations(configuration.evacuated_zones);
 }
 
 void BackendDirectory::Apply(const Configuration& configuration,
                              const ConfigurationDelta& changes) {
   for (const InstanceId& id : changes.deleted_instances) Forget(id);
-  for (const BackendInstance& record : changes.changed_instances) Take(record);
+  for (const BackendInstance& record : changes.changed_instances) ApplyRecord(record);
   const bool evacuations =
       !changes.changed_evacuations.empty() || !changes.ended_evacuations.empty();
-  if (evacuations) TakeEvacuations(configuration.evacuated_zones);
+  if (evacuations) ApplyEvacuations(configuration.evacuated_zones);
 }
 
-void BackendDirectory::TakeEvacuations(const std::map<Zone, EvacuatedZone>& evacuated) {
+void BackendDirectory::ApplyEvacuations(const std::map<Zone, EvacuatedZone>& evacuated) {
   std::set<Zone> changed;
   for (const auto& [zone, order] : evacuated) {
     if (!evacuated_.insert(zone).second) continue;
@@ -67,18 +67,18 @@
     changed.insert(zone);
     return true;
   });
-  for (const Zone& zone : changed) RelistZone(zone);
+  for (const Zone& zone : changed) RefreshZoneCandidates(zone);
 }
 
-void BackendDirectory::RelistZone(const Zone& zone) {
+void BackendDirectory::RefreshZoneCandidates(const Zone& zone) {
   const bool returns = !evacuated_.contains(zone);
   std::set<std::string> addresses;
   for (auto& [id, backend] : backends_) {
     if (backend.record.zone != zone || !backend.attached) continue;
-    if (returns) DoubtWarmth(backend);
+    if (returns) AssumeCold(backend);
     addresses.insert(backend.record.address);
   }
-  for (const std::string& address : addresses) Relist(address);
+  for (const std::string& address : addresses) RefreshCandidates(address);
 }
 
 void BackendDirectory::SetColdPolicy(ColdPolicy policy) {
@@ -88,8 +88,8 @@
   for (auto& [id, backend] : backends_) backend.cold_tokens.reset();
 }
 
-void BackendDirectory::DoubtWarmth(Backend& backend) {
-  backend.cold_until = std::max(backend.cold_until, environment_.Now() + kColdDoubt);
+void BackendDirectory::AssumeCold(Backend& backend) {
+  backend.cold_until = std::max(backend.cold_until, environment_.Now() + kAssumedColdPeriod);
 }
 
 uint32_t BackendDirectory::ColdAllowance(const InstanceId& instance) {
@@ -113,7 +113,7 @@
   return backend.cold_tokens->Available(now);
 }
 
-void BackendDirectory::Take(const BackendInstance& record) {
+void BackendDirectory::ApplyRecord(const BackendInstance& record) {
   const bool gone = record.state == MemberState::kGone;
   if (gone && !backends_.contains(record.id)) return;
   Backend& backend = backends_[record.id];
@@ -123,7 +123,7 @@
   if (cold_news) backend.cold_until = environment_.Now() + record.cold_left;
   backend.record = record;
   backend.forgotten = false;
-  if (!gone && !backend.over) Attach(backend);
+  if (!gone && !backend.superseded) Attach(backend);
 }
 
 void BackendDirectory::Forget(const InstanceId& instance) {
@@ -140,24 +140,24 @@
 }
 
 void BackendDirectory::Detach(Backend& backend) {
-  Unlist(backend);
+  RemoveCandidate(backend);
   if (!std::exchange(backend.attached, false)) return;
   const auto found = at_address_.find(backend.record.address);
   std::erase(found->second, &backend);
   if (found->second.empty()) {
     at_address_.erase(found);
   } else {
-    Relist(backend.record.address);
+    RefreshCandidates(backend.record.address);
   }
 }
 
 void BackendDirectory::Attach(Backend& backend) {
   backend.attached = true;
   at_address_[backend.record.address].push_back(&backend);
-  Relist(backend.record.address);
+  RefreshCandidates(backend.record.address);
 }
 
-void BackendDirectory::Relist(const std::string& address) {
+void BackendDirectory::RefreshCandidates(const std::string& address) {
   const std::vector<Backend*>& all = at_address_.at(address);
   const auto newest =
       std::max_element(all.begin(), all.end(), [](const Backend* a, const Backend* b) {
@@ -166,19 +166,19 @@
       });
   for (Backend* backend : all) {
     if (backend == *newest && MayGetWork(*backend)) {
-      List(*backend);
+      AddCandidate(*backend);
     } else {
-      Unlist(*backend);
+      RemoveCandidate(*backend);
     }
   }
 }
 
-void BackendDirectory::List(Backend& backend) {
-  if (backend.listed_in == backend.record.service) return;
-  Unlist(backend);
-  backend.listed_in = backend.record.service;
+void BackendDirectory::AddCandidate(Backend& backend) {
+  if (backend.candidate_for == backend.record.service) return;
+  RemoveCandidate(backend);
+  backend.candidate_for = backend.record.service;
   backend.preference = PreferenceOf(backend.record);
-  Listed& listed = services_[backend.record.service];
+  ServiceBackends& listed = services_[backend.record.service];
   const auto by_id = [](const Backend* a, const Backend* b) { return a->record.id < b->record.id; };
   listed.by_id.insert(std::lower_bound(listed.by_id.begin(), listed.by_id.end(), &backend, by_id),
                       &backend);
@@ -197,22 +197,23 @@
   return record.zone == own_zone_ ? hash & ~kOtherZone : hash | kOtherZone;
 }
 
-void BackendDirectory::Unlist(Backend& backend) {
-  if (!backend.listed_in) return;
-  const auto found = services_.find(*backend.listed_in);
+void BackendDirectory::RemoveCandidate(Backend& backend) {
+  if (!backend.candidate_for) return;
+  const auto found = services_.find(*backend.candidate_for);
   std::erase(found->second.by_id, &backend);
   std::erase(found->second.by_preference, &backend);
   if (found->second.by_id.empty()) services_.erase(found);
-  backend.listed_in.reset();
+  backend.candidate_for.reset();
 }
 
 bool BackendDirectory::MayGetWork(const Backend& backend) const {
-  return backend.record.state == MemberState::kLive && !backend.over &&
+  return backend.record.state == MemberState::kLive && !backend.superseded &&
          !evacuated_.contains(backend.record.zone);
 }
 
 double BackendDirectory::Cost(const Backend& backend) const {
-  const double seconds = backend.answer_seconds > 0 ? backend.answer_seconds : kFirstAnswerSeconds;
+  const double seconds =
+      backend.answer_seconds > 0 ? backend.answer_seconds : kDefaultAnswerSeconds;
   const double slots = std::max(1U, backend.record.slots);
   const double cost = seconds * (1 + backend.running / slots);
   return backend.record.zone == own_zone_ ? cost : cost * kOtherZoneFactor;
@@ -223,15 +224,15 @@
   const auto found = services_.find(service);
   if (found == services_.end()) return std::nullopt;
   const TimePoint now = environment_.Now();
-  std::vector<const Backend*> sound;
-  std::vector<const Backend*> doubtful;
+  std::vector<const Backend*> healthy;
+  std::vector<const Backend*> fallback;
   for (Backend* backend : found->second.by_preference) {
-    if (sound.size() >= kMostLookedAt) break;
+    if (healthy.size() >= kMaxHealthyCandidates) break;
     if (excluded.contains(backend->record.id) || ColdAllowance(*backend) == 0) continue;
     const bool passed_over = backend->ejection.Ejected(now) || now < backend->full_until;
-    (passed_over ? doubtful : sound).push_back(backend);
+    (passed_over ? fallback : healthy).push_back(backend);
   }
-  std::vector<const Backend*>& choice = sound.empty() ? doubtful : sound;
+  std::vector<const Backend*>& choice = healthy.empty() ? fallback : healthy;
   if (choice.empty()) return std::nullopt;
   for (size_t i = 0; i < std::min(kCandidates, choice.size()); ++i) {
     const size_t other = i + DrawBelow(environment_.Random(), choice.size() - i);
@@ -277,11 +278,11 @@
   if (found == backends_.end()) return;
   Backend& backend = found->second;
   if (backend.running > 0) --backend.running;
-  NoteEnd(backend, end, elapsed);
+  RecordEnd(backend, end, elapsed);
   EraseIfIdle(instance);
 }
 
-void BackendDirectory::NoteEnd(Backend& backend, BackendEnd end, Duration elapsed) {
+void BackendDirectory::RecordEnd(Backend& backend, BackendEnd end, Duration elapsed) {
   const TimePoint now = environment_.Now();
   switch (end) {
     case BackendEnd::kAnswered: {
@@ -297,22 +298,22 @@
     case BackendEnd::kFailed:
       return backend.ejection.NoteFailure(now, false);
     case BackendEnd::kUnreachable:
-      DoubtWarmth(backend);
+      AssumeCold(backend);
       return backend.ejection.NoteFailure(now, true);
     case BackendEnd::kWrongInstance:
-      return MarkOver(backend);
+      return MarkSuperseded(backend);
     case BackendEnd::kCancelled:
       return;
   }
 }
 
-void BackendDirectory::NoteOver(const InstanceId& instance) {
+void BackendDirectory::OnSuperseded(const InstanceId& instance) {
   const auto found = backends_.find(instance);
-  if (found != backends_.end()) MarkOver(found->second);
+  if (found != backends_.end()) MarkSuperseded(found->second);
 }
 
-void BackendDirectory::MarkOver(Backend& backend) {
-  if (std::exchange(backend.over, true)) return;
+void BackendDirectory::MarkSuperseded(Backend& backend) {
+  if (std::exchange(backend.superseded, true)) return;
   Detach(backend);
 }
 
--- a/source/ingress/backend_directory.h
+++ b/source/ingress/backend_directory.h
@@ -76,7 +76,7 @@
   void Begin(const InstanceId& instance);
   void End(const InstanceId& instance, BackendEnd end, Duration elapsed);
   /// Another life of its server is known to have its address: it gets no work any more.
-  void NoteOver(const InstanceId& instance);
+  void OnSuperseded(const InstanceId& instance);
   uint32_t Running(const InstanceId& instance) const;
   /// When the latest request was begun; the epoch if none was.
   TimePoint LatestBegin(const InstanceId& instance) const;
@@ -92,13 +92,13 @@
     /// It refused for lack of room; passed over until then.
     TimePoint full_until;
     /// Another life answered at its address.
-    bool over = false;
+    bool superseded = false;
     /// The cluster has forgotten it; it goes with the last of its requests.
     bool forgotten = false;
     /// Stands in `at_address_`.
     bool attached = false;
     /// Stands in `services_`, under this name.
-    std::optional<ServiceName> listed_in;
+    std::optional<ServiceName> candidate_for;
     /// Slow after its start until then, as far as this node knows.
     TimePoint cold_until;
     /// What this node may send while it is; none while it is not.
@@ -107,7 +107,7 @@
     uint64_t preference = 0;
   };
   /// The back ends of a service that may get work.
-  struct Listed {
+  struct ServiceBackends {
     /// In the order of their identifiers.
     std::vector<Backend*> by_id;
     /// In the order of their preference.
@@ -119,22 +119,22 @@
   uint64_t PreferenceOf(const BackendInstance& record) const;
   /// It has been out of reach or was kept without work: it may be slow again, and says so with its
   /// next heartbeats.
-  void DoubtWarmth(Backend& backend);
-  void TakeEvacuations(const std::map<Zone, EvacuatedZone>& evacuated);
-  void RelistZone(const Zone& zone);
+  void AssumeCold(Backend& backend);
+  void ApplyEvacuations(const std::map<Zone, EvacuatedZone>& evacuated);
+  void RefreshZoneCandidates(const Zone& zone);
   double Cost(const Backend& backend) const;
-  void NoteEnd(Backend& backend, BackendEnd end, Duration elapsed);
-  void MarkOver(Backend& backend);
-  void Take(const BackendInstance& record);
+  void RecordEnd(Backend& backend, BackendEnd end, Duration elapsed);
+  void MarkSuperseded(Backend& backend);
+  void ApplyRecord(const BackendInstance& record);
   void Forget(const InstanceId& instance);
   void EraseIfIdle(const InstanceId& instance);
   /// Takes a back end out of `at_address_`, and out of the choice.
   void Detach(Backend& backend);
   void Attach(Backend& backend);
   /// Lists the latest of those at an address, if it may get work, and none of the others.
-  void Relist(const std::string& address);
-  void List(Backend& backend);
-  void Unlist(Backend& backend);
+  void RefreshCandidates(const std::string& address);
+  void AddCandidate(Backend& backend);
+  void RemoveCandidate(Backend& backend);
 
   Environment& environment_;
   const Zone own_zone_;
@@ -144,7 +144,7 @@
   /// known to have ended.
   std::unordered_map<std::string, std::vector<Backend*>> at_address_;
   /// Those that may get work, by service. Where two have one address, the later one.
-  std::map<ServiceName, Listed> services_;
+  std::map<ServiceName, ServiceBackends> services_;
   /// Sets this node's order of preference apart from those of others.
   const uint64_t preference_seed_;
   std::set<Zone> evacuated_;
--- a/source/jobs/load_scheduler.cc
+++ b/source/jobs/load_scheduler.cc
@@ -353,7 +353,7 @@
 void LoadScheduler::HandleReport(const InstanceId& instance, const ReportedEngine& report) {
   // Another life of the server answers: what it says is not about this one, which is over.
   const bool other_life = report.born != BirthTime() && report.born != BirthOf(instance);
-  if (other_life) return directory_.NoteOver(instance);
+  if (other_life) return directory_.OnSuperseded(instance);
   EngineLoadState& engine = engines_.at(instance);
   for (const NamedVersion& held : report.models) {
     engine.versions[held.model] = std::max(engine.versions[held.model], held.version);
