--- a/source/ingress/backend_protocol.h
+++ b/source/ingress/backend_protocol.h
@@ -63,7 +63,7 @@
   /// Orders taken in this life.
   uint64_t orders = 0;
   /// When this life began; 0 if it doesn't say.
-  BirthTime born;
+  BirthTime started_at;
 };
 
 /// How running generations fare when an engine loads other weights.
@@ -86,8 +86,8 @@
 };
 
 enum class LoadAnswer : uint8_t {
-  kTaken,
-  kHolds,    ///< the engine has the version already
+  kAccepted,
+  kAlreadyLoaded,  ///< the engine has the version already
   kRefused,  ///< another order is under way, or the engine took orders that are not known here
   kUnknown,  ///< it may have been taken
 };
--- a/source/jobs/load_scheduler.cc
+++ b/source/jobs/load_scheduler.cc
@@ -352,7 +352,8 @@
 
 void LoadScheduler::HandleReport(const InstanceId& instance, const ReportedEngine& report) {
   // Another life of the server answers: what it says is not about this one, which is over.
-  const bool other_life = report.born != BirthTime() && report.born != BirthOf(instance);
+  const bool other_life =
+      report.started_at != BirthTime() && report.started_at != BirthOf(instance);
   if (other_life) return directory_.OnSuperseded(instance);
   EngineLoadState& engine = engines_.at(instance);
   for (const NamedVersion& held : report.models) {
@@ -456,11 +457,11 @@
   if (!engine.loading) return;
   const TimePoint now = environment_.Now();
   switch (answer) {
-    case LoadAnswer::kTaken:
+    case LoadAnswer::kAccepted:
       engine.loading_since = now;
       engine.ask_again_at = now + FirstQuestionAfter();
       return;
-    case LoadAnswer::kHolds:
+    case LoadAnswer::kAlreadyLoaded:
       engine.versions[engine.loading->model] =
           std::max(engine.versions[engine.loading->model], engine.loading->version);
       break;
--- a/test/ingress/fake_backends.h
+++ b/test/ingress/fake_backends.h
@@ -208,8 +208,8 @@
   }
 
   LoadAnswer ReadLoadAnswer(int status) const override {
-    if (status == 202) return LoadAnswer::kTaken;
-    if (status == 200) return LoadAnswer::kHolds;
+    if (status == 202) return LoadAnswer::kAccepted;
+    if (status == 200) return LoadAnswer::kAlreadyLoaded;
     return status == 409 ? LoadAnswer::kRefused : LoadAnswer::kUnknown;
   }
 };
--- a/test/platform/server_wire_test.cc
+++ b/test/platform/server_wire_test.cc
@@ -88,8 +88,8 @@
       order.body ==
       R"({"op":"version","model":"m","version":5,"method":"wait","holder":"n1","fence":9,"expected":2})");
   CHECK(FindHeader(order.headers, "Expect-Instance") == "i");
-  CHECK(wire.ReadLoadAnswer(202) == LoadAnswer::kTaken);
-  CHECK(wire.ReadLoadAnswer(200) == LoadAnswer::kHolds);
+  CHECK(wire.ReadLoadAnswer(202) == LoadAnswer::kAccepted);
+  CHECK(wire.ReadLoadAnswer(200) == LoadAnswer::kAlreadyLoaded);
   CHECK(wire.ReadLoadAnswer(409) == LoadAnswer::kRefused);
   CHECK(wire.ReadLoadAnswer(502) == LoadAnswer::kUnknown);
 }
