--- a/source/ingress/request_guard.cc
+++ b/source/ingress/request_guard.cc
@@ -279,7 +279,8 @@
   const TimePoint now = environment_.Now();
   std::erase_if(seen_, [&](const auto& entry) {
     const Seen& seen = entry.second;
-    const Duration kept = seen.crashed.size() >= kCrashesToHold ? kHeldFor : kWatchedFor;
+    const Duration kept =
+        seen.crashed.size() >= kCrashesToHold ? kHeldRetention : kWatchedRetention;
     return seen.unverified.empty() && now - seen.changed_at > kept;
   });
   while (seen_.size() > kMaxSeen) {
--- a/source/ingress/request_guard.h
+++ b/source/ingress/request_guard.h
@@ -31,7 +31,7 @@
 
 /// How long a held request rests between its last crash, or the last trial, and the next trial: one
 /// pause for each trial that the cluster grants.
-using TrialPauses = std::array<Duration, kMostTrials>;
+using TrialPauses = std::array<Duration, kMaxTrials>;
 /// Requests of clients. Longer than servers take to come back (3 s), so that a trial never takes a
 /// service's last server; then longer than an outage, since a server that ends under the second
 /// trial as well is the price of telling chance from cause.
--- a/source/quarantine/request_fingerprint.cc
+++ b/source/quarantine/request_fingerprint.cc
@@ -24,8 +24,8 @@
 }
 
 void AppendBody(std::string& text, std::string_view body) {
-  if (body.size() <= kMostFingerprintedBytes) return AppendPart(text, body);
-  constexpr size_t kHalf = kMostFingerprintedBytes / 2;
+  if (body.size() <= kMaxFingerprintedBytes) return AppendPart(text, body);
+  constexpr size_t kHalf = kMaxFingerprintedBytes / 2;
   text += fmt::format("{}:", body.size());
   text += body.substr(0, kHalf);
   text += body.substr(body.size() - kHalf);
--- a/source/quarantine/request_fingerprint.h
+++ b/source/quarantine/request_fingerprint.h
@@ -22,7 +22,7 @@
 
 /// Of a longer body only the first and the last half of this and its length count, so that a
 /// fingerprint takes some 10 ms at most.
-inline constexpr size_t kMostFingerprintedBytes = 1024 * 1024;
+inline constexpr size_t kMaxFingerprintedBytes = 1024 * 1024;
 
 /// A quick digest of the same parts, for tables of one process; not for others.
 uint64_t DigestOf(const RequestIdentity& identity, uint64_t seed);
--- a/source/quarantine/suspect_ledger.cc
+++ b/source/quarantine/suspect_ledger.cc
@@ -6,16 +6,16 @@
 namespace millstair {
 namespace {
 
-Duration RememberedFor(SuspectStanding standing) {
+Duration RetentionFor(SuspectStanding standing) {
   switch (standing) {
     case SuspectStanding::kWatched:
-      return kWatchedFor;
+      return kWatchedRetention;
     case SuspectStanding::kHeld:
-      return kHeldFor;
+      return kHeldRetention;
     case SuspectStanding::kBarred:
       break;
   }
-  return kBarredFor;
+  return kBarredRetention;
 }
 
 }  // namespace
@@ -28,7 +28,7 @@
   for (const InstanceId& instance : report.crashed) {
     auto& crashed = suspect.crashed;
     const bool known = std::find(crashed.begin(), crashed.end(), instance) != crashed.end();
-    if (known || crashed.size() >= kMostCrashesKept) continue;
+    if (known || crashed.size() >= kMaxRecordedCrashes) continue;
     crashed.push_back(instance);
     added = true;
   }
@@ -59,7 +59,7 @@
   for (auto entry = suspects_.begin(); entry != suspects_.end();) {
     const auto next = std::next(entry);
     const SuspectRequest& suspect = entry->second;
-    if (now_ - suspect.changed_time > RememberedFor(suspect.standing())) Erase(entry);
+    if (now_ - suspect.changed_time > RetentionFor(suspect.standing())) Erase(entry);
     entry = next;
   }
 }
@@ -76,7 +76,7 @@
 }
 
 void SuspectLedger::BoundCount() {
-  while (suspects_.size() > kMostSuspects) {
+  while (suspects_.size() > kMaxSuspects) {
     Erase(std::min_element(suspects_.begin(), suspects_.end(), [](const auto& a, const auto& b) {
       return std::tuple(a.second.crashed.size(), a.second.changed_at) <
              std::tuple(b.second.crashed.size(), b.second.changed_at);
--- a/source/quarantine/suspect_ledger.h
+++ b/source/quarantine/suspect_ledger.h
@@ -13,13 +13,13 @@
 
 /// How long a request is remembered after its last change. One crash says little after a minute.
 /// Servers are mended within a day, or an operator lifts what is barred.
-inline constexpr Duration kWatchedFor = std::chrono::minutes(1);
-inline constexpr Duration kHeldFor = std::chrono::minutes(10);
-inline constexpr Duration kBarredFor = std::chrono::hours(24);
+inline constexpr Duration kWatchedRetention = std::chrono::minutes(1);
+inline constexpr Duration kHeldRetention = std::chrono::minutes(10);
+inline constexpr Duration kBarredRetention = std::chrono::hours(24);
 /// More are not remembered (some 400 kB at each node). Those with the fewest crashes go first, and
 /// the oldest among them: a caller that wants to push out a barred one has to crash three servers
 /// under each of as many requests.
-inline constexpr size_t kMostSuspects = 1024;
+inline constexpr size_t kMaxSuspects = 1024;
 
 /// Lives for one command. Notes in `touched` which requests it changed.
 class SuspectLedger {
--- a/source/quarantine/suspect_request.cc
+++ b/source/quarantine/suspect_request.cc
@@ -6,7 +6,7 @@
 
 std::string PlaceOf(std::string_view host, std::string_view target) {
   std::string place = fmt::format("{}{}", host, target);
-  if (place.size() > kMostPlaceBytes) place.resize(kMostPlaceBytes);
+  if (place.size() > kMaxPlaceBytes) place.resize(kMaxPlaceBytes);
   // What is stored as text must not hold a zero byte.
   std::erase(place, '\0');
   return place;
@@ -25,7 +25,7 @@
 }
 
 SuspectStanding StandingOf(const CrashCount& count) {
-  if (count.in_trials >= kTrialCrashesToBar || count.trials >= kMostTrials) {
+  if (count.in_trials >= kTrialCrashesToBar || count.trials >= kMaxTrials) {
     return SuspectStanding::kBarred;
   }
   return count.crashes >= kCrashesToHold ? SuspectStanding::kHeld : SuspectStanding::kWatched;
--- a/source/quarantine/suspect_request.h
+++ b/source/quarantine/suspect_request.h
@@ -21,7 +21,7 @@
 inline constexpr size_t kTrialCrashesToBar = 2;
 /// Trials without an answer after which it is barred: outcomes may be lost with the nodes that made
 /// them. The platform allows three sends after a request's third crash.
-inline constexpr uint32_t kMostTrials = 3;
+inline constexpr uint32_t kMaxTrials = 3;
 
 enum class SuspectStanding : uint8_t {
   kWatched,  ///< one crash: sent as any other
@@ -45,9 +45,9 @@
 /// Back ends that ended while they ran one request, none of which has answered it since.
 struct SuspectRequest {
   RequestFingerprint request;
-  /// Host and path, cut to kMostPlaceBytes.
+  /// Host and path, cut to kMaxPlaceBytes.
   std::string place;
-  /// Lives that ended under it, each once; no more than kMostCrashesKept.
+  /// Lives that ended under it, each once; no more than kMaxRecordedCrashes.
   std::vector<InstanceId> crashed;
   /// Trials granted since it is held.
   uint32_t trials = 0;
@@ -64,8 +64,8 @@
 };
 
 /// More lives than this need not be known.
-inline constexpr size_t kMostCrashesKept = 16;
-inline constexpr size_t kMostPlaceBytes = 200;
+inline constexpr size_t kMaxRecordedCrashes = 16;
+inline constexpr size_t kMaxPlaceBytes = 200;
 
 /// Host and path of a request as records state it.
 std::string PlaceOf(std::string_view host, std::string_view target);
--- a/test/ingress/request_guard_test.cc
+++ b/test/ingress/request_guard_test.cc
@@ -183,7 +183,7 @@
   SECTION("once only") { CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kRefuse); }
   SECTION("also when others have used up the last one meanwhile") {
     fixture.guard.ReturnTrial(kRequest);
-    fixture.Know({"i1", "i2"}, kMostTrials, 9);
+    fixture.Know({"i1", "i2"}, kMaxTrials, 9);
     CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kTrial);
   }
   SECTION("no longer once the cluster has forgotten the request") {
--- a/test/quarantine/request_fingerprint_test.cc
+++ b/test/quarantine/request_fingerprint_test.cc
@@ -33,7 +33,7 @@
 }
 
 TEST_CASE("A long body counts with its beginning, its end and its length") {
-  const std::string body(3 * kMostFingerprintedBytes, 'x');
+  const std::string body(3 * kMaxFingerprintedBytes, 'x');
   std::string other_end = body;
   other_end.back() = 'y';
   const RequestFingerprint first = Of("POST", "a", "/p", "", body);
--- a/test/quarantine/suspect_ledger_test.cc
+++ b/test/quarantine/suspect_ledger_test.cc
@@ -86,7 +86,7 @@
   Fixture fixture;
   fixture.Crash("i1");
   fixture.Crash("i2");
-  for (uint32_t i = 0; i < kMostTrials; ++i) {
+  for (uint32_t i = 0; i < kMaxTrials; ++i) {
     CHECK(fixture.Ledger().BeginTrial(kRequest, fixture.suspects.at(kRequest).changed_at));
   }
   CHECK(fixture.Standing() == SuspectStanding::kBarred);
@@ -125,18 +125,18 @@
 TEST_CASE("A flood of requests with one crash each pushes no barred one out") {
   Fixture fixture;
   Bar(fixture);
-  for (size_t i = 0; i < 2 * kMostSuspects; ++i) {
+  for (size_t i = 0; i < 2 * kMaxSuspects; ++i) {
     fixture.Crash("i4", RequestFingerprint(fmt::format("flood{}", i)));
   }
-  CHECK(fixture.suspects.size() == kMostSuspects);
+  CHECK(fixture.suspects.size() == kMaxSuspects);
   CHECK(fixture.Standing() == SuspectStanding::kBarred);
 }
 
 TEST_CASE("A record keeps no more lives than it needs, and no long or unprintable place") {
   Fixture fixture;
   for (int i = 0; i < 100; ++i) fixture.Crash(fmt::format("i{}", i));
-  CHECK(fixture.suspects.at(kRequest).crashed.size() == kMostCrashesKept);
-  CHECK(PlaceOf("a", std::string(1000, 'x')).size() == kMostPlaceBytes);
+  CHECK(fixture.suspects.at(kRequest).crashed.size() == kMaxRecordedCrashes);
+  CHECK(PlaceOf("a", std::string(1000, 'x')).size() == kMaxPlaceBytes);
   CHECK(PlaceOf("a", std::string("/\0b", 3)) == "a/b");
 }
 
