--- a/source/gateway/completion_flow.cc
+++ b/source/gateway/completion_flow.cc
@@ -109,7 +109,7 @@
   const TimePoint now = context_.environment.Now();
   if (!waiting_) {
     waiting_since_ = now;
-    context_.router.NoteLiveQueued(request_.group->key());
+    context_.router.OnLiveQueued(request_.group->key());
   }
   waiting_ = true;
   if (now - waiting_since_ >= kLongestWait) {
--- a/source/ingress/backend_directory.cc
+++ b/source/ingress/backend_directory.cc
@@ -286,7 +286,7 @@
   const TimePoint now = environment_.Now();
   switch (end) {
     case BackendEnd::kAnswered: {
-      backend.ejection.NoteSuccess();
+      backend.ejection.RecordSuccess();
       const double seconds = ToSeconds(elapsed);
       const double previous = backend.answer_seconds > 0 ? backend.answer_seconds : seconds;
       backend.answer_seconds = previous + kSmoothing * (seconds - previous);
@@ -296,10 +296,10 @@
       backend.full_until = now + kFullPause;
       return;
     case BackendEnd::kFailed:
-      return backend.ejection.NoteFailure(now, false);
+      return backend.ejection.RecordFailure(now, false);
     case BackendEnd::kUnreachable:
       AssumeCold(backend);
-      return backend.ejection.NoteFailure(now, true);
+      return backend.ejection.RecordFailure(now, true);
     case BackendEnd::kWrongInstance:
       return MarkSuperseded(backend);
     case BackendEnd::kCancelled:
--- a/source/limits/admission.cc
+++ b/source/limits/admission.cc
@@ -75,11 +75,11 @@
   }
   if (!admission.admitted_) return;
   --running_;
-  NoteServiceTime(environment_.Now() - admission.admitted_at_);
+  RecordServiceTime(environment_.Now() - admission.admitted_at_);
   ScheduleAdmitting();
 }
 
-void AdmissionController::NoteServiceTime(Duration time) {
+void AdmissionController::RecordServiceTime(Duration time) {
   const double seconds = ToSeconds(time);
   if (service_seconds_ == 0) {
     service_seconds_ = seconds;
--- a/source/limits/admission.h
+++ b/source/limits/admission.h
@@ -98,7 +98,7 @@
   Duration ExpectedWaitBehind(size_t queued) const;
   AdmissionRefused Refused(AdmissionRefusal reason) const;
   void Withdraw(Admission& admission);
-  void NoteServiceTime(Duration time);
+  void RecordServiceTime(Duration time);
   void ScheduleAdmitting();
   void AdmitQueued();
   void ArmExpiry(TimePoint deadline);
--- a/source/limits/concurrency_limit.cc
+++ b/source/limits/concurrency_limit.cc
@@ -14,7 +14,7 @@
 /// Weight of a new limit.
 constexpr double kLimitSmoothing = 0.2;
 /// Largest cut by one measured latency.
-constexpr double kSmallestGradient = 0.5;
+constexpr double kMinGradient = 0.5;
 constexpr double kFailureCut = 0.9;
 
 }  // namespace
@@ -22,23 +22,25 @@
 ConcurrencyLimit::ConcurrencyLimit(ConcurrencyLimitOptions options)
     : options_(options), limit_(options.initial) {}
 
-void ConcurrencyLimit::NoteLatency(Duration latency, uint32_t outstanding) {
+void ConcurrencyLimit::RecordLatency(Duration latency, uint32_t outstanding) {
   const double seconds = std::max(1e-6, ToSeconds(latency));
-  LearnUnloaded(seconds);
+  UpdateUnloaded(seconds);
   recent_seconds_ = recent_seconds_ == 0
                         ? seconds
                         : recent_seconds_ + kRecentSmoothing * (seconds - recent_seconds_);
   const double gradient =
-      std::clamp(options_.tolerance * unloaded_seconds_ / recent_seconds_, kSmallestGradient, 1.0);
+      std::clamp(options_.tolerance * unloaded_seconds_ / recent_seconds_, kMinGradient, 1.0);
   // Without use of the limit its growth would be unfounded.
   const bool in_use = outstanding * 2 >= limit_;
   if (gradient >= 1.0 && !in_use) return;
   const double wanted = limit_ * gradient + std::sqrt(limit_);
   limit_ += kLimitSmoothing * (wanted - limit_);
-  limit_ = std::clamp(limit_, options_.smallest, options_.largest);
+  limit_ = std::clamp(limit_, options_.min_limit, options_.max_limit);
 }
 
-void ConcurrencyLimit::NoteFailure() { limit_ = std::max(options_.smallest, limit_ * kFailureCut); }
+void ConcurrencyLimit::RecordFailure() {
+  limit_ = std::max(options_.min_limit, limit_ * kFailureCut);
+}
 
 void ConcurrencyLimit::Reset() {
   limit_ = std::min(limit_, options_.initial);
@@ -47,16 +49,16 @@
   window_samples_ = 0;
 }
 
-void ConcurrencyLimit::LearnUnloaded(double seconds) {
+void ConcurrencyLimit::UpdateUnloaded(double seconds) {
   const bool first = window_samples_ == 0;
-  window_least_seconds_ = first ? seconds : std::min(window_least_seconds_, seconds);
+  window_min_seconds_ = first ? seconds : std::min(window_min_seconds_, seconds);
   ++window_samples_;
   const bool lower = unloaded_seconds_ == 0 || seconds < unloaded_seconds_;
   if (lower) unloaded_seconds_ = seconds;
   if (window_samples_ < kWindowSamples) return;
-  unloaded_seconds_ = window_least_seconds_;
+  unloaded_seconds_ = window_min_seconds_;
   window_samples_ = 0;
-  limit_ = std::max(options_.smallest, limit_ * kProbeShare);
+  limit_ = std::max(options_.min_limit, limit_ * kProbeShare);
 }
 
 }  // namespace millstair
--- a/source/limits/concurrency_limit.h
+++ b/source/limits/concurrency_limit.h
@@ -9,8 +9,8 @@
 
 struct ConcurrencyLimitOptions {
   double initial = 4;
-  double smallest = 1;
-  double largest = 512;
+  double min_limit = 1;
+  double max_limit = 512;
   /// Latency may rise to this multiple of the unloaded latency before the limit shrinks.
   double tolerance = 1.5;
 };
@@ -24,9 +24,9 @@
   explicit ConcurrencyLimit(ConcurrencyLimitOptions options = {});
 
   /// A request finished after `latency` while `outstanding` were under way.
-  void NoteLatency(Duration latency, uint32_t outstanding);
+  void RecordLatency(Duration latency, uint32_t outstanding);
   /// A request was refused, cut or timed out.
-  void NoteFailure();
+  void RecordFailure();
   /// The back end restarted or changed its weights: what was learned of its latency is void.
   void Reset();
 
@@ -35,14 +35,14 @@
   Duration unloaded_latency() const { return FromSeconds(unloaded_seconds_); }
 
  private:
-  void LearnUnloaded(double seconds);
+  void UpdateUnloaded(double seconds);
 
   ConcurrencyLimitOptions options_;
   double limit_;
   double unloaded_seconds_ = 0;
   double recent_seconds_ = 0;
   /// Least latency of the window under way, and its samples so far.
-  double window_least_seconds_ = 0;
+  double window_min_seconds_ = 0;
   uint32_t window_samples_ = 0;
 };
 
--- a/source/limits/fair_share.cc
+++ b/source/limits/fair_share.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// Stands in for a weight of nothing.
-constexpr double kSmallestWeight = 1e-9;
+constexpr double kMinWeight = 1e-9;
 
 struct Candidate {
   double filled = 0;
@@ -18,23 +18,23 @@
 };
 
 double Filled(const FairClaim& claim, uint32_t granted) {
-  const double weight = std::max(kSmallestWeight, claim.weight);
+  const double weight = std::max(kMinWeight, claim.weight);
   return (static_cast<double>(claim.held) + granted + 1) / weight;
 }
 
 }  // namespace
 
-std::vector<uint32_t> DivideFairly(uint32_t room, const std::vector<FairClaim>& claims) {
+std::vector<uint32_t> DivideFairly(uint32_t capacity, const std::vector<FairClaim>& claims) {
   std::vector<uint32_t> granted(claims.size(), 0);
   std::priority_queue<Candidate, std::vector<Candidate>, std::greater<>> next;
   for (size_t i = 0; i < claims.size(); ++i) {
     if (claims[i].wanted > 0) next.push({Filled(claims[i], 0), i});
   }
-  while (room > 0 && !next.empty()) {
+  while (capacity > 0 && !next.empty()) {
     const size_t index = next.top().index;
     next.pop();
     ++granted[index];
-    --room;
+    --capacity;
     if (granted[index] < claims[index].wanted) {
       next.push({Filled(claims[index], granted[index]), index});
     }
--- a/source/limits/fair_share.h
+++ b/source/limits/fair_share.h
@@ -1,4 +1,4 @@
-/// Divides room between claimants by weight: max-min fairness, as between pools and streams.
+/// Divides capacity between claimants by weight: max-min fairness, as between pools and streams.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +15,9 @@
   uint32_t wanted = 0;
 };
 
-/// How much of `room` each claim gets, in the order of `claims`. Units go one by one to the claim
-/// that holds least for its weight, so that held and new units together tend to the weights;
+/// How much of `capacity` each claim gets, in the order of `claims`. Units go one by one to the
+/// claim that holds least for its weight, so that held and new units together tend to the weights;
 /// nothing that someone wants is left over. Ties go to the earlier claim.
-std::vector<uint32_t> DivideFairly(uint32_t room, const std::vector<FairClaim>& claims);
+std::vector<uint32_t> DivideFairly(uint32_t capacity, const std::vector<FairClaim>& claims);
 
 }  // namespace millstair
--- a/source/limits/rollout_room.cc
+++ b/source/limits/rollout_share.cc
@@ -1,10 +1,10 @@
-#include "limits/rollout_room.h"
+#include "limits/rollout_share.h"
 
 #include <algorithm>
 
 namespace millstair {
 
-void RolloutShare::NoteLiveLatency(TimePoint now, Duration latency, Duration unloaded) {
+void RolloutShare::RecordLiveLatency(TimePoint now, Duration latency, Duration unloaded) {
   if (unloaded <= Duration(0)) return;
   if (ToSeconds(latency) > options_.tolerance * ToSeconds(unloaded)) Cut(now);
 }
@@ -12,7 +12,7 @@
 double RolloutShare::Share(TimePoint now) const {
   if (!was_cut_) return share_;
   const double grown = share_ + options_.growth * ToSeconds(now - cut_at_);
-  return std::min(options_.largest, grown);
+  return std::min(options_.max_share, grown);
 }
 
 uint32_t RolloutShare::Sequences(TimePoint now, uint32_t max_sequences) const {
@@ -21,7 +21,7 @@
 
 void RolloutShare::Cut(TimePoint now) {
   if (was_cut_ && now - cut_at_ < options_.cut_interval) return;
-  share_ = std::max(options_.smallest, Share(now) * options_.cut);
+  share_ = std::max(options_.min_share, Share(now) * options_.cut);
   cut_at_ = now;
   was_cut_ = true;
 }
--- a/source/limits/rollout_room.h
+++ b/source/limits/rollout_share.h
@@ -10,9 +10,9 @@
 
 struct RolloutShareOptions {
   /// Largest share of an engine's sequences for rollouts.
-  double largest = 0.95;
+  double max_share = 0.95;
   /// Kept even under live pressure, so that trainers never starve.
-  double smallest = 0.1;
+  double min_share = 0.1;
   /// Live time to first token may rise to this multiple of its unloaded value.
   double tolerance = 1.25;
   double cut = 0.7;
@@ -26,12 +26,12 @@
 class RolloutShare {
  public:
   explicit RolloutShare(RolloutShareOptions options = {})
-      : options_(options), share_(options.largest) {}
+      : options_(options), share_(options.max_share) {}
 
   /// A live request's first token came after `latency`; `unloaded` is what it takes without load.
-  void NoteLiveLatency(TimePoint now, Duration latency, Duration unloaded);
+  void RecordLiveLatency(TimePoint now, Duration latency, Duration unloaded);
   /// A live request had to wait at the gateway because no engine had room.
-  void NoteLiveQueued(TimePoint now) { Cut(now); }
+  void OnLiveQueued(TimePoint now) { Cut(now); }
 
   /// Share of the engine's sequences that rollouts may fill now.
   double Share(TimePoint now) const;
--- a/source/limits/token_bucket.h
+++ b/source/limits/token_bucket.h
@@ -12,8 +12,8 @@
 /// another holder's part waits before it takes from a new one.
 class TokenBucket {
  public:
-  TokenBucket(double per_second, double most, TimePoint now)
-      : per_second_(per_second), most_(most), tokens_(most), filled_at_(now) {}
+  TokenBucket(double per_second, double capacity, TimePoint now)
+      : per_second_(per_second), capacity_(capacity), tokens_(capacity), filled_at_(now) {}
 
   /// Whole tokens that are there.
   uint32_t Available(TimePoint now) {
@@ -30,12 +30,12 @@
 
  private:
   void Fill(TimePoint now) {
-    tokens_ = std::min(tokens_ + per_second_ * ToSeconds(now - filled_at_), most_);
+    tokens_ = std::min(tokens_ + per_second_ * ToSeconds(now - filled_at_), capacity_);
     filled_at_ = now;
   }
 
   double per_second_;
-  double most_;
+  double capacity_;
   double tokens_;
   TimePoint filled_at_;
 };
--- a/source/routing/engine_router.cc
+++ b/source/routing/engine_router.cc
@@ -177,7 +177,7 @@
     engines_[*slot]->slow_starting = true;
     return;
   }
-  ejection.NoteFailure(environment_.Now(), true);
+  ejection.RecordFailure(environment_.Now(), true);
 }
 
 void EngineRouter::SetInDoubt(const EngineName& engine, bool in_doubt) {
@@ -257,14 +257,14 @@
   }
   if (outcome.leaving) NoteLeaving(engine.name, true);
   if (outcome.end == PlacementEnd::kFinished) {
-    engine.ejection.NoteSuccess();
-    if (placement.plain) engine.concurrency.NoteLatency(outcome.elapsed, outstanding);
+    engine.ejection.RecordSuccess();
+    if (placement.plain) engine.concurrency.RecordLatency(outcome.elapsed, outstanding);
     LearnFinished(engine, placement, outcome);
     return;
   }
   if (!CountsAgainstEngine(outcome)) return;
-  if (placement.plain) engine.concurrency.NoteFailure();
-  engine.ejection.NoteFailure(environment_.Now(), outcome.failure == CallFailure::kNotSent);
+  if (placement.plain) engine.concurrency.RecordFailure();
+  engine.ejection.RecordFailure(environment_.Now(), outcome.failure == CallFailure::kNotSent);
 }
 
 void EngineRouter::LearnFinished(EngineView& engine, const OwnPlacement& placement,
@@ -293,7 +293,7 @@
   const double live = 1.0 + engine.live_outstanding * static_cast<double>(home_gateways_);
   const Duration alone = UnloadedFirstToken(engine, placement.work, fleet_) +
                          FromSeconds(outcome.tokens * engine.step_time.Seconds(live));
-  engine.rollout_share.NoteLiveLatency(environment_.Now(), outcome.elapsed, alone);
+  engine.rollout_share.RecordLiveLatency(environment_.Now(), outcome.elapsed, alone);
 }
 
 void EngineRouter::NoteFirstTokens(PlacementId id, Duration latency, uint32_t tokens) {
@@ -309,11 +309,11 @@
   fleet_.prefill_seconds_per_token = Smooth(fleet_.prefill_seconds_per_token, sample);
 }
 
-void EngineRouter::NoteLiveQueued(const ResourceKey& workload) {
+void EngineRouter::OnLiveQueued(const ResourceKey& workload) {
   const auto found = workloads_.find(workload);
   if (found == workloads_.end()) return;
   for (const EngineSlot slot : found->second.home.slots) {
-    engines_[slot]->rollout_share.NoteLiveQueued(environment_.Now());
+    engines_[slot]->rollout_share.OnLiveQueued(environment_.Now());
   }
 }
 
--- a/source/routing/engine_router.h
+++ b/source/routing/engine_router.h
@@ -82,7 +82,7 @@
   /// The first `tokens` of a live request arrived together this long after it was sent.
   void NoteFirstTokens(PlacementId id, Duration latency, uint32_t tokens);
   /// A live request had to wait because no engine could take it.
-  void NoteLiveQueued(const ResourceKey& workload);
+  void OnLiveQueued(const ResourceKey& workload);
 
   /// May the engine take work now? Tested again right before a queued request is sent.
   bool MayTakeWork(const EngineName& engine) const;
--- a/source/routing/engine_view.h
+++ b/source/routing/engine_view.h
@@ -7,7 +7,7 @@
 #include "common/ids.h"
 #include "common/time.h"
 #include "limits/concurrency_limit.h"
-#include "limits/rollout_room.h"
+#include "limits/rollout_share.h"
 #include "resources/resource.h"
 #include "routing/lagged_load.h"
 #include "routing/outlier_ejection.h"
--- a/source/routing/outlier_ejection.h
+++ b/source/routing/outlier_ejection.h
@@ -19,12 +19,12 @@
  public:
   explicit OutlierEjection(EjectionOptions options = {}) : options_(options) {}
 
-  void NoteSuccess() {
+  void RecordSuccess() {
     failures_ = 0;
     if (ejections_ > 0) --ejections_;
   }
   /// A call failed; `unreachable` ones (nothing could be sent) count double.
-  void NoteFailure(TimePoint now, bool unreachable) {
+  void RecordFailure(TimePoint now, bool unreachable) {
     failures_ += unreachable ? 2 : 1;
     if (failures_ < options_.failures || Ejected(now)) return;
     Duration span = options_.first;
--- a/test/limits/share_test.cc
+++ b/test/limits/share_test.cc
@@ -2,7 +2,7 @@
 
 #include "limits/concurrency_limit.h"
 #include "limits/fair_share.h"
-#include "limits/rollout_room.h"
+#include "limits/rollout_share.h"
 
 namespace millstair {
 namespace {
@@ -30,7 +30,7 @@
     ConcurrencyLimit limit;
     for (int i = 0; i < 500; ++i) {
       const uint32_t outstanding = limit.limit();
-      limit.NoteLatency(ServerLatency(outstanding, capacity), outstanding);
+      limit.RecordLatency(ServerLatency(outstanding, capacity), outstanding);
     }
     CHECK(limit.limit() >= capacity);
     CHECK(limit.limit() <= 3 * capacity + 4);
@@ -39,7 +39,7 @@
 
 TEST_CASE("failures cut the concurrency limit, but not below its least") {
   ConcurrencyLimit limit;
-  for (int i = 0; i < 100; ++i) limit.NoteFailure();
+  for (int i = 0; i < 100; ++i) limit.RecordFailure();
   CHECK(limit.limit() == 1);
 }
 
@@ -47,14 +47,14 @@
   RolloutShare share;
   TimePoint now{std::chrono::hours(1)};
   CHECK(share.Sequences(now, 100) == 95);
-  share.NoteLiveLatency(now, milliseconds(120), milliseconds(100));
+  share.RecordLiveLatency(now, milliseconds(120), milliseconds(100));
   CHECK(share.Sequences(now, 100) == 95);
-  share.NoteLiveLatency(now, milliseconds(200), milliseconds(100));
-  share.NoteLiveLatency(now, milliseconds(200), milliseconds(100));
+  share.RecordLiveLatency(now, milliseconds(200), milliseconds(100));
+  share.RecordLiveLatency(now, milliseconds(200), milliseconds(100));
   CHECK(share.Sequences(now, 100) == 66);
   for (int i = 0; i < 20; ++i) {
     now += std::chrono::seconds(1);
-    share.NoteLiveLatency(now, milliseconds(200), milliseconds(100));
+    share.RecordLiveLatency(now, milliseconds(200), milliseconds(100));
   }
   CHECK(share.Sequences(now, 100) >= 10);
   CHECK(share.Sequences(now, 100) <= 20);
