--- a/source/gateway/completion_flow.cc
+++ b/source/gateway/completion_flow.cc
@@ -81,7 +81,7 @@
 CompletionFlow::~CompletionFlow() = default;
 
 void CompletionFlow::Dispatch() {
-  context_.retry_budget.NoteFirstTry();
+  context_.retry_budget.RecordFirstAttempt();
   PlaceOrWait();
 }
 
@@ -252,10 +252,10 @@
 }
 
 void CompletionFlow::RetryOrFail(CallFailure failure, const std::string& reason) {
-  FailedTry failed;
+  FailedAttempt failed;
   failed.failure = failure;
   failed.repeatable = request_.meta.repeatable;
-  failed.tries = tries_;
+  failed.attempts = tries_;
   failed.time_left = TimeLeft();
   const RetryDecision decision = context_.retry.Decide(failed);
   if (!decision.retry) {
--- a/source/gateway/plain_flow.cc
+++ b/source/gateway/plain_flow.cc
@@ -101,7 +101,7 @@
 PlainFlow::~PlainFlow() = default;
 
 void PlainFlow::Dispatch() {
-  context_.retry_budget.NoteFirstTry();
+  context_.retry_budget.RecordFirstAttempt();
   TryOrWait();
 }
 
@@ -204,7 +204,7 @@
 }
 
 void PlainFlow::RetryOrFail(CallFailure failure, const std::string& reason) {
-  FailedTry failed;
+  FailedAttempt failed;
   failed.failure = failure;
   // A hedge or an earlier try may have run, whatever became of this one.
   if (may_have_run() && OutcomeOf(failure) == Outcome::kNotRun && !request_.meta.repeatable) {
@@ -212,7 +212,7 @@
   }
   failed.repeatable = request_.meta.repeatable;
   failed.answer_started = head_sent_;
-  failed.tries = tries_;
+  failed.attempts = tries_;
   failed.time_left = TimeLeft();
   const RetryDecision decision = context_.retry.Decide(failed);
   if (!decision.retry) {
--- a/source/retry/retry_budget.h
+++ b/source/retry/retry_budget.h
@@ -1,4 +1,4 @@
-/// Keeps retries and hedges a bounded share of first tries, so that a struggling fleet is not
+/// Keeps retries and hedges a bounded share of first attempts, so that a struggling fleet is not
 /// buried under repeats.
 #pragma once
 
@@ -19,7 +19,7 @@
  public:
   explicit RetryBudget(RetryBudgetLimits limits = {}) : limits_(limits), balance_(limits.reserve) {}
 
-  void NoteFirstTry() { balance_ = std::min(limits_.reserve, balance_ + limits_.share); }
+  void RecordFirstAttempt() { balance_ = std::min(limits_.reserve, balance_ + limits_.share); }
 
   /// Takes one retry from the budget; false if none is left.
   bool Spend() {
--- a/source/retry/retry_policy.cc
+++ b/source/retry/retry_policy.cc
@@ -15,23 +15,23 @@
 
 }  // namespace
 
-Duration JitteredBackoff(const RetryTiming& timing, int tries, RandomEngine& random) {
-  Duration bound = timing.first_backoff;
-  for (int i = 1; i < tries && bound < timing.largest_backoff; ++i) bound *= 2;
-  bound = std::min(bound, timing.largest_backoff);
+Duration JitteredBackoff(const RetryTiming& timing, int attempts, RandomEngine& random) {
+  Duration bound = timing.initial_backoff;
+  for (int i = 1; i < attempts && bound < timing.max_backoff; ++i) bound *= 2;
+  bound = std::min(bound, timing.max_backoff);
   return Duration(
       static_cast<Duration::rep>(DrawBelow(random, static_cast<uint64_t>(bound.count()) + 1)));
 }
 
-RetryDecision RetryPolicy::Decide(const FailedTry& failed) {
+RetryDecision RetryPolicy::Decide(const FailedAttempt& failed) {
   const bool may_have_run = OutcomeOf(failed.failure) != Outcome::kNotRun;
   if (may_have_run && !failed.repeatable && !faults_.repeat_possibly_run) {
     return Refuse(RetryRefusal::kMayHaveRun);
   }
   if (failed.answer_started) return Refuse(RetryRefusal::kAnswerStarted);
-  if (failed.tries >= timing_.max_tries) return Refuse(RetryRefusal::kTooManyTries);
+  if (failed.attempts >= timing_.max_attempts) return Refuse(RetryRefusal::kTooManyAttempts);
   RetryDecision decision;
-  decision.backoff = JitteredBackoff(timing_, failed.tries, random_);
+  decision.backoff = JitteredBackoff(timing_, failed.attempts, random_);
   if (decision.backoff >= failed.time_left) return Refuse(RetryRefusal::kNoTime);
   if (!budget_.Spend()) return Refuse(RetryRefusal::kNoBudget);
   decision.retry = true;
--- a/source/retry/retry_policy.h
+++ b/source/retry/retry_policy.h
@@ -11,26 +11,26 @@
 namespace millstair {
 
 struct RetryTiming {
-  Duration first_backoff = std::chrono::milliseconds(20);
-  Duration largest_backoff = std::chrono::seconds(1);
+  Duration initial_backoff = std::chrono::milliseconds(20);
+  Duration max_backoff = std::chrono::seconds(1);
   /// Tries of one request, the first included.
-  int max_tries = 6;
+  int max_attempts = 6;
 };
 
 /// What a finished try means for the request.
-struct FailedTry {
+struct FailedAttempt {
   CallFailure failure = CallFailure::kUnknown;
   /// The request may run more than once.
   bool repeatable = false;
   /// Part of the answer went to the caller already and cannot be continued elsewhere.
   bool answer_started = false;
   /// Tries made so far.
-  int tries = 1;
+  int attempts = 1;
   /// Time left until the request's deadline.
   Duration time_left{0};
 };
 
-enum class RetryRefusal { kMayHaveRun, kAnswerStarted, kTooManyTries, kNoBudget, kNoTime };
+enum class RetryRefusal { kMayHaveRun, kAnswerStarted, kTooManyAttempts, kNoBudget, kNoTime };
 
 struct RetryDecision {
   bool retry = false;
@@ -46,8 +46,8 @@
   bool repeat_possibly_run = false;
 };
 
-/// Waiting time before try `tries + 1`: full jitter below an exponentially growing bound.
-Duration JitteredBackoff(const RetryTiming& timing, int tries, RandomEngine& random);
+/// Waiting time before try `attempts + 1`: full jitter below an exponentially growing bound.
+Duration JitteredBackoff(const RetryTiming& timing, int attempts, RandomEngine& random);
 
 /// Lives on the node's serial executor.
 class RetryPolicy {
@@ -58,7 +58,7 @@
 
   /// Spends from the budget when the answer is to retry. A refusal by a back end costs nothing
   /// there, but still counts against the budget, so that refusals cannot multiply the load.
-  RetryDecision Decide(const FailedTry& failed);
+  RetryDecision Decide(const FailedAttempt& failed);
 
  private:
   RetryTiming timing_;
--- a/test/retry/retry_policy_test.cc
+++ b/test/retry/retry_policy_test.cc
@@ -11,12 +11,12 @@
  public:
   explicit Policy(RetryFaults faults = {}) : policy_(RetryTiming{}, budget_, random_, faults) {}
   bool Retries(CallFailure failure, bool repeatable, Duration time_left = kLongTime,
-               int tries = 1) {
-    FailedTry failed;
+               int attempts = 1) {
+    FailedAttempt failed;
     failed.failure = failure;
     failed.repeatable = repeatable;
     failed.time_left = time_left;
-    failed.tries = tries;
+    failed.attempts = attempts;
     return policy_.Decide(failed).retry;
   }
 
@@ -39,7 +39,7 @@
   CHECK(policy.Retries(CallFailure::kUnknown, true));
   CHECK(policy.Retries(CallFailure::kCut, true));
   CHECK_FALSE(policy.Retries(CallFailure::kCut, true, Duration(0)));
-  CHECK_FALSE(policy.Retries(CallFailure::kCut, true, kLongTime, RetryTiming{}.max_tries));
+  CHECK_FALSE(policy.Retries(CallFailure::kCut, true, kLongTime, RetryTiming{}.max_attempts));
 }
 
 TEST_CASE("the fault for tests repeats what may have run") {
@@ -51,7 +51,7 @@
   RetryBudget budget(RetryBudgetLimits{.share = 0.2, .reserve = 3});
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
-    budget.NoteFirstTry();
+    budget.RecordFirstAttempt();
     while (budget.Spend()) ++retries;
   }
   CHECK(retries >= 200);
@@ -67,10 +67,10 @@
     largest_of_first = std::max(largest_of_first, JitteredBackoff(timing, 1, random));
     largest_of_late = std::max(largest_of_late, JitteredBackoff(timing, 40, random));
   }
-  CHECK(largest_of_first <= timing.first_backoff);
-  CHECK(largest_of_first > timing.first_backoff / 2);
-  CHECK(largest_of_late <= timing.largest_backoff);
-  CHECK(largest_of_late > timing.largest_backoff / 2);
+  CHECK(largest_of_first <= timing.initial_backoff);
+  CHECK(largest_of_first > timing.initial_backoff / 2);
+  CHECK(largest_of_late <= timing.max_backoff);
+  CHECK(largest_of_late > timing.max_backoff / 2);
 }
 
 TEST_CASE("an outcome that may be ran never turns into not run") {
