--- a/bench/micro/routing_benchmark.cc
+++ b/bench/micro/routing_benchmark.cc
@@ -88,7 +88,7 @@
   router.UpdateConfiguration(configuration);
   for (const auto& [key, resource] : configuration.resources) {
     if (key.kind != ResourceKind::kEngine) continue;
-    router.NoteReport(EngineName(key.name), MakeReport(), environment.Now());
+    router.ApplyReport(EngineName(key.name), MakeReport(), environment.Now());
   }
   RoutingRequest request;
   request.model = ModelName(kModel);
--- a/source/gateway/completion_flow.cc
+++ b/source/gateway/completion_flow.cc
@@ -38,8 +38,8 @@
 
   void NoteTokens(uint32_t count) {
     if (count > 0 && tokens_ == 0) {
-      flow_.context_.router.NoteFirstTokens(placement_.id,
-                                            flow_.context_.environment.Now() - sent_at_, count);
+      flow_.context_.router.OnFirstTokens(placement_.id,
+                                          flow_.context_.environment.Now() - sent_at_, count);
     }
     tokens_ += count;
   }
--- a/source/gateway/engine_observer.cc
+++ b/source/gateway/engine_observer.cc
@@ -135,15 +135,15 @@
   observed.polling = false;
   if (!report.ok()) {
     ++counters_.poll_failures;
-    router_.NoteReachable(engine, false);
+    router_.SetReachable(engine, false);
     return;
   }
   observed.report = *report;
   observed.taken_at = environment_.Now() - report->age;
   observed.has_report = true;
   observed.fresh = true;
-  router_.NoteReport(engine, *report, observed.taken_at);
-  router_.NoteReachable(engine, true);
+  router_.ApplyReport(engine, *report, observed.taken_at);
+  router_.SetReachable(engine, true);
   if (!listener_) {
     Tell(engine, {engine, report->incarnation, report->draining, NewestStaged(*report),
                   report->active_version, report->shards == ShardState::kConsistent});
@@ -176,7 +176,7 @@
         if (found == observed_.end()) return;
         found->second.reading_cache = false;
         if (!events.ok()) return;
-        router_.NoteCacheEvents(engine, after, resync, *events);
+        router_.ApplyCacheEvents(engine, after, resync, *events);
         // A whole reading is not shared: those who miss something read for themselves.
         if (!resync && Observes(engine)) found->second.cache.push_back({after, resync, *events});
       }));
@@ -186,10 +186,10 @@
   Observed& observed = observed_[engine];
   const TimePoint now = environment_.Now();
   const EngineView* view = router_.FindEngine(engine);
-  if (view != nullptr && view->said_leaving && !observed.plain_leaving) {
+  if (view != nullptr && view->reported_leaving && !observed.plain_leaving) {
     // Learned from an answer to a request.
     observed.plain_leaving = true;
-    observed.said_leaving_at = now;
+    observed.reported_leaving_at = now;
     Tell(engine, {engine, Incarnation(), true, WeightVersion(), WeightVersion(), true});
   }
   if (observed.probe != nullptr || now - observed.probed_at < options_.probe) return;
@@ -205,20 +205,20 @@
   Observed& observed = found->second;
   const std::unique_ptr<ReadinessProbe> ended = std::move(observed.probe);
   const TimePoint now = environment_.Now();
-  router_.NoteReachable(engine, readiness != Readiness::kUnreachable);
+  router_.SetReachable(engine, readiness != Readiness::kUnreachable);
   if (readiness == Readiness::kUnreachable) return;
   bool leaving = readiness == Readiness::kLeaving;
   if (readiness == Readiness::kSilent && observed.plain_leaving) {
-    leaving = now - observed.said_leaving_at < options_.leaving_hold;
+    leaving = now - observed.reported_leaving_at < options_.leaving_hold;
   }
-  if (leaving && !observed.plain_leaving) observed.said_leaving_at = now;
+  if (leaving && !observed.plain_leaving) observed.reported_leaving_at = now;
   const bool changed = leaving != observed.plain_leaving;
   observed.plain_leaving = leaving;
   observed.report.draining = leaving;
   observed.taken_at = now;
   observed.has_report = true;
   observed.fresh = observed.fresh || changed || leaving;
-  router_.NoteLeaving(engine, leaving);
+  router_.SetLeaving(engine, leaving);
   Tell(engine, {engine, Incarnation(), leaving, WeightVersion(), WeightVersion(), true});
 }
 
@@ -305,7 +305,7 @@
     if (!state.plain && !view->load.has_report()) continue;
     state.report = view->load.report();
     state.report.age = environment_.Now() - view->load.taken_at();
-    state.report.draining = view->said_leaving;
+    state.report.draining = view->reported_leaving;
     if (state.plain) state.report.age = Duration(0);
     message.engines.push_back(std::move(state));
   }
@@ -353,13 +353,13 @@
     observed_[engine.engine].heard_at = now;
   }
   if (engine.plain) {
-    if (!Observes(engine.engine)) router_.NoteLeaving(engine.engine, engine.report.draining);
+    if (!Observes(engine.engine)) router_.SetLeaving(engine.engine, engine.report.draining);
     return;
   }
-  router_.NoteReport(engine.engine, engine.report, now - engine.report.age);
+  router_.ApplyReport(engine.engine, engine.report, now - engine.report.age);
   if (engine.cache && !Observes(engine.engine)) {
-    router_.NoteCacheEvents(engine.engine, engine.cache->after, engine.cache->resync,
-                            engine.cache->events);
+    router_.ApplyCacheEvents(engine.engine, engine.cache->after, engine.cache->resync,
+                             engine.cache->events);
   }
 }
 
--- a/source/gateway/engine_observer.h
+++ b/source/gateway/engine_observer.h
@@ -97,7 +97,7 @@
     TimePoint resync_at;
     std::unique_ptr<ReadinessProbe> probe;
     TimePoint probed_at;
-    TimePoint said_leaving_at;
+    TimePoint reported_leaving_at;
     bool plain_leaving = false;
   };
 
--- a/source/gateway/gateway_node.cc
+++ b/source/gateway/gateway_node.cc
@@ -76,7 +76,7 @@
     configuration_->OnChange([this](const ConfigurationDelta&) { OnConfiguration(); });
     observer_.OnReport([this](const EngineName& engine, const EngineReport& report) {
       reconciler_->Note(engine, report);
-      router_.SetInDoubt(engine, reconciler_->InDoubt(engine));
+      router_.SetWeightsUncertain(engine, reconciler_->InDoubt(engine));
     });
     configuration_->Start();
     observer_.Start();
--- a/source/rollout/rollout_worker.cc
+++ b/source/rollout/rollout_worker.cc
@@ -247,7 +247,7 @@
       if (other < stream) ++position;
       ++sharers;
     }
-    const uint32_t room = context_.placement.RolloutRoom({ResourceKind::kPool, spec->pool});
+    const uint32_t room = context_.placement.RolloutCapacity({ResourceKind::kPool, spec->pool});
     sharers = std::max(sharers, 1U);
     return room / sharers + (position < room % sharers ? 1 : 0);
   }
--- a/source/routing/completion_estimate.cc
+++ b/source/routing/completion_estimate.cc
@@ -6,7 +6,7 @@
 namespace millstair {
 namespace {
 
-constexpr double kShortestResidenceSeconds = 0.05;
+constexpr double kMinResidenceSeconds = 0.05;
 /// Share of waiting work that is ahead of a live request; rollouts wait behind it.
 constexpr double kWaitingAheadOfLive = 0.5;
 /// Slow start: the estimate begins at this multiple and falls to the plain one.
@@ -32,33 +32,34 @@
 
 }  // namespace
 
-double LoadBelief(const EngineView& engine, const FleetFigures& fleet, TimePoint now) {
+double LoadConfidence(const EngineView& engine, const FleetStats& fleet, TimePoint now) {
   // The gateways have to share out the engine over the whole life of a report, not just now.
   const double age =
       std::max(fleet.report_horizon_seconds, ToSeconds(now - engine.load.taken_at()));
-  const double residence = std::max(kShortestResidenceSeconds, fleet.mean_residence_seconds);
-  const double kept = std::exp(-age / residence);
+  const double residence = std::max(kMinResidenceSeconds, fleet.mean_residence_seconds);
+  const double retained = std::exp(-age / residence);
   const double others = 1 - 1.0 / std::max(1U, fleet.gateways);
-  return 1 - others * (1 - kept);
+  return 1 - others * (1 - retained);
 }
 
-double EstimatedSequences(const EngineView& engine, const FleetFigures& fleet, TimePoint now) {
-  const double belief = LoadBelief(engine, fleet, now);
-  return belief * engine.load.Sequences() + (1 - belief) * fleet.mean_sequences;
+double EstimatedSequences(const EngineView& engine, const FleetStats& fleet, TimePoint now) {
+  const double confidence = LoadConfidence(engine, fleet, now);
+  return confidence * engine.load.Sequences() + (1 - confidence) * fleet.mean_sequences;
 }
 
 CompletionEstimate EstimateCompletion(const EngineView& engine, const EstimatedWork& work,
-                                      const FleetFigures& fleet, TimePoint now) {
+                                      const FleetStats& fleet, TimePoint now) {
   const EngineReport& report = engine.load.report();
-  const double largest =
+  const double max_sequences =
       std::max<uint32_t>(1, report.max_sequences == 0 ? kDefaultSequences : report.max_sequences);
   const double sequences = EstimatedSequences(engine, fleet, now) + 1;
-  const double step = engine.step_time.Seconds(std::min(sequences, largest));
+  const double step = engine.step_time.Seconds(std::min(sequences, max_sequences));
   const double slow = SlowStartFactor(engine, now);
   const double ahead = AheadShare(work.priority);
   CompletionEstimate estimate;
-  if (sequences > largest) {
-    estimate.wait_seconds = ahead * (sequences - largest) * fleet.mean_tokens * step / largest;
+  if (sequences > max_sequences) {
+    estimate.wait_seconds =
+        ahead * (sequences - max_sequences) * fleet.mean_tokens * step / max_sequences;
   }
   const double blocks_needed =
       (work.prompt_tokens + work.expected_tokens - work.cached_tokens) / kPrefixBlockTokens;
@@ -79,7 +80,7 @@
 }
 
 Duration UnloadedFirstToken(const EngineView& engine, const EstimatedWork& work,
-                            const FleetFigures& fleet) {
+                            const FleetStats& fleet) {
   const double uncached = std::max(0.0, work.prompt_tokens - work.cached_tokens);
   return FromSeconds(engine.step_time.Seconds(1) + fleet.prefill_seconds_per_token * uncached);
 }
--- a/source/routing/completion_estimate.h
+++ b/source/routing/completion_estimate.h
@@ -9,7 +9,7 @@
 namespace millstair {
 
 /// What is known beside the engine's own state. Seconds and tokens.
-struct FleetFigures {
+struct FleetStats {
   /// Mean sequences per engine of the fleet; old reports are drawn towards it.
   double mean_sequences = 0;
   /// Learned mean time that a request stays on an engine.
@@ -44,16 +44,16 @@
 
 /// How far the engine's load as known still holds, 0..1: what others changed since the report is
 /// not seen, and a request that was there may have ended. What this gateway did is known.
-double LoadBelief(const EngineView& engine, const FleetFigures& fleet, TimePoint now);
+double LoadConfidence(const EngineView& engine, const FleetStats& fleet, TimePoint now);
 
 /// Sequences that the engine is believed to have now.
-double EstimatedSequences(const EngineView& engine, const FleetFigures& fleet, TimePoint now);
+double EstimatedSequences(const EngineView& engine, const FleetStats& fleet, TimePoint now);
 
 CompletionEstimate EstimateCompletion(const EngineView& engine, const EstimatedWork& work,
-                                      const FleetFigures& fleet, TimePoint now);
+                                      const FleetStats& fleet, TimePoint now);
 
 /// Time to the first token on an engine without other work.
 Duration UnloadedFirstToken(const EngineView& engine, const EstimatedWork& work,
-                            const FleetFigures& fleet);
+                            const FleetStats& fleet);
 
 }  // namespace millstair
--- a/source/routing/engine_choice.cc
+++ b/source/routing/engine_choice.cc
@@ -11,9 +11,9 @@
 /// Draws per candidate wanted; some hit engines that may not take the work.
 constexpr uint32_t kDrawsPerCandidate = 4;
 /// Estimates of plain back ends are multiplied by a draw from this to this plus 1.
-constexpr double kLeastBlur = 0.5;
+constexpr double kMinBlur = 0.5;
 /// Taken while the time of an answer is not known.
-constexpr double kLeastAnswerSeconds = 0.001;
+constexpr double kMinAnswerSeconds = 0.001;
 
 /// Figures of a list's load are worked out anew after this long.
 constexpr Duration kLoadInterval = std::chrono::milliseconds(20);
@@ -26,55 +26,55 @@
 }  // namespace
 
 bool EngineRouter::Eligible(const EngineView& engine, const Workload& workload,
-                            const RoutingRequest& request, bool desperate) const {
+                            const RoutingRequest& request, bool last_resort) const {
   if (engine.Leaving() && !options_.faults.choose_leaving) return false;
   if (!request.excluded.empty() && request.excluded.contains(engine.name)) return false;
   const TimePoint now = environment_.Now();
-  if (!desperate && engine.ejection.Ejected(now)) return false;
+  if (!last_resort && engine.ejection.Ejected(now)) return false;
   if (workload.plain) return engine.load.outstanding() < engine.concurrency.limit();
-  if (!engine.load.has_report() || engine.in_doubt) return false;
+  if (!engine.load.has_report() || engine.weights_uncertain) return false;
   const EngineReport& report = engine.load.report();
   if (report.shards != ShardState::kConsistent || report.active_version == WeightVersion()) {
     return false;
   }
   if (!report.model.value().empty() && report.model != workload.model) return false;
-  if (!desperate && now - engine.load.taken_at() > options_.report_stale) return false;
+  if (!last_resort && now - engine.load.taken_at() > options_.report_stale) return false;
   return request.priority != RequestPriority::kRollout || FreeForRollouts(engine) >= 1;
 }
 
 std::optional<EngineRouter::Candidate> EngineRouter::ChooseByPolicy(Workload& workload,
                                                                     const RoutingRequest& request,
-                                                                    bool desperate) {
+                                                                    bool last_resort) {
   switch (options_.policy) {
     case RoutingPolicy::kRoundRobin:
-      return ChooseRoundRobin(workload, request, desperate);
+      return ChooseRoundRobin(workload, request, last_resort);
     case RoutingPolicy::kLeastOutstanding:
-      return ChooseLeastOutstanding(workload, request, desperate);
+      return ChooseLeastOutstanding(workload, request, last_resort);
     case RoutingPolicy::kEstimate:
     case RoutingPolicy::kEstimateWithoutPrefix:
       break;
   }
-  return ChooseByEstimate(workload, request, desperate);
+  return ChooseByEstimate(workload, request, last_resort);
 }
 
 std::optional<EngineRouter::Candidate> EngineRouter::ChooseRoundRobin(Workload& workload,
                                                                       const RoutingRequest& request,
-                                                                      bool desperate) {
+                                                                      bool last_resort) {
   for (size_t tried = 0; tried < workload.all.size(); ++tried) {
     const EngineSlot slot = workload.all[workload.next++ % workload.all.size()];
-    if (Eligible(*engines_[slot], workload, request, desperate)) return Evaluate(slot, request);
+    if (Eligible(*engines_[slot], workload, request, last_resort)) return Evaluate(slot, request);
   }
   return std::nullopt;
 }
 
 std::optional<EngineRouter::Candidate> EngineRouter::ChooseLeastOutstanding(
-    const Workload& workload, const RoutingRequest& request, bool desperate) {
+    const Workload& workload, const RoutingRequest& request, bool last_resort) {
   std::optional<EngineSlot> best;
   double least = 0;
   uint64_t ties = 0;
   for (const EngineSlot slot : workload.all) {
     const EngineView& engine = *engines_[slot];
-    if (!Eligible(engine, workload, request, desperate)) continue;
+    if (!Eligible(engine, workload, request, last_resort)) continue;
     const double sequences = engine.load.Sequences();
     if (!best || sequences < least) {
       best = slot;
@@ -90,27 +90,27 @@
 
 std::optional<EngineRouter::Candidate> EngineRouter::ChooseByEstimate(Workload& workload,
                                                                       const RoutingRequest& request,
-                                                                      bool desperate) {
+                                                                      bool last_resort) {
   std::optional<Candidate> best;
-  ConsiderHolders(workload, request, desperate, best);
-  ConsiderSampled(workload.home, workload, request, desperate, best);
-  if (!best || !best->has_room) {
-    ConsiderSampled(workload.away, workload, request, desperate, best);
+  ConsiderPrefixHolders(workload, request, last_resort, best);
+  ConsiderSampled(workload.home, workload, request, last_resort, best);
+  if (!best || !best->has_capacity) {
+    ConsiderSampled(workload.away, workload, request, last_resort, best);
   }
   return best;
 }
 
-void EngineRouter::WorkOutLoad(CandidateList& list) const {
+void EngineRouter::UpdateLoad(CandidateList& list) const {
   const TimePoint now = environment_.Now();
-  if (list.worked_out && now - list.worked_out_at < kLoadInterval) return;
-  list.worked_out = true;
-  list.worked_out_at = now;
+  if (list.computed && now - list.computed_at < kLoadInterval) return;
+  list.computed = true;
+  list.computed_at = now;
   double sum = 0;
   double least = std::numeric_limits<double>::max();
   double counted = 0;
   for (const EngineSlot slot : list.slots) {
     const EngineView& engine = *engines_[slot];
-    if (engine.Leaving() || engine.in_doubt || engine.ejection.Ejected(now)) continue;
+    if (engine.Leaving() || engine.weights_uncertain || engine.ejection.Ejected(now)) continue;
     if (engine.type == EngineType::kModel && !engine.load.has_report()) continue;
     const double sequences = engine.load.Sequences();
     sum += sequences;
@@ -118,24 +118,24 @@
     ++counted;
   }
   list.mean_sequences = counted == 0 ? 0 : sum / counted;
-  list.least_sequences = counted == 0 ? 0 : least;
+  list.min_sequences = counted == 0 ? 0 : least;
 }
 
 bool EngineRouter::DrawAccepted(const CandidateList& list, EngineSlot slot) {
   const EngineView& engine = *engines_[slot];
-  const double belief = LoadBelief(engine, fleet_, environment_.Now());
-  const double most = list.mean_sequences - belief * list.least_sequences;
+  const double confidence = LoadConfidence(engine, fleet_, environment_.Now());
+  const double most = list.mean_sequences - confidence * list.min_sequences;
   if (most <= 0) return true;
-  const double below = list.mean_sequences - belief * engine.load.Sequences();
+  const double below = list.mean_sequences - confidence * engine.load.Sequences();
   const double slow = SlowStartFactor(engine, environment_.Now());
   return DrawUnit(environment_.Random()) * most * slow < below;
 }
 
 void EngineRouter::ConsiderSampled(CandidateList& list, const Workload& workload,
-                                   const RoutingRequest& request, bool desperate,
+                                   const RoutingRequest& request, bool last_resort,
                                    std::optional<Candidate>& best) {
   if (list.slots.empty()) return;
-  WorkOutLoad(list);
+  UpdateLoad(list);
   const size_t count = list.slots.size();
   const bool all = count <= size_t{options_.sampled} * kDrawsPerCandidate;
   const uint64_t first = DrawBelow(environment_.Random(), count);
@@ -148,7 +148,7 @@
   for (size_t i = 0; i < draws && accepted < wanted; ++i) {
     const uint64_t position = all ? first + i : DrawBelow(environment_.Random(), count);
     const EngineSlot slot = list.slots[position % count];
-    if (!Eligible(*engines_[slot], workload, request, desperate)) continue;
+    if (!Eligible(*engines_[slot], workload, request, last_resort)) continue;
     if (!DrawAccepted(list, slot)) {
       refused.push_back(slot);
       continue;
@@ -159,7 +159,7 @@
   // None had its turn: the best of those drawn, or any that may take the work.
   for (size_t i = 0; i < count && !all && accepted == 0 && refused.empty(); ++i) {
     const EngineSlot slot = list.slots[(first + i) % count];
-    if (Eligible(*engines_[slot], workload, request, desperate)) refused.push_back(slot);
+    if (Eligible(*engines_[slot], workload, request, last_resort)) refused.push_back(slot);
   }
   if (accepted == 0) {
     for (const EngineSlot slot : refused) KeepBetter(Evaluate(slot, request), sampled);
@@ -167,8 +167,8 @@
   if (sampled) KeepBetter(*sampled, best);
 }
 
-void EngineRouter::ConsiderHolders(const Workload& workload, const RoutingRequest& request,
-                                   bool desperate, std::optional<Candidate>& best) {
+void EngineRouter::ConsiderPrefixHolders(const Workload& workload, const RoutingRequest& request,
+                                         bool last_resort, std::optional<Candidate>& best) {
   if (options_.policy != RoutingPolicy::kEstimate || request.prefix_blocks.empty()) return;
   const std::vector<EngineSlot>* holders = prefixes_.BestHolders(request.prefix_blocks);
   if (holders == nullptr) return;
@@ -178,7 +178,7 @@
   for (size_t i = 0; i < draws && considered < options_.prefix_holders; ++i) {
     const EngineSlot slot = (*holders)[(first + i) % holders->size()];
     if (!std::binary_search(workload.all.begin(), workload.all.end(), slot)) continue;
-    if (!Eligible(*engines_[slot], workload, request, desperate)) continue;
+    if (!Eligible(*engines_[slot], workload, request, last_resort)) continue;
     ++considered;
     KeepBetter(Evaluate(slot, request), best);
   }
@@ -191,16 +191,16 @@
   candidate.slot = slot;
   if (engine.type == EngineType::kHttp) {
     // Blurred, so that one that was slow once is tried again; one that is not known goes first.
-    const double blur = kLeastBlur + DrawUnit(environment_.Random());
-    const double answer = std::max(kLeastAnswerSeconds, engine.answer_seconds);
+    const double blur = kMinBlur + DrawUnit(environment_.Random());
+    const double answer = std::max(kMinAnswerSeconds, engine.answer_seconds);
     candidate.seconds = answer * (1 + engine.load.outstanding()) * blur;
-    candidate.has_room = engine.load.outstanding() < engine.concurrency.limit();
+    candidate.has_capacity = engine.load.outstanding() < engine.concurrency.limit();
   } else {
     candidate.work = WorkOn(slot, request);
     const CompletionEstimate estimate =
         EstimateCompletion(engine, candidate.work, fleet_, environment_.Now());
     candidate.seconds = estimate.total();
-    candidate.has_room = estimate.wait_seconds == 0;
+    candidate.has_capacity = estimate.wait_seconds == 0;
   }
   if (engine.zone != options_.zone) candidate.seconds += ToSeconds(options_.other_zone_penalty);
   return candidate;
--- a/source/routing/engine_placement.h
+++ b/source/routing/engine_placement.h
@@ -53,7 +53,7 @@
   /// Ends a placement; an unknown id has no effect.
   virtual void End(PlacementId id, const PlacementOutcome& outcome) = 0;
   /// How many more rollouts of `workload` its engines have room for, as far as this gateway knows.
-  virtual uint32_t RolloutRoom(const ResourceKey& workload) const = 0;
+  virtual uint32_t RolloutCapacity(const ResourceKey& workload) const = 0;
 };
 
 }  // namespace millstair
--- a/source/routing/engine_router.cc
+++ b/source/routing/engine_router.cc
@@ -12,11 +12,11 @@
 /// Weight of a new observation in smoothed figures.
 constexpr double kSmoothing = 0.1;
 /// Prefill costs are learned only from prompts with at least this much to process.
-constexpr uint32_t kLeastPrefillLearned = 128;
-constexpr double kLeastPrefillSeconds = 1e-6;
-constexpr double kMostPrefillSeconds = 500e-6;
+constexpr uint32_t kMinPrefillTokens = 128;
+constexpr double kMinPrefillSeconds = 1e-6;
+constexpr double kMaxPrefillSeconds = 500e-6;
 /// A report that is older says nothing of how often reports come.
-constexpr double kLongestHorizonSeconds = 5;
+constexpr double kMaxHorizonSeconds = 5;
 /// A pool that placed nothing for this long leaves its share to others.
 constexpr Duration kPoolIdle = std::chrono::seconds(5);
 
@@ -124,21 +124,21 @@
   workloads_ = std::move(rebuilt);
 }
 
-bool EngineRouter::NoteReport(const EngineName& engine, const EngineReport& report,
-                              TimePoint taken_at) {
+bool EngineRouter::ApplyReport(const EngineName& engine, const EngineReport& report,
+                               TimePoint taken_at) {
   const auto slot = SlotOf(engine);
   if (!slot) return false;
   EngineView& view = *engines_[*slot];
   const bool known = view.load.has_report();
   const EngineReport before = view.load.report();
   const TimePoint before_taken_at = view.load.taken_at();
-  if (!view.load.NoteReport(report, taken_at)) return false;
+  if (!view.load.ApplyReport(report, taken_at)) return false;
   const bool restarted = known && before.incarnation != report.incarnation;
   const bool swapped = known && before.active_version != report.active_version;
   if (restarted) {
     view.step_time.Reset();
     view.ejection.Readmit();
-    view.said_leaving = false;
+    view.reported_leaving = false;
   }
   if (restarted || swapped) {
     prefixes_.Forget(*slot);
@@ -146,27 +146,27 @@
     view.slow_starting = true;
   }
   if (report.draining) {
-    NoteLeaving(engine, true);
-  } else if (view.said_leaving && taken_at > view.said_leaving_at) {
-    NoteLeaving(engine, false);
+    SetLeaving(engine, true);
+  } else if (view.reported_leaving && taken_at > view.reported_leaving_at) {
+    SetLeaving(engine, false);
   }
   if (known) {
     const double age =
-        std::min(kLongestHorizonSeconds, ToSeconds(environment_.Now() - before_taken_at));
+        std::min(kMaxHorizonSeconds, ToSeconds(environment_.Now() - before_taken_at));
     fleet_.report_horizon_seconds = Smooth(fleet_.report_horizon_seconds, age);
   }
-  view.step_time.Note(report.running_sequences, report.step_time);
-  NoteFleetLoad(!known);
+  view.step_time.Add(report.running_sequences, report.step_time);
+  UpdateFleetLoad(!known);
   return true;
 }
 
-void EngineRouter::NoteCacheEvents(const EngineName& engine, uint64_t after, bool resync,
-                                   const CacheEvents& events) {
+void EngineRouter::ApplyCacheEvents(const EngineName& engine, uint64_t after, bool resync,
+                                    const CacheEvents& events) {
   const auto slot = SlotOf(engine);
   if (slot) prefixes_.Apply(*slot, after, resync, events, environment_.Now());
 }
 
-void EngineRouter::NoteReachable(const EngineName& engine, bool reachable) {
+void EngineRouter::SetReachable(const EngineName& engine, bool reachable) {
   const auto slot = SlotOf(engine);
   if (!slot) return;
   OutlierEjection& ejection = engines_[*slot]->ejection;
@@ -180,17 +180,17 @@
   ejection.RecordFailure(environment_.Now(), true);
 }
 
-void EngineRouter::SetInDoubt(const EngineName& engine, bool in_doubt) {
+void EngineRouter::SetWeightsUncertain(const EngineName& engine, bool weights_uncertain) {
   const auto slot = SlotOf(engine);
-  if (slot) engines_[*slot]->in_doubt = in_doubt;
+  if (slot) engines_[*slot]->weights_uncertain = weights_uncertain;
 }
 
-void EngineRouter::NoteLeaving(const EngineName& engine, bool leaving) {
+void EngineRouter::SetLeaving(const EngineName& engine, bool leaving) {
   const auto slot = SlotOf(engine);
   if (!slot) return;
   EngineView& view = *engines_[*slot];
-  view.said_leaving = leaving;
-  if (leaving) view.said_leaving_at = environment_.Now();
+  view.reported_leaving = leaving;
+  if (leaving) view.reported_leaving_at = environment_.Now();
 }
 
 std::optional<Placement> EngineRouter::Place(const ResourceKey& workload,
@@ -224,7 +224,7 @@
   own.work = chosen.work;
   own.plain = engine.type == EngineType::kHttp;
   const double uncached = std::max(0.0, request.prompt_tokens - own.work.cached_tokens);
-  engine.load.NoteStarted(own.sent_at, static_cast<uint32_t>(uncached), own.kv_blocks);
+  engine.load.OnStarted(own.sent_at, static_cast<uint32_t>(uncached), own.kv_blocks);
   counters_.prompt_tokens += request.prompt_tokens;
   counters_.prefix_tokens_expected += static_cast<uint64_t>(own.work.cached_tokens);
   if (engine.zone != options_.zone) ++counters_.other_zone;
@@ -246,7 +246,7 @@
   placements_.erase(found);
   EngineView& engine = *engines_[placement.slot];
   const uint32_t outstanding = engine.load.outstanding();
-  engine.load.NoteEnded(environment_.Now(), placement.kv_blocks);
+  engine.load.OnEnded(environment_.Now(), placement.kv_blocks);
   const auto workload = workloads_.find(placement.workload);
   if (placement.priority == RequestPriority::kRollout && workload != workloads_.end() &&
       workload->second.in_flight > 0) {
@@ -255,11 +255,11 @@
   if (placement.priority != RequestPriority::kRollout && engine.live_outstanding > 0) {
     --engine.live_outstanding;
   }
-  if (outcome.leaving) NoteLeaving(engine.name, true);
+  if (outcome.leaving) SetLeaving(engine.name, true);
   if (outcome.end == PlacementEnd::kFinished) {
     engine.ejection.RecordSuccess();
     if (placement.plain) engine.concurrency.RecordLatency(outcome.elapsed, outstanding);
-    LearnFinished(engine, placement, outcome);
+    UpdateFinished(engine, placement, outcome);
     return;
   }
   if (!CountsAgainstEngine(outcome)) return;
@@ -267,15 +267,15 @@
   engine.ejection.RecordFailure(environment_.Now(), outcome.failure == CallFailure::kNotSent);
 }
 
-void EngineRouter::LearnFinished(EngineView& engine, const OwnPlacement& placement,
-                                 const PlacementOutcome& outcome) {
+void EngineRouter::UpdateFinished(EngineView& engine, const OwnPlacement& placement,
+                                  const PlacementOutcome& outcome) {
   if (placement.plain) {
     engine.answer_seconds = Smooth(engine.answer_seconds, ToSeconds(outcome.elapsed));
     return;
   }
   if (outcome.tokens == 0) return;
   if (placement.priority != RequestPriority::kRollout) {
-    LearnLiveLatency(engine, placement, outcome);
+    UpdateLiveLatency(engine, placement, outcome);
   }
   fleet_.mean_tokens = Smooth(fleet_.mean_tokens, outcome.tokens);
   fleet_.mean_residence_seconds = Smooth(fleet_.mean_residence_seconds, ToSeconds(outcome.elapsed));
@@ -287,8 +287,8 @@
   }
 }
 
-void EngineRouter::LearnLiveLatency(EngineView& engine, const OwnPlacement& placement,
-                                    const PlacementOutcome& outcome) {
+void EngineRouter::UpdateLiveLatency(EngineView& engine, const OwnPlacement& placement,
+                                     const PlacementOutcome& outcome) {
   // What it would have taken with the live requests alone, as far as this gateway can tell.
   const double live = 1.0 + engine.live_outstanding * static_cast<double>(home_gateways_);
   const Duration alone = UnloadedFirstToken(engine, placement.work, fleet_) +
@@ -296,16 +296,16 @@
   engine.rollout_share.RecordLiveLatency(environment_.Now(), outcome.elapsed, alone);
 }
 
-void EngineRouter::NoteFirstTokens(PlacementId id, Duration latency, uint32_t tokens) {
+void EngineRouter::OnFirstTokens(PlacementId id, Duration latency, uint32_t tokens) {
   const auto found = placements_.find(id.value());
   if (found == placements_.end()) return;
   const OwnPlacement& placement = found->second;
   const EngineView& engine = *engines_[placement.slot];
   const double uncached = placement.work.prompt_tokens - placement.work.cached_tokens;
-  if (uncached < kLeastPrefillLearned || engine.load.report().waiting_sequences > 0) return;
+  if (uncached < kMinPrefillTokens || engine.load.report().waiting_sequences > 0) return;
   const double step = engine.step_time.Seconds(engine.load.Sequences());
   const double spent = ToSeconds(latency) - tokens * step;
-  const double sample = std::clamp(spent / uncached, kLeastPrefillSeconds, kMostPrefillSeconds);
+  const double sample = std::clamp(spent / uncached, kMinPrefillSeconds, kMaxPrefillSeconds);
   fleet_.prefill_seconds_per_token = Smooth(fleet_.prefill_seconds_per_token, sample);
 }
 
@@ -318,43 +318,43 @@
 }
 
 double EngineRouter::FreeForRollouts(const EngineView& engine) const {
-  const uint32_t largest =
+  const uint32_t max_rollouts =
       engine.rollout_share.Sequences(environment_.Now(), engine.load.report().max_sequences);
-  return largest - EstimatedSequences(engine, fleet_, environment_.Now());
+  return max_rollouts - EstimatedSequences(engine, fleet_, environment_.Now());
 }
 
-uint32_t EngineRouter::RoomOf(const Workload& workload) const {
+uint32_t EngineRouter::CapacityOf(const Workload& workload) const {
   RoutingRequest request;
   request.priority = RequestPriority::kLive;
   const bool use_home = !workload.home.slots.empty();
   const double sharers = use_home ? home_gateways_ : std::max(1U, observers_.gateway_count());
-  double room = 0;
+  double capacity = 0;
   for (const EngineSlot slot : use_home ? workload.home.slots : workload.away.slots) {
     const EngineView& engine = *engines_[slot];
     if (!Eligible(engine, workload, request, false)) continue;
-    room += std::max(0.0, FreeForRollouts(engine)) / sharers;
+    capacity += std::max(0.0, FreeForRollouts(engine)) / sharers;
   }
   const uint32_t gateways = std::max(1U, observers_.gateway_count());
   const uint32_t bound = std::max(1U, workload.max_in_flight / gateways);
   const uint32_t left = bound > workload.in_flight ? bound - workload.in_flight : 0;
-  return std::min(left, static_cast<uint32_t>(std::ceil(room)));
+  return std::min(left, static_cast<uint32_t>(std::ceil(capacity)));
 }
 
-uint32_t EngineRouter::RolloutRoom(const ResourceKey& workload) const {
+uint32_t EngineRouter::RolloutCapacity(const ResourceKey& workload) const {
   if (may_give_work_ && !may_give_work_()) return 0;
   const auto found = workloads_.find(workload);
   if (found == workloads_.end()) return 0;
-  const uint32_t room = RoomOf(found->second);
-  if (room == 0) return 0;
-  // Other pools of the model that are at work share the room by their weights.
-  std::vector<FairClaim> claims{{found->second.share, found->second.in_flight, room}};
+  const uint32_t capacity = CapacityOf(found->second);
+  if (capacity == 0) return 0;
+  // Other pools of the model that are at work share the capacity by their weights.
+  std::vector<FairClaim> claims{{found->second.share, found->second.in_flight, capacity}};
   const TimePoint now = environment_.Now();
   for (const auto& [key, other] : workloads_) {
     if (key == workload || key.kind != ResourceKind::kPool) continue;
     if (other.model != found->second.model || now - other.last_placed > kPoolIdle) continue;
-    claims.push_back({other.share, other.in_flight, room});
+    claims.push_back({other.share, other.in_flight, capacity});
   }
-  return DivideFairly(room, claims).front();
+  return DivideFairly(capacity, claims).front();
 }
 
 bool EngineRouter::MayTakeWork(const EngineName& engine) const {
@@ -378,9 +378,9 @@
   return std::max(1U, static_cast<uint32_t>(length_share_ * max_tokens));
 }
 
-void EngineRouter::NoteFleetLoad(bool at_once) {
+void EngineRouter::UpdateFleetLoad(bool immediately) {
   const TimePoint now = environment_.Now();
-  if (!at_once && now - fleet_load_at_ < kFleetLoadInterval) return;
+  if (!immediately && now - fleet_load_at_ < kFleetLoadInterval) return;
   fleet_load_at_ = now;
   double sequences = 0;
   uint32_t reporting = 0;
--- a/source/routing/engine_router.h
+++ b/source/routing/engine_router.h
@@ -64,23 +64,23 @@
   /// Takes over engines and matching; cheap if the revision is the one held.
   void UpdateConfiguration(const Configuration& configuration);
   /// A report of `engine` whose figures were taken at `taken_at`. False if it was not news.
-  bool NoteReport(const EngineName& engine, const EngineReport& report, TimePoint taken_at);
+  bool ApplyReport(const EngineName& engine, const EngineReport& report, TimePoint taken_at);
   /// Cache events of `engine` read after event `after`.
-  void NoteCacheEvents(const EngineName& engine, uint64_t after, bool resync,
-                       const CacheEvents& events);
+  void ApplyCacheEvents(const EngineName& engine, uint64_t after, bool resync,
+                        const CacheEvents& events);
   /// A poll found `engine` unreachable, or reachable again.
-  void NoteReachable(const EngineName& engine, bool reachable);
+  void SetReachable(const EngineName& engine, bool reachable);
   /// The weights of `engine` are in doubt, or are no longer.
-  void SetInDoubt(const EngineName& engine, bool in_doubt);
+  void SetWeightsUncertain(const EngineName& engine, bool weights_uncertain);
   /// `engine` said that it is leaving, or is no longer.
-  void NoteLeaving(const EngineName& engine, bool leaving);
+  void SetLeaving(const EngineName& engine, bool leaving);
 
   std::optional<Placement> Place(const ResourceKey& workload,
                                  const RoutingRequest& request) override;
   void End(PlacementId id, const PlacementOutcome& outcome) override;
-  uint32_t RolloutRoom(const ResourceKey& workload) const override;
+  uint32_t RolloutCapacity(const ResourceKey& workload) const override;
   /// The first `tokens` of a live request arrived together this long after it was sent.
-  void NoteFirstTokens(PlacementId id, Duration latency, uint32_t tokens);
+  void OnFirstTokens(PlacementId id, Duration latency, uint32_t tokens);
   /// A live request had to wait because no engine could take it.
   void OnLiveQueued(const ResourceKey& workload);
 
@@ -92,7 +92,7 @@
   std::optional<EngineSlot> SlotOf(const EngineName& engine) const;
   /// Learned share of `max_tokens` that requests generate, and their mean tokens.
   uint32_t ExpectedTokens(uint32_t max_tokens) const;
-  const FleetFigures& fleet() const { return fleet_; }
+  const FleetStats& fleet() const { return fleet_; }
   const RouterCounters& counters() const { return counters_; }
   const ObserverAssignment& observers() const { return observers_; }
   /// Rollouts are only placed while this says so (lease, drain); live requests see to it
@@ -105,9 +105,9 @@
   struct CandidateList {
     std::vector<EngineSlot> slots;
     double mean_sequences = 0;
-    double least_sequences = 0;
-    TimePoint worked_out_at;
-    bool worked_out = false;
+    double min_sequences = 0;
+    TimePoint computed_at;
+    bool computed = false;
   };
   struct Workload {
     ModelName model;
@@ -135,42 +135,42 @@
   struct Candidate {
     EngineSlot slot = 0;
     double seconds = 0;
-    bool has_room = false;
+    bool has_capacity = false;
     EstimatedWork work;
   };
 
   void RebuildEngines(const Configuration& configuration);
   void RebuildWorkloads(const Configuration& configuration);
   bool Eligible(const EngineView& engine, const Workload& workload, const RoutingRequest& request,
-                bool desperate) const;
+                bool last_resort) const;
   /// Rollouts that the engine can take on top of what it has; may be negative.
   double FreeForRollouts(const EngineView& engine) const;
-  uint32_t RoomOf(const Workload& workload) const;
+  uint32_t CapacityOf(const Workload& workload) const;
   std::optional<Candidate> ChooseByPolicy(Workload& workload, const RoutingRequest& request,
-                                          bool desperate);
+                                          bool last_resort);
   std::optional<Candidate> ChooseByEstimate(Workload& workload, const RoutingRequest& request,
-                                            bool desperate);
+                                            bool last_resort);
   std::optional<Candidate> ChooseRoundRobin(Workload& workload, const RoutingRequest& request,
-                                            bool desperate);
+                                            bool last_resort);
   std::optional<Candidate> ChooseLeastOutstanding(const Workload& workload,
-                                                  const RoutingRequest& request, bool desperate);
-  void WorkOutLoad(CandidateList& list) const;
+                                                  const RoutingRequest& request, bool last_resort);
+  void UpdateLoad(CandidateList& list) const;
   /// Draws whether an engine with this load should get its turn, so that over all gateways the
   /// engines fill up evenly.
   bool DrawAccepted(const CandidateList& list, EngineSlot slot);
   void ConsiderSampled(CandidateList& list, const Workload& workload, const RoutingRequest& request,
-                       bool desperate, std::optional<Candidate>& best);
-  void ConsiderHolders(const Workload& workload, const RoutingRequest& request, bool desperate,
-                       std::optional<Candidate>& best);
+                       bool last_resort, std::optional<Candidate>& best);
+  void ConsiderPrefixHolders(const Workload& workload, const RoutingRequest& request,
+                             bool last_resort, std::optional<Candidate>& best);
   Candidate Evaluate(EngineSlot slot, const RoutingRequest& request) const;
   EstimatedWork WorkOn(EngineSlot slot, const RoutingRequest& request) const;
   Placement Record(const ResourceKey& workload, const RoutingRequest& request,
                    const Candidate& chosen);
-  void LearnLiveLatency(EngineView& engine, const OwnPlacement& placement,
-                        const PlacementOutcome& outcome);
-  void LearnFinished(EngineView& engine, const OwnPlacement& placement,
-                     const PlacementOutcome& outcome);
-  void NoteFleetLoad(bool at_once);
+  void UpdateLiveLatency(EngineView& engine, const OwnPlacement& placement,
+                         const PlacementOutcome& outcome);
+  void UpdateFinished(EngineView& engine, const OwnPlacement& placement,
+                      const PlacementOutcome& outcome);
+  void UpdateFleetLoad(bool immediately);
 
   Environment& environment_;
   RouterOptions options_;
@@ -181,7 +181,7 @@
   std::map<EngineName, EngineSlot> slots_;
   std::map<ResourceKey, Workload> workloads_;
   PrefixIndex prefixes_;
-  FleetFigures fleet_;
+  FleetStats fleet_;
   double length_share_ = 0.3;
   bool configured_ = false;
   TimePoint fleet_load_at_;
--- a/source/routing/engine_view.h
+++ b/source/routing/engine_view.h
@@ -24,10 +24,10 @@
   /// Merged state from the configuration.
   MemberState state = MemberState::kGone;
   /// It said itself that it is leaving; newer than what the configuration may know.
-  bool said_leaving = false;
+  bool reported_leaving = false;
   /// Its weights are not what was published; no work may go there.
-  bool in_doubt = false;
-  TimePoint said_leaving_at;
+  bool weights_uncertain = false;
+  TimePoint reported_leaving_at;
 
   LaggedLoad load;
   StepTimeModel step_time;
@@ -44,7 +44,7 @@
   ConcurrencyLimit concurrency{ConcurrencyLimitOptions{.initial = 32}};
 
   /// Takes no work, whatever its load: leaving, or gone.
-  bool Leaving() const { return state != MemberState::kLive || said_leaving; }
+  bool Leaving() const { return state != MemberState::kLive || reported_leaving; }
 };
 
 }  // namespace millstair
--- a/source/routing/lagged_load.cc
+++ b/source/routing/lagged_load.cc
@@ -6,11 +6,11 @@
 namespace {
 
 /// Changes kept while no report comes; older ones are taken for reported.
-constexpr size_t kMostChanges = 4096;
+constexpr size_t kMaxChanges = 4096;
 
 }  // namespace
 
-bool LaggedLoad::NoteReport(const EngineReport& report, TimePoint taken_at) {
+bool LaggedLoad::ApplyReport(const EngineReport& report, TimePoint taken_at) {
   if (has_report_) {
     if (report.incarnation < report_.incarnation) return false;
     if (report.incarnation == report_.incarnation && taken_at <= taken_at_) return false;
@@ -25,12 +25,12 @@
   return true;
 }
 
-void LaggedLoad::NoteStarted(TimePoint now, uint32_t prefill_tokens, uint32_t kv_blocks) {
+void LaggedLoad::OnStarted(TimePoint now, uint32_t prefill_tokens, uint32_t kv_blocks) {
   ++outstanding_;
   Add({now, 1, prefill_tokens, kv_blocks});
 }
 
-void LaggedLoad::NoteEnded(TimePoint now, uint32_t kv_blocks) {
+void LaggedLoad::OnEnded(TimePoint now, uint32_t kv_blocks) {
   if (outstanding_ > 0) --outstanding_;
   Add({now, -1, 0, -static_cast<int64_t>(kv_blocks)});
 }
@@ -56,7 +56,7 @@
   if (change.sequences > 0) ++started_since_;
   prefill_since_ += change.prefill_tokens;
   kv_since_ += change.kv_blocks;
-  if (changes_.size() <= kMostChanges) return;
+  if (changes_.size() <= kMaxChanges) return;
   Forget(changes_.front());
   changes_.pop_front();
 }
--- a/source/routing/lagged_load.h
+++ b/source/routing/lagged_load.h
@@ -14,9 +14,9 @@
  public:
   /// Takes over `report`, whose figures were taken at `taken_at`. False if it is older than the one
   /// held, by incarnation or time; nothing changes then.
-  bool NoteReport(const EngineReport& report, TimePoint taken_at);
-  void NoteStarted(TimePoint now, uint32_t prefill_tokens, uint32_t kv_blocks);
-  void NoteEnded(TimePoint now, uint32_t kv_blocks);
+  bool ApplyReport(const EngineReport& report, TimePoint taken_at);
+  void OnStarted(TimePoint now, uint32_t prefill_tokens, uint32_t kv_blocks);
+  void OnEnded(TimePoint now, uint32_t kv_blocks);
 
   bool has_report() const { return has_report_; }
   const EngineReport& report() const { return report_; }
--- a/source/routing/outlier_ejection.h
+++ b/source/routing/outlier_ejection.h
@@ -12,7 +12,7 @@
   /// Failures in a row that eject.
   uint32_t failures = 3;
   Duration first = std::chrono::seconds(1);
-  Duration largest = std::chrono::seconds(30);
+  Duration max_duration = std::chrono::seconds(30);
 };
 
 class OutlierEjection {
@@ -28,8 +28,8 @@
     failures_ += unreachable ? 2 : 1;
     if (failures_ < options_.failures || Ejected(now)) return;
     Duration span = options_.first;
-    for (uint32_t i = 0; i < ejections_ && span < options_.largest; ++i) span *= 2;
-    until_ = now + std::min(span, options_.largest);
+    for (uint32_t i = 0; i < ejections_ && span < options_.max_duration; ++i) span *= 2;
+    until_ = now + std::min(span, options_.max_duration);
     ++ejections_;
     failures_ = 0;
   }
--- a/source/routing/prefix_index.cc
+++ b/source/routing/prefix_index.cc
@@ -12,7 +12,7 @@
 constexpr double kTrustAfterGap = 0.5;
 /// Without a reading for this long, trust falls by half.
 constexpr double kHalfLifeSeconds = 10;
-constexpr uint64_t kMostMissingCounted = 200;
+constexpr uint64_t kMaxMissingCounted = 200;
 
 uint64_t MissingEvents(uint64_t newest, const CacheEvents& events) {
   uint64_t expected = newest + 1;
@@ -23,7 +23,7 @@
     expected = event.sequence + 1;
   }
   if (events.newest + 1 > expected) missing += events.newest + 1 - expected;
-  return std::min(missing, kMostMissingCounted);
+  return std::min(missing, kMaxMissingCounted);
 }
 
 }  // namespace
--- a/source/routing/step_time_model.h
+++ b/source/routing/step_time_model.h
@@ -10,15 +10,15 @@
 /// Least squares with forgetting over (sequences, step time) as engines report them.
 class StepTimeModel {
  public:
-  void Note(double sequences, Duration step_time) {
+  void Add(double sequences, Duration step_time) {
     const double seconds = ToSeconds(step_time);
     if (seconds <= 0) return;
     const double x = std::max(1.0, sequences);
-    weight_ = weight_ * kKeep + 1;
-    x_ = x_ * kKeep + x;
-    y_ = y_ * kKeep + seconds;
-    xx_ = xx_ * kKeep + x * x;
-    xy_ = xy_ * kKeep + x * seconds;
+    weight_ = weight_ * kDecay + 1;
+    x_ = x_ * kDecay + x;
+    y_ = y_ * kDecay + seconds;
+    xx_ = xx_ * kDecay + x * x;
+    xy_ = xy_ * kDecay + x * seconds;
     Fit();
   }
 
@@ -33,11 +33,11 @@
   }
 
  private:
-  static constexpr double kKeep = 0.98;
+  static constexpr double kDecay = 0.98;
   /// Taken while nothing is known.
   static constexpr double kUnknownSeconds = 0.03;
   /// With less spread than this the slope cannot be told; a small share of the mean is taken.
-  static constexpr double kLeastVariance = 1.0;
+  static constexpr double kMinVariance = 1.0;
   static constexpr double kDefaultSlopeShare = 0.01;
 
   void Fit() {
@@ -45,7 +45,7 @@
     const double mean_y = y_ / weight_;
     const double variance = xx_ / weight_ - mean_x * mean_x;
     slope_ = mean_y * kDefaultSlopeShare;
-    if (variance >= kLeastVariance) slope_ = (xy_ / weight_ - mean_x * mean_y) / variance;
+    if (variance >= kMinVariance) slope_ = (xy_ / weight_ - mean_x * mean_y) / variance;
     slope_ = std::clamp(slope_, 0.0, mean_y / mean_x);
     base_ = mean_y - slope_ * mean_x;
   }
--- a/test/rollout/rollout_fakes.h
+++ b/test/rollout/rollout_fakes.h
@@ -101,7 +101,7 @@
     placed_.erase(found);
     ended.push_back(outcome);
   }
-  uint32_t RolloutRoom(const ResourceKey&) const override {
+  uint32_t RolloutCapacity(const ResourceKey&) const override {
     uint32_t room = 0;
     for (const auto& [name, address] : engines) {
       if (closed.contains(name)) continue;
--- a/test/routing/engine_router_test.cc
+++ b/test/routing/engine_router_test.cc
@@ -22,7 +22,7 @@
   }
   void Configure() { router->UpdateConfiguration(builder.Build()); }
   void Report(const std::string& engine, const EngineReport& report) {
-    router->NoteReport(EngineName(engine), report, environment.Now());
+    router->ApplyReport(EngineName(engine), report, environment.Now());
   }
   /// Name of the engine chosen, "" for none.
   std::string Choose(const RoutingRequest& request = LiveRequest(),
@@ -78,7 +78,7 @@
   CHECK(f.Tally(50) == std::map<std::string, int>{{"well", 50}});
 
   SECTION("the engine's own word counts at once, until a later report takes it back") {
-    f.router->NoteLeaving(EngineName("well"), true);
+    f.router->SetLeaving(EngineName("well"), true);
     CHECK(f.Choose() == "");
     CHECK_FALSE(f.router->MayTakeWork(EngineName("well")));
     f.scheduler.RunFor(seconds(1));
@@ -99,7 +99,7 @@
   events.incarnation = Incarnation(1);
   for (BlockHash block = 1; block <= 64; ++block) events.events.push_back({block, true, block});
   events.newest = 64;
-  f.router->NoteCacheEvents(EngineName("e17"), 0, false, events);
+  f.router->ApplyCacheEvents(EngineName("e17"), 0, false, events);
 
   CHECK(f.Tally(20, request)["e17"] == 20);
   SECTION("but not when it is full") {
@@ -115,7 +115,7 @@
     const auto slot = *f.router->SlotOf(EngineName("e17"));
     CHECK(f.router->prefixes().Trust(slot, f.environment.Now()) < 0.6);
     f.Report("e17", ReportWith(4));
-    f.router->NoteCacheEvents(EngineName("e17"), 64, false, events);
+    f.router->ApplyCacheEvents(EngineName("e17"), 64, false, events);
     CHECK(f.router->prefixes().Trust(slot, f.environment.Now()) == Approx(1));
   }
 }
@@ -181,8 +181,8 @@
   f.Configure();
   f.scheduler.RunFor(seconds(1));
   f.Report("a", ReportWith(3));
-  CHECK_FALSE(f.router->NoteReport(EngineName("a"), ReportWith(30),
-                                   f.environment.Now() - milliseconds(500)));
+  CHECK_FALSE(f.router->ApplyReport(EngineName("a"), ReportWith(30),
+                                    f.environment.Now() - milliseconds(500)));
   CHECK(f.router->FindEngine(EngineName("a"))->load.Sequences() == 3);
 }
 
@@ -190,17 +190,17 @@
   Fixture f;
   f.builder.Engine("a", "z1").Engine("b", "z1").Gateway("g", "z1").Gateway("h", "z1");
   f.Configure();
-  CHECK(f.router->RolloutRoom(RolloutPool()) == 0);
+  CHECK(f.router->RolloutCapacity(RolloutPool()) == 0);
   f.Report("a", ReportWith(10));
   f.Report("b", ReportWith(32));
   // 95 % of 32 sequences, less the 10 that run; half of it for each gateway.
-  CHECK(f.router->RolloutRoom(RolloutPool()) == 10);
+  CHECK(f.router->RolloutCapacity(RolloutPool()) == 10);
   RoutingRequest rollout = LiveRequest();
   rollout.priority = RequestPriority::kRollout;
   CHECK(f.Choose(rollout, RolloutPool()) == "a");
   bool may_give_work = false;
   f.router->SetGate([&may_give_work] { return may_give_work; });
-  CHECK(f.router->RolloutRoom(RolloutPool()) == 0);
+  CHECK(f.router->RolloutCapacity(RolloutPool()) == 0);
   CHECK(f.Choose(rollout, RolloutPool()) == "");
   CHECK(f.Choose() != "");
 }
--- a/test/routing/herd_test.cc
+++ b/test/routing/herd_test.cc
@@ -59,7 +59,7 @@
       for (int i = 0; i < kEngines; ++i) {
         const TimePoint taken_at = environment_.Now() - kReportLag;
         for (auto& router : routers_) {
-          router->NoteReport(EngineName(EngineAt(i)), ReportWith(figures[i]), taken_at);
+          router->ApplyReport(EngineName(EngineAt(i)), ReportWith(figures[i]), taken_at);
         }
       }
     });
