--- a/test/duties/usage_duty_test.cc
+++ b/test/duties/usage_duty_test.cc
@@ -174,7 +174,7 @@
 
 TEST_CASE("A platform that says nothing, or can't be reached, is called again") {
   Fixture fixture;
-  fixture.answer.kind = GENERATE(Kind::kSilence, Kind::kUnreachable, Kind::kReset);
+  fixture.answer.kind = GENERATE(Kind::kNoResponse, Kind::kUnreachable, Kind::kReset);
   fixture.Count(0, 2);
   fixture.first.Lead(4);
   fixture.scheduler.RunFor(seconds(15));
@@ -186,7 +186,7 @@
 
 TEST_CASE("A new leader waits for the lease of the old one, and sends the same sum") {
   Fixture fixture;
-  fixture.answer.kind = Kind::kSilence;
+  fixture.answer.kind = Kind::kNoResponse;
   fixture.Count(0, 2);
   fixture.first.Lead(4);
   fixture.scheduler.RunFor(milliseconds(8800));
--- a/test/ingress/fake_backends.h
+++ b/test/ingress/fake_backends.h
@@ -1,5 +1,5 @@
-/// Back ends in virtual time for the tests of ingress/ and jobs/: each address answers by a script,
-/// and each call that reaches one is noted.
+/// Fake back ends in virtual time for the tests of ingress/ and jobs/: each address responds by a
+/// script, and all calls are recorded.
 #pragma once
 
 #include <deque>
@@ -14,13 +14,13 @@
 
 namespace millstair {
 
-/// What a back end does with one call.
+/// A scripted response to one call.
 struct FakeAnswer {
-  enum class Kind { kAnswer, kSilence, kUnreachable, kReset, kCutBody };
+  enum class Kind { kAnswer, kNoResponse, kUnreachable, kReset, kTruncatedBody };
   Kind kind = Kind::kAnswer;
   int status = 200;
   HttpHeaders headers;
-  /// Pieces of the body, one every `gap`.
+  /// Pieces of the body, sent `gap` apart.
   std::vector<std::string> pieces = {"ok"};
   Duration delay = std::chrono::milliseconds(5);
   Duration gap = std::chrono::milliseconds(5);
@@ -60,8 +60,7 @@
     return count;
   }
 
-  /// Requests that back ends were sent: questions for their health are none, and carry no
-  /// identifier.
+  /// Number of calls other than health checks, which carry no identifier.
   size_t SentRequests() const {
     size_t count = 0;
     for (const auto& call : calls) count += FindHeader(call->request.headers, "id") ? 1 : 0;
@@ -102,7 +101,7 @@
 
   void Play(const FakeAnswer& answer, const Live& live) {
     using Kind = FakeAnswer::Kind;
-    if (answer.kind == Kind::kSilence) return;
+    if (answer.kind == Kind::kNoResponse) return;
     if (answer.kind == Kind::kUnreachable) return Fail(answer.delay, live, CallFailure::kNotSent);
     if (answer.kind == Kind::kReset) return Fail(answer.delay, live, CallFailure::kUnknown);
     At(answer.delay, live,
@@ -114,7 +113,7 @@
       At(at, live, [piece](HttpCallObserver& observer) { observer.OnBody(piece); });
       at += answer.gap;
     }
-    if (answer.kind == Kind::kCutBody) return Fail(at, live, CallFailure::kCut);
+    if (answer.kind == Kind::kTruncatedBody) return Fail(at, live, CallFailure::kCut);
     At(at, live, [live](HttpCallObserver& observer) {
       *live = nullptr;
       observer.OnFinished();
@@ -125,8 +124,8 @@
   std::map<std::string, Script> scripts_;
 };
 
-/// A protocol as plain as can be: "id", "instance", "resume" headers; "refused", "stranger",
-/// "signature" and "version" in answers; events are "id|version|data".
+/// A minimal protocol: "id", "instance" and "resume" request headers; "refused", "stranger",
+/// "signature" and "version" response headers; events are "id|version|data".
 class FakeProtocol : public BackendProtocol {
  public:
   HttpRequest MakeRequest(const BackendRequest& request) const override {
@@ -157,7 +156,7 @@
     const size_t first = text.find('|');
     const size_t second = text.find('|', first + 1);
     if (first == std::string::npos || second == std::string::npos) {
-      return absl::InvalidArgumentError("no event");
+      return absl::InvalidArgumentError("malformed event");
     }
     StreamEvent event;
     event.id = std::stoull(text.substr(0, first));
@@ -182,14 +181,14 @@
   }
 
   absl::StatusOr<ReportedEngine> ReadReport(const std::string& body) const override {
-    // "busy orders model version"
+    // Format: busy orders model version
     ReportedEngine report;
     char model[32];
     unsigned busy = 0;
     unsigned long long orders = 0;
     unsigned long long version = 0;
     if (std::sscanf(body.c_str(), "%u %llu %31s %llu", &busy, &orders, model, &version) != 4) {
-      return absl::InvalidArgumentError("no report");
+      return absl::InvalidArgumentError("malformed report");
     }
     report.busy = busy != 0;
     report.orders = orders;
@@ -214,7 +213,7 @@
   }
 };
 
-/// A live instance named like its address.
+/// A live instance whose identifier is its address.
 inline BackendInstance LiveInstance(const std::string& address, const std::string& service) {
   BackendInstance instance;
   instance.id = InstanceId(address);
--- a/test/ingress/fake_register.h
+++ b/test/ingress/fake_register.h
@@ -1,4 +1,4 @@
-/// The cluster's record of suspect requests, for tests.
+/// Fake of the cluster's record of suspect requests.
 #pragma once
 
 #include <optional>
@@ -8,7 +8,7 @@
 
 namespace millstair {
 
-/// A record of one cluster, whose answers the test gives.
+/// Records all calls and responds as the test sets.
 class FakeRegister : public SuspectRegister {
  public:
   void Report(std::vector<CrashReport> reports, Reported done) override {
@@ -29,7 +29,7 @@
   std::vector<size_t> cleared;
   std::optional<Revision> trial_of;
   bool commits = true;
-  /// With which reports count; nodes learn of it later.
+  /// Revision at which reports are committed.
   Revision commits_at{100};
   bool grants = true;
   bool grants_once = false;
--- a/test/ingress/fixed_table.h
+++ b/test/ingress/fixed_table.h
@@ -1,4 +1,4 @@
-/// Routes that stand whatever the document says.
+/// Returns fixed routes for any document.
 #pragma once
 
 #include <string>
--- a/test/jobs/crashing_item_test.cc
+++ b/test/jobs/crashing_item_test.cc
@@ -164,7 +164,7 @@
     answer.pieces.clear();
     for (int i = first; i <= last; ++i) answer.pieces.push_back(fmt::format("{}||t{}\n\n", i, i));
     if (last < kWholeEvents) {
-      answer.kind = Kind::kCutBody;
+      answer.kind = Kind::kTruncatedBody;
       ended_under_crashing += crashing ? 1 : 0;
       End(address, answer.delay + answer.gap * static_cast<int>(answer.pieces.size()));
     }
--- a/test/jobs/item_run_test.cc
+++ b/test/jobs/item_run_test.cc
@@ -58,7 +58,7 @@
 
 TEST_CASE("A run that breaks goes on after its last whole event") {
   Fixture fixture;
-  fixture.Run(Stream({"1||one\n\n2||tw"}, Kind::kCutBody));
+  fixture.Run(Stream({"1||one\n\n2||tw"}, Kind::kTruncatedBody));
   CHECK(fixture.end == ItemRunEnd::kBroken);
   CHECK(fixture.progress.text == "one");
   fixture.end.reset();
--- a/test/jobs/job_scheduler_test.cc
+++ b/test/jobs/job_scheduler_test.cc
@@ -171,7 +171,7 @@
   Fixture fixture;
   fixture.Add("e:1", "engines", [](const HttpRequest&) {
     FakeAnswer answer = Text({"1||one\n\n"});
-    answer.kind = Kind::kCutBody;
+    answer.kind = Kind::kTruncatedBody;
     return answer;
   });
   fixture.Lead();
@@ -189,7 +189,7 @@
 
 TEST_CASE("A silent engine is left soon where engines are known to be fast") {
   Fixture fixture;
-  fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kSilence}; });
+  fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kNoResponse}; });
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
   fixture.Add("e:2", "engines", [](const HttpRequest&) { return Text({"1||one\n\n"}); });
@@ -222,7 +222,7 @@
 
 TEST_CASE("An item is given up when its lifetime is over, not before") {
   Fixture fixture;
-  fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kSilence}; });
+  fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kNoResponse}; });
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
   fixture.scheduler.RunFor(seconds(29));
@@ -281,7 +281,7 @@
 
 TEST_CASE("Scorers that are full hold up no texts of other scorers") {
   Fixture fixture;
-  fixture.score.kind = Kind::kSilence;
+  fixture.score.kind = Kind::kNoResponse;
   Route other = fixture.reader.table.routes[1];
   other.name = "other";
   other.path_prefix = "/other/";
@@ -306,7 +306,7 @@
 
 TEST_CASE("The end of a job leaves no scorer's place taken") {
   Fixture fixture;
-  fixture.score.kind = Kind::kSilence;
+  fixture.score.kind = Kind::kNoResponse;
   fixture.Lead();
   for (const char* id : {"a", "b", "c"}) {
     JobSpec job = fixture.Job(id);
@@ -434,7 +434,7 @@
   Fixture fixture;
   fixture.Add("e:1", "engines", [](const HttpRequest& request) {
     CHECK(request.body == "prompt");
-    return FakeAnswer{Kind::kSilence};
+    return FakeAnswer{Kind::kNoResponse};
   });
   fixture.Submit(fixture.Job("j"));
   fixture.Lead();
@@ -717,7 +717,7 @@
       return FakeAnswer{Kind::kAnswer, 200, {{"version", "2"}}, {"1||new\n\n"}};
     }
     FakeAnswer answer = Text({"1||one\n\n"});
-    answer.kind = Kind::kCutBody;
+    answer.kind = Kind::kTruncatedBody;
     return answer;
   });
   fixture.Lead();
@@ -745,7 +745,7 @@
   fixture.Add("e:1", "engines", [](const HttpRequest&) {
     FakeAnswer answer = Text({"1||one\n\n"});
     answer.headers = {{"version", "2"}};
-    answer.kind = Kind::kCutBody;
+    answer.kind = Kind::kTruncatedBody;
     return answer;
   });
   fixture.Lead();
@@ -774,7 +774,7 @@
 
 TEST_CASE("All runs end with the leadership") {
   Fixture fixture;
-  fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kSilence}; });
+  fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kNoResponse}; });
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
   fixture.scheduler.RunFor(milliseconds(100));
--- a/test/jobs/load_scheduler_test.cc
+++ b/test/jobs/load_scheduler_test.cc
@@ -104,7 +104,7 @@
     engine.ordered_at.push_back(now);
     engine.models.emplace(*FindHeader(request.headers, "model"));
     engine.fences.emplace_back(*FindHeader(request.headers, "fence"));
-    if (engine.deaf) return {Kind::kSilence};
+    if (engine.deaf) return {Kind::kNoResponse};
     const auto expected = std::stoull(std::string(*FindHeader(request.headers, "expected")));
     if (busy || expected != engine.orders) return {Kind::kAnswer, 409, {}, {""}};
     ++engine.orders;
--- a/test/platform/edge_calls_test.cc
+++ b/test/platform/edge_calls_test.cc
@@ -26,7 +26,7 @@
   fixture.Start();
   fixture.backends.Serve("b:1", [](const HttpRequest&) {
     FakeAnswer silent;
-    silent.kind = FakeAnswer::Kind::kSilence;
+    silent.kind = FakeAnswer::Kind::kNoResponse;
     return silent;
   });
   CHECK(fixture.Page("key-1") == 0);
--- a/test/platform/standstill_test.cc
+++ b/test/platform/standstill_test.cc
@@ -85,7 +85,7 @@
 
 FakeAnswer Silence() {
   FakeAnswer none;
-  none.kind = FakeAnswer::Kind::kSilence;
+  none.kind = FakeAnswer::Kind::kNoResponse;
   return none;
 }
 
