--- a/source/ingress/forward_flow.cc
+++ b/source/ingress/forward_flow.cc
@@ -9,17 +9,16 @@
 namespace millstair {
 namespace {
 
-/// Answers larger than this are not taken from back ends.
+/// Larger responses are treated as failures.
 constexpr size_t kMaxAnswerBytes = 32 * 1024 * 1024;
 constexpr Duration kDefaultTimeout = std::chrono::seconds(30);
-/// Pause before back ends that refused or failed are asked again.
+/// Pause before back ends that refused or failed are tried again.
 constexpr Duration kRetryPauseMin = std::chrono::milliseconds(10);
 constexpr Duration kRetryPauseMax = std::chrono::milliseconds(40);
-/// A request that nobody takes is given up after this part of its time, so that the client can
-/// still be served elsewhere.
+/// A request that no back end accepts is given up after this share of its time limit, so that the
+/// client has time to retry elsewhere.
 constexpr double kGiveUpShare = 0.5;
 constexpr Duration kRetryAfter = std::chrono::milliseconds(50);
-/// The earliest further try of a request that may run more than once.
 constexpr Duration kMinHedgeDelay = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -42,7 +41,7 @@
   return "timed-out";
 }
 
-/// One try at one back end.
+/// One attempt at one back end.
 class ForwardFlow::Attempt : public HttpCallObserver {
  public:
   Attempt(ForwardFlow& flow, BackendInstance target)
@@ -58,14 +57,15 @@
     if (ended_) return;
     head_ = head;
     answer_ = flow_.context_.protocol.ReadAnswer(head, flow_.request_.request_id);
-    if (!answer_.own) return flow_.OnFailed(*this, false, "the answer belongs to another request");
+    if (!answer_.own)
+      return flow_.OnFailed(*this, false, "the response belongs to another request");
     if (answer_.not_run) flow_.OnRefused(*this, answer_.wrong_instance);
   }
 
   void OnBody(std::string bytes) override {
     if (ended_) return;
     body_ += bytes;
-    if (body_.size() > kMaxAnswerBytes) flow_.OnFailed(*this, false, "the answer is too long");
+    if (body_.size() > kMaxAnswerBytes) flow_.OnFailed(*this, false, "the response exceeds 32 MiB");
   }
 
   void OnFinished() override {
@@ -76,7 +76,7 @@
     if (!ended_) flow_.OnFailed(*this, failure == CallFailure::kNotSent, reason);
   }
 
-  /// Cancels the call and counts it as ended.
+  /// Cancels the call and records how it ended.
   void End(BackendEnd end) {
     if (ended_) return;
     ended_ = true;
@@ -120,8 +120,8 @@
 ForwardFlow::~ForwardFlow() { CancelAttempts(); }
 
 void ForwardFlow::CancelAttempts() {
-  // Those still under way have begun, unless the back end holds them in its queue; an earlier try
-  // that was answered goes before.
+  // Attempts in progress count as started, unless a back end still queues them. If an earlier
+  // attempt was answered, it has been metered already.
   if (!attempts_.empty()) meter_.RecordStart(attempts_.front()->sent_at());
   for (const auto& attempt : attempts_) attempt->End(BackendEnd::kCancelled);
 }
@@ -179,11 +179,12 @@
 }
 
 void ForwardFlow::SendOrWait() {
-  // A try beside the one that was lost may have waited for the same proof, and be on its way now.
+  // A concurrent attempt may have been sent while this one waited for the configuration to be
+  // confirmed.
   if (!attempts_.empty()) return;
   SendAttempt();
   if (!attempts_.empty()) return ArmHedge();
-  // Nobody is there: those tried before may be again.
+  // All known back ends were tried; allow each of them again.
   tried_.clear();
   const Duration used = context_.environment.Now() - started_at_;
   const Duration all = deadline_ - started_at_;
@@ -191,11 +192,11 @@
     ForwardResult result;
     result.outcome = may_have_run_ > 0 ? ForwardOutcome::kFailed : ForwardOutcome::kNotRun;
     result.retry_after = kRetryAfter;
-    result.reason = last_reason_.empty() ? "no back end is known" : last_reason_;
+    result.reason = last_reason_.empty() ? "no back end is available" : last_reason_;
     return Finish(std::move(result));
   }
-  // The guard is asked again: a request that waits for a server to come back is the first to reach
-  // it, and what became of the same request elsewhere is known by then.
+  // The guard is consulted again: by then it may know the outcome of the same request at other
+  // nodes, and a request that waits for a server to restart would be the first to reach it.
   retry_timer_.Arm(DrawDuration(context_.environment.Random(), kRetryPauseMin, kRetryPauseMax),
                    [this] { SendIfAllowed(); });
 }
@@ -206,7 +207,7 @@
   tried_.insert(target->id);
   last_instance_ = target->id;
   ++sent_;
-  // Counted before the send: a try is taken back only on the back end's own word.
+  // Counted before the send, and uncounted only if the back end reports that it did not run it.
   ++may_have_run_;
   confirmation_age_at_send_ = std::max(confirmation_age_at_send_, context_.confirmation_age());
   watch_.OnSent();
@@ -223,7 +224,7 @@
 }
 
 void ForwardFlow::Hedge() {
-  // It could end two back ends at once.
+  // A hedge of a suspect request could crash two back ends at once.
   if (watch_.IsSuspect()) return;
   if (may_have_run_ < route_.attempts) SendAttempt();
   if (may_have_run_ < route_.attempts) ArmHedge();
@@ -232,14 +233,14 @@
 void ForwardFlow::OnAnswer(Attempt& attempt, const HttpResponseHead& head, std::string body) {
   const std::string signature = attempt.signature();
   meter_.RecordStart(attempt.sent_at());
-  // A server's own failure of a request that may run again is worth another try elsewhere.
+  // A repeatable request that fails with a server error is retried at another back end.
   constexpr int kServerError = 500;
   const bool failed = head.status == kServerError;
   if (failed) ++server_errors_;
   EndAttempt(attempt, BackendEnd::kAnswered);
   watch_.OnServed();
   if (failed && repeatable() && may_have_run_ < route_.attempts) {
-    last_reason_ = "the back end answered 500";
+    last_reason_ = "the back end responded with status 500";
     if (attempts_.empty()) SendIfAllowed();
     return;
   }
@@ -254,7 +255,8 @@
 
 void ForwardFlow::OnRefused(Attempt& attempt, bool wrong_instance) {
   --may_have_run_;
-  last_reason_ = wrong_instance ? "another back end has the address" : "the back end refused";
+  last_reason_ =
+      wrong_instance ? "another back end uses the address" : "the back end refused the request";
   EndAttempt(attempt, wrong_instance ? BackendEnd::kWrongInstance : BackendEnd::kRefused);
   if (attempts_.empty()) SendIfAllowed();
 }
@@ -264,7 +266,7 @@
     --may_have_run_;
     watch_.OnUnreachable();
   }
-  // What was sent and not refused has most likely begun.
+  // A request that was sent and not refused has most likely started to run.
   if (!unreachable) {
     meter_.RecordStart(attempt.sent_at());
     LogLostAttempt(context_, request_, watch_.fingerprint(), attempt.instance(), attempt.sent_at(),
--- a/source/ingress/forward_flow.h
+++ b/source/ingress/forward_flow.h
@@ -1,6 +1,6 @@
-/// One request of a client on its way through the system: choice of a back end, further attempts,
-/// time limits, and the one final answer. The whole answer of a back end is read before it is
-/// passed on, so that a broken one can be replaced by another try.
+/// Forwards one client request: selects a back end, retries and hedges within the time limit, and
+/// produces exactly one result. A back end's response is buffered completely before it is passed
+/// on, so that an incomplete one can be replaced by a retry.
 #pragma once
 
 #include <functional>
@@ -24,12 +24,12 @@
 namespace millstair {
 
 enum class ForwardOutcome : uint8_t {
-  kAnswered,       ///< `head` and `body` are a back end's whole answer
-  kNoRoute,        ///< no route leads anywhere
-  kNotConfigured,  ///< this node does not know the routes yet; not run
-  kNotRun,         ///< no back end took the request, and none will
-  kFailed,         ///< a back end may have run it; no whole answer came
-  kTimedOut,       ///< a back end may have run it; the time is over
+  kAnswered,       ///< `head` and `body` hold a back end's complete response
+  kNoRoute,        ///< no route matches the request
+  kNotConfigured,  ///< this node has not loaded the routes yet; the request did not run
+  kNotRun,         ///< no back end accepted the request; it did not run and will not
+  kFailed,         ///< a back end may have run it, but no complete response arrived
+  kTimedOut,       ///< a back end may have run it, but the deadline passed
 };
 
 /// "answered", "not-run" and so on, for logs and metrics.
@@ -40,54 +40,52 @@
   HttpResponseHead head;
   std::string body;
   std::string signature;
-  /// When the client may come back, if the request did not run.
+  /// When the client may retry, if the request did not run.
   Duration retry_after{0};
-  /// The back end that answered, or was tried last; empty if none was.
+  /// The back end that responded, or the last one tried; empty if there was none.
   InstanceId instance;
-  /// Version and digest of the routes by which the request began; 0 if none were known.
+  /// Version and digest of the routes in use when the request started; 0 if none were loaded.
   uint64_t routing_version = 0;
   uint64_t routing_digest = 0;
-  /// Greatest age of the configuration's proof as the request was sent to a back end; none if it
-  /// was not sent, or never proven.
+  /// Greatest age of the configuration's last confirmation at any send; none if the request was not
+  /// sent or the configuration was never confirmed.
   std::optional<Duration> confirmation_age_at_send;
-  /// For the log.
   std::string reason;
   uint32_t attempts = 0;
-  /// Answers of 500 among the attempts.
+  /// Number of attempts answered with status 500.
   uint32_t server_errors = 0;
 };
 
-/// Hears that a request of a tenant began to run at a back end, at the given time.
+/// Called when a request of a tenant starts to run at a back end, with the time of the start.
 using RequestStartListener = std::function<void(const TenantName& tenant, TimePoint at)>;
 
-/// Runs `work`, at once or later, when the configuration held may be gone by.
+/// Runs `work` as soon as the local configuration is current, which may be at once.
 using WhenCurrent = std::function<void(std::function<void()> work)>;
 
-/// What flows share; outlives them.
+/// Dependencies shared by all flows; outlives them.
 struct ForwardContext {
   Environment& environment;
   HttpCaller& http;
   BackendDirectory& directory;
   const BackendProtocol& protocol;
   RequestGuard& guard;
-  /// May be empty.
   RequestStartListener on_request_started = {};
-  /// Asked before each choice of a back end: a flow may have waited while its node stood still, and
-  /// the back ends that it knows may have left.
+  /// Called before each choice of a back end: the node may have been paused while the flow waited,
+  /// so that its list of back ends may be out of date.
   WhenCurrent when_current = [](const std::function<void()>& work) { work(); };
-  /// How long ago the configuration held was last known to be the newest; none if it never was.
+  /// Time since the local configuration was last confirmed as the newest; none if it never was.
   std::function<std::optional<Duration>()> confirmation_age = [] {
     return std::optional<Duration>();
   };
 };
 
-/// Meters one request: it counts once, wherever and however often it ran.
+/// Meters a request at most once, however often it runs.
 class RequestMeter {
  public:
-  /// `listener` outlives the meter. Requests of nobody are not metered.
+  /// `listener` outlives the meter. Requests without a tenant are not metered.
   RequestMeter(const RequestStartListener& listener, const TenantName& tenant)
       : listener_(listener), tenant_(tenant) {}
-  /// A back end began to run the request at `at`, or is taken to have done so.
+  /// A back end started to run the request at `at`, or must be assumed to have.
   void RecordStart(TimePoint at) {
     if (noted_ || tenant_ == TenantName() || !listener_) return;
     noted_ = true;
@@ -100,20 +98,20 @@
   bool noted_ = false;
 };
 
-/// Says that `instance` got the request at `sent_at` and gave no whole answer.
+/// Logs that `instance` received the request at `sent_at` and sent no complete response.
 void LogLostAttempt(const ForwardContext& context, const ForwardRequest& request,
                     const RequestFingerprint& fingerprint, const InstanceId& instance,
                     TimePoint sent_at, const std::string& reason);
 
-/// The service that one request of `route` goes to, by the weights.
+/// Selects one of the services of `route` at random by weight.
 ServiceName DrawService(const Route& route, Environment& environment);
 
-/// Lives on the node's serial executor. Dropping it cancels what is under way.
+/// Lives on the node's serial executor. Destroying it cancels attempts in progress.
 class ForwardFlow {
  public:
   using Callback = std::function<void(ForwardResult)>;
 
-  /// `done` is called once, never by the constructor, and may destroy the flow.
+  /// `done` is called once, never from the constructor, and may destroy the flow.
   ForwardFlow(ForwardContext& context, Route route, ForwardRequest request, Callback done);
   ~ForwardFlow();
   void Start();
@@ -122,11 +120,11 @@
   class Attempt;
 
   bool repeatable() const { return route_.kind == RouteKind::kRepeatable; }
-  /// Asks the guard, then sends or waits.
+  /// Consults the request guard, then sends the request, waits or fails it.
   void SendIfAllowed();
-  /// Back ends ended under the request: it is not sent (any more).
+  /// Ends a request that the guard doesn't allow to be sent.
   void Withhold(Duration retry_after);
-  /// Runs `work` when the configuration may be gone by, unless the flow has ended by then.
+  /// Runs `work` once the configuration is current, unless the flow has ended by then.
   void WhenCurrentAndOpen(std::function<void()> work);
   void SendAttempt();
   void SendOrWait();
@@ -149,12 +147,12 @@
   TimePoint started_at_;
   TimePoint deadline_;
   std::vector<std::unique_ptr<Attempt>> attempts_;
-  /// Tries that ended; kept until the flow goes, since their callbacks may be running.
+  /// Attempts that ended; destroyed with the flow, since their callbacks may still be on the stack.
   std::vector<std::unique_ptr<Attempt>> ended_attempts_;
   std::set<InstanceId> tried_;
   RequestMeter meter_;
   RequestWatch watch_;
-  /// Back ends that may have run the request.
+  /// Number of back ends that may have run the request.
   uint32_t may_have_run_ = 0;
   uint32_t sent_ = 0;
   uint32_t server_errors_ = 0;
--- a/source/ingress/forward_request.h
+++ b/source/ingress/forward_request.h
@@ -1,4 +1,4 @@
-/// A request of a client as flows carry it.
+/// A client request as the flows carry it.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +16,11 @@
   HttpRequest http;
   std::string host;
   std::string request_id;
-  /// How long the client waits; none if it did not say.
+  /// How long the client waits; none if it did not state a limit.
   std::optional<Duration> time_left;
-  /// The client has the events of a stream up to this one.
+  /// The client has received the events of the stream up to and including this one.
   std::optional<uint64_t> resume_after;
-  /// For whom it runs; empty for requests of the system's own, and where nobody is known.
+  /// Empty for internal requests and where the caller is unknown.
   TenantName tenant;
 };
 
