--- a/source/ingress/event_stream.h
+++ b/source/ingress/event_stream.h
@@ -1,4 +1,4 @@
-/// Cuts the bytes of an event stream into events.
+/// Splits the bytes of an event stream into events.
 #pragma once
 
 #include <string>
@@ -9,10 +9,10 @@
 
 class EventStreamSplitter {
  public:
-  /// Takes the next bytes; returns the lines of each event that is whole now, without the empty
-  /// line that ends it. Line ends are "\n".
+  /// Appends the next bytes; returns the lines of each event that is now complete, without the
+  /// empty line that ends it. Lines end with a line feed.
   std::vector<std::string> Append(std::string_view bytes);
-  /// Bytes of an event that is not whole yet.
+  /// Whether the last event is incomplete.
   bool HasPartialEvent() const { return !pending_.empty(); }
 
  private:
--- a/source/ingress/stream_flow.cc
+++ b/source/ingress/stream_flow.cc
@@ -13,7 +13,7 @@
 constexpr Duration kDefaultTimeout = std::chrono::minutes(10);
 constexpr Duration kRetryPauseMin = std::chrono::milliseconds(10);
 constexpr Duration kRetryPauseMax = std::chrono::milliseconds(40);
-/// A stream that no back end takes is given up after this part of its time.
+/// A stream that no back end accepts is given up after this share of its time limit.
 constexpr double kGiveUpShare = 0.5;
 constexpr Duration kRetryAfter = std::chrono::milliseconds(50);
 
@@ -113,11 +113,11 @@
   const TimePoint now = context_.environment.Now();
   auto target = context_.directory.Pick(DrawService(route_, context_.environment), tried_);
   if (!target) {
-    // Nobody is there: those tried before may be again.
+    // All known back ends were tried; allow each of them again.
     tried_.clear();
     const double used = ToSeconds(now - started_at_);
     if (!begun_ && used >= kGiveUpShare * ToSeconds(deadline_ - started_at_)) {
-      return Finish(ForwardOutcome::kFailed, "no back end takes it");
+      return Finish(ForwardOutcome::kFailed, "no back end is available");
     }
     retry_timer_.Arm(DrawDuration(context_.environment.Random(), kRetryPauseMin, kRetryPauseMax),
                      [this] { SendIfAllowed(); });
@@ -138,7 +138,8 @@
 
 void StreamFlow::OnHead(Run& run, const HttpResponseHead& head) {
   const BackendAnswer answer = context_.protocol.ReadAnswer(head, request_.request_id);
-  if (!answer.own) return OnFailed(run, BackendEnd::kFailed, "it answers another request");
+  if (!answer.own)
+    return OnFailed(run, BackendEnd::kFailed, "the response belongs to another request");
   if (answer.not_run) {
     --may_have_run_;
     EndRun(answer.wrong_instance ? BackendEnd::kWrongInstance : BackendEnd::kRefused);
@@ -159,7 +160,8 @@
   if (plain_) {
     plain_body_ += bytes;
   } else if (!ForwardEvents(bytes)) {
-    OnFailed(run, BackendEnd::kFailed, "its events do not follow one another");
+    OnFailed(run, BackendEnd::kFailed,
+             "the stream holds an event that is malformed or out of order");
   }
 }
 
@@ -171,7 +173,7 @@
     valid = event.ok();
     if (!valid) break;
     if (event->has_value()) {
-      // Ids rise; a run that goes on has to begin after what was passed on.
+      // Event ids increase; a resumed run has to start after the last event passed on.
       valid = (*event)->id > events_;
       if (!valid) break;
       events_ = (*event)->id;
@@ -180,9 +182,9 @@
     complete += "\n\n";
   }
   if (!complete.empty()) {
-    // It got further than where the last back end ended.
+    // The run got further than the one that was lost.
     if (std::exchange(after_loss_, false)) watch_.OnServed();
-    // A generation begins with its first token.
+    // A generation counts as started with its first token.
     meter_.RecordStart(context_.environment.Now());
     sink_.OnEvents(std::move(complete));
   }
@@ -191,7 +193,7 @@
 
 void StreamFlow::OnFinished(Run& run) {
   if (!plain_ && splitter_.HasPartialEvent()) {
-    return OnFailed(run, BackendEnd::kFailed, "it ended inside an event");
+    return OnFailed(run, BackendEnd::kFailed, "the stream ended inside an event");
   }
   EndRun(BackendEnd::kAnswered);
   watch_.OnServed();
--- a/source/ingress/stream_flow.h
+++ b/source/ingress/stream_flow.h
@@ -1,6 +1,6 @@
-/// One stream of a client on its way through the system. Whole events are passed on as they come. A
-/// stream that breaks goes on at another back end after its last event, where its route allows
-/// that; the answer keeps the head of its first back end.
+/// Forwards one streaming client request. Complete events are passed on as they arrive. Where the
+/// route allows it, an interrupted stream is resumed at another back end after its last event; the
+/// response keeps the head of the first back end.
 #pragma once
 
 #include <functional>
@@ -20,31 +20,29 @@
 
 namespace millstair {
 
-/// Takes a stream; all calls happen on the node's serial executor.
+/// Receives a stream; all calls happen on the node's serial executor.
 class StreamSink {
  public:
   virtual ~StreamSink() = default;
-  /// The answer begins.
   virtual void OnHead(const HttpResponseHead& head) = 0;
-  /// Whole events.
+  /// `bytes` holds one or more complete events.
   virtual void OnEvents(std::string bytes) = 0;
 };
 
-/// How a stream ended.
 struct StreamEnd {
   ForwardResult forward;
-  /// The head was passed on; `forward` then says how the rest ended.
+  /// The head was passed on; `forward` states how the rest ended.
   bool begun = false;
   uint64_t events = 0;
 };
 
-/// Lives on the node's serial executor. Dropping it cancels what is under way.
+/// Lives on the node's serial executor. Destroying it cancels the run in progress.
 class StreamFlow {
  public:
   using Callback = std::function<void(StreamEnd)>;
 
-  /// `sink` outlives the flow. `done` is called once, never by the constructor, and may destroy the
-  /// flow only after it has returned.
+  /// `sink` outlives the flow. `done` is called once, never from the constructor, and may destroy
+  /// the flow only after it has returned.
   StreamFlow(ForwardContext& context, Route route, ForwardRequest request, StreamSink& sink,
              Callback done);
   ~StreamFlow();
@@ -53,12 +51,12 @@
  private:
   class Run;
 
-  /// Asks the guard, then sends or waits.
+  /// Consults the request guard, then sends the request, waits or fails it.
   void SendIfAllowed();
-  /// Back ends ended under the request: it is not sent (any more).
+  /// Ends a request that the guard doesn't allow to be sent.
   void Withhold(Duration retry_after);
   void SendRun();
-  /// SendRun, once the configuration may be gone by.
+  /// Calls SendRun once the configuration is current.
   void SendRunWhenCurrent();
   void OnHead(Run& run, const HttpResponseHead& head);
   void OnBody(Run& run, std::string bytes);
@@ -67,7 +65,7 @@
   void EndRun(BackendEnd end);
   void ResumeOrFail(const std::string& reason);
   void Finish(ForwardOutcome outcome, const std::string& reason);
-  /// Passes on what is whole; false if the events do not follow one another.
+  /// Passes on the complete events; false if an event is malformed or out of order.
   bool ForwardEvents(const std::string& bytes);
 
   ForwardContext& context_;
@@ -85,17 +83,17 @@
   std::string plain_body_;
   InstanceId last_instance_;
   bool begun_ = false;
-  /// The answer is no stream: it is passed on as a whole.
+  /// The response is not an event stream: it is buffered and passed on at the end.
   bool plain_ = false;
   uint64_t events_ = 0;
   RequestMeter meter_;
   RequestWatch watch_;
-  /// The run under way follows one that was lost.
+  /// The current run follows one that was lost.
   bool after_loss_ = false;
   uint32_t may_have_run_ = 0;
   uint32_t sent_ = 0;
   std::optional<Duration> confirmation_age_at_send_;
-  /// When the client may come back, if nothing ran.
+  /// When the client may retry, if nothing ran.
   Duration retry_after_;
   ScopedTimer deadline_timer_;
   ScopedTimer retry_timer_;
