--- a/source/ingress/backend_directory.cc
+++ b/source/ingress/backend_directory.cc
@@ -12,19 +12,19 @@
 namespace millstair {
 namespace {
 
-/// Candidates looked at for one pick; more would make all nodes pick the same one.
+/// Candidates compared in one pick; with more, all nodes would pick the same one.
 constexpr size_t kCandidates = 4;
-/// Sound back ends looked at for one pick. With six places each they work on some 140 requests of
-/// one node at once; a service of fewer is looked at whole.
+/// Bounds the work of one pick in a large service. With six slots each, this many back ends run
+/// some 140 concurrent requests of one node.
 constexpr size_t kMaxHealthyCandidates = 24;
 constexpr double kSmoothing = 0.2;
-/// Assumed until an answer was seen.
+/// Assumed until the first response.
 constexpr double kDefaultAnswerSeconds = 0.05;
-/// What a back end of another zone costs beyond its time.
+/// Cost factor of a back end in another zone.
 constexpr double kOtherZoneFactor = 1.15;
 constexpr Duration kFullPause = std::chrono::milliseconds(30);
-/// Servers beat every second or two; a back end that may be slow again has said so by then, with
-/// one of two heartbeats and the way of its word to this node.
+/// Covers two heartbeats, sent every 1 to 2 s, and their propagation to this node, after which a
+/// cold back end is known to be cold.
 constexpr Duration kAssumedColdPeriod = std::chrono::seconds(4);
 constexpr uint32_t kNoColdBound = std::numeric_limits<uint32_t>::max();
 
@@ -84,7 +84,7 @@
 void BackendDirectory::SetColdPolicy(ColdPolicy policy) {
   if (policy == cold_) return;
   cold_ = std::move(policy);
-  // The buckets are of another rate. New ones begin full, so they are not made anew for nothing.
+  // The rate changed. New buckets start full, so they are replaced only if the policy changed.
   for (auto& [id, backend] : backends_) backend.cold_tokens.reset();
 }
 
--- a/source/ingress/backend_directory.h
+++ b/source/ingress/backend_directory.h
@@ -1,5 +1,5 @@
-/// The back ends that registered themselves, as one node sees them: which are there, what this node
-/// has sent to each, and how they fared. Picks one for a request.
+/// One node's view of the registered back ends: their state, the requests that this node has in
+/// progress at each, and their recent latency and failures. Selects a back end for a request.
 #pragma once
 
 #include <functional>
@@ -19,22 +19,21 @@
 
 namespace millstair {
 
-/// What bounds requests to back ends that are slow after their start.
+/// Limits on requests to cold back ends, which are slow after their start.
 struct ColdPolicy {
-  /// Requests a second by service; services without one set no bound.
+  /// Requests per second by service; services without an entry are not limited.
   std::map<ServiceName, double> service_rates;
   ColdBound bound;
   friend bool operator==(const ColdPolicy&, const ColdPolicy&) = default;
 };
 
-/// How a request at a back end ended.
 enum class BackendEnd : uint8_t {
   kAnswered,
   kRefused,        ///< it did not run the request
-  kFailed,         ///< no whole answer came
+  kFailed,         ///< no complete response arrived
   kUnreachable,    ///< nothing could be sent
-  kWrongInstance,  ///< another life has the address: this one is over
-  kCancelled,      ///< this node wanted no answer any more
+  kWrongInstance,  ///< another incarnation uses the address: this one has ended
+  kCancelled,      ///< this node no longer needs the response
 };
 
 /// Lives on the node's serial executor.
@@ -42,43 +41,41 @@
  public:
   BackendDirectory(Environment& environment, Zone own_zone);
 
-  /// Takes over a whole configuration.
+  /// Applies a complete configuration.
   void Update(const Configuration& configuration);
-  /// Takes over what changed, which led to `configuration`. The work grows with the changes, not
-  /// with the back ends that are known: 1.3 us for one change among 10,000, where walking all of
-  /// them took 9.5 ms (micro-benchmark OneServerChanges).
+  /// Applies `changes`, which led to `configuration`. The cost grows with the number of changes,
+  /// not with the number of back ends.
   void Apply(const Configuration& configuration, const ConfigurationDelta& changes);
 
-  /// Whether this node is the one of its kind that may send to a back end that is slow after its
-  /// start; every node unless told otherwise.
+  /// Whether this node is the one of its kind that may send to a cold back end; by default every
+  /// node is.
   using ColdAssignmentCheck = std::function<bool(const InstanceId&)>;
   void SetColdAssignmentCheck(ColdAssignmentCheck turn) {
     cold_assignment_check_ = std::move(turn);
   }
   void SetColdPolicy(ColdPolicy policy);
-  /// How many requests may be begun at `instance` now, since it is slow after its start; no bound
-  /// for any other.
+  /// How many requests this node may start at `instance` now if it is cold; unlimited if it is not.
   uint32_t ColdAllowance(const InstanceId& instance);
 
-  /// The back end of `service` that is expected to answer first; none if there is no other than
-  /// `excluded`. Those that failed lately are taken only if there is nothing else. Of many, the
-  /// first few sound ones in this node's own order are looked at, so that it keeps connections to
-  /// them: 14,806 were opened for 15,241 requests where each of 2,222 was as likely.
+  /// Selects the back end of `service` with the lowest expected latency; none if there is no other
+  /// than `excluded`. Ejected or recently full back ends are used only if there is no healthy one.
+  /// Of a large service only the first healthy ones in this node's own order are considered, so
+  /// that connections are reused.
   std::optional<BackendInstance> Pick(const ServiceName& service,
                                       const std::set<InstanceId>& excluded);
-  /// All that may get new work, in the order of their identifiers.
+  /// All back ends that accept new work, ordered by identifier.
   std::vector<const BackendInstance*> Live(const ServiceName& service) const;
-  /// Null if it may not get new work.
+  /// Null if the back end is unknown or accepts no new work.
   const BackendInstance* FindLive(const InstanceId& instance) const;
   bool Ejected(const InstanceId& instance) const;
 
   /// Requests are counted from Begin to End.
   void Begin(const InstanceId& instance);
   void End(const InstanceId& instance, BackendEnd end, Duration elapsed);
-  /// Another life of its server is known to have its address: it gets no work any more.
+  /// Another incarnation of the server was found at its address: it gets no more work.
   void OnSuperseded(const InstanceId& instance);
   uint32_t Running(const InstanceId& instance) const;
-  /// When the latest request was begun; the epoch if none was.
+  /// Start of the latest request; the epoch if there was none.
   TimePoint LatestBegin(const InstanceId& instance) const;
 
  private:
@@ -86,39 +83,37 @@
     BackendInstance record;
     uint32_t running = 0;
     TimePoint latest_begin;
-    /// Smoothed time of whole answers; 0 before the first.
+    /// Smoothed latency of complete responses; 0 before the first.
     double answer_seconds = 0;
     OutlierEjection ejection;
-    /// It refused for lack of room; passed over until then.
+    /// It refused a request for lack of capacity; avoided until then.
     TimePoint full_until;
-    /// Another life answered at its address.
+    /// Another incarnation responded at its address.
     bool superseded = false;
-    /// The cluster has forgotten it; it goes with the last of its requests.
+    /// Deleted from the configuration; erased once its last request has ended.
     bool forgotten = false;
-    /// Stands in `at_address_`.
+    /// In `at_address_`.
     bool attached = false;
-    /// Stands in `services_`, under this name.
+    /// The entry of `services_` that holds it.
     std::optional<ServiceName> candidate_for;
-    /// Slow after its start until then, as far as this node knows.
+    /// Assumed to be cold until then.
     TimePoint cold_until;
-    /// What this node may send while it is; none while it is not.
+    /// Limits this node's requests while the back end is cold; none while it is not.
     std::optional<TokenBucket> cold_tokens;
-    /// Place in this node's own order of the back ends of a service: those of its zone first.
+    /// Sort key of this node's own order of a service's back ends, those of its zone first.
     uint64_t preference = 0;
   };
-  /// The back ends of a service that may get work.
+  /// The back ends of a service that accept new work.
   struct ServiceBackends {
-    /// In the order of their identifiers.
     std::vector<Backend*> by_id;
-    /// In the order of their preference.
     std::vector<Backend*> by_preference;
   };
 
   bool MayGetWork(const Backend& backend) const;
   uint32_t ColdAllowance(Backend& backend);
   uint64_t PreferenceOf(const BackendInstance& record) const;
-  /// It has been out of reach or was kept without work: it may be slow again, and says so with its
-  /// next heartbeats.
+  /// Treats a back end that was unreachable or in an evacuated zone as possibly cold until its next
+  /// heartbeats tell.
   void AssumeCold(Backend& backend);
   void ApplyEvacuations(const std::map<Zone, EvacuatedZone>& evacuated);
   void RefreshZoneCandidates(const Zone& zone);
@@ -128,24 +123,25 @@
   void ApplyRecord(const BackendInstance& record);
   void Forget(const InstanceId& instance);
   void EraseIfIdle(const InstanceId& instance);
-  /// Takes a back end out of `at_address_`, and out of the choice.
+  /// Removes a back end from `at_address_` and from the candidates.
   void Detach(Backend& backend);
   void Attach(Backend& backend);
-  /// Lists the latest of those at an address, if it may get work, and none of the others.
+  /// Makes the newest back end at an address a candidate, if it accepts work, and removes the
+  /// others.
   void RefreshCandidates(const std::string& address);
   void AddCandidate(Backend& backend);
   void RemoveCandidate(Backend& backend);
 
   Environment& environment_;
   const Zone own_zone_;
-  /// Its entries don't move: the indices below point at them.
+  /// Node-based: the indices below point to its entries.
   std::map<InstanceId, Backend> backends_;
-  /// Those that are neither gone nor over, by address: a new life may come before the old one is
-  /// known to have ended.
+  /// Back ends that are neither gone nor superseded, by address. A new incarnation may register
+  /// before the old one is known to have ended.
   std::unordered_map<std::string, std::vector<Backend*>> at_address_;
-  /// Those that may get work, by service. Where two have one address, the later one.
+  /// The candidates by service. Of several back ends at one address, only the newest.
   std::map<ServiceName, ServiceBackends> services_;
-  /// Sets this node's order of preference apart from those of others.
+  /// Makes the order of preference differ between nodes.
   const uint64_t preference_seed_;
   std::set<Zone> evacuated_;
   ColdPolicy cold_;
