--- a/source/ingress/request_guard.cc
+++ b/source/ingress/request_guard.cc
@@ -8,13 +8,13 @@
 namespace millstair {
 namespace {
 
-/// Requests of which a node remembers what it saw itself (some 100 kB). Those with the fewest
-/// crashes go first.
+/// Maximum number of requests with local observations (some 100 kB); those with the fewest crashes
+/// are dropped first.
 constexpr size_t kMaxSeen = 256;
-/// Requests that are remembered as served in one span (some 30 kB); a busier node remembers those
-/// of a shorter one.
+/// Maximum number of requests in one window of served requests (some 30 kB); a new window starts
+/// early when it is full.
 constexpr size_t kMaxServed = 2048;
-/// Between two reports of what the cluster did not take.
+/// Pause before a report that was not committed is repeated.
 constexpr Duration kReportPause = std::chrono::seconds(1);
 
 }  // namespace
@@ -45,7 +45,7 @@
              request, record.place, record.crashed.size(), record.trials,
              SuspectStandingName(record.standing()));
     const auto seen = seen_.find(request);
-    // What the cluster holds it holds for this node too.
+    // Crashes in the cluster's record need no local copy.
     if (seen == seen_.end()) continue;
     for (const InstanceId& instance : record.crashed) seen->second.crashed.erase(instance);
     if (seen->second.crashed.empty() && seen->second.unverified.empty()) seen_.erase(seen);
@@ -122,7 +122,7 @@
   const Duration pause = pauses[decision.count.trials];
   decision.retry_after = std::max(since + pause - environment_.Now(), Duration(0));
   if (decision.retry_after > Duration(0)) return decision;
-  // The cluster grants trials of what it holds only.
+  // The cluster grants trials only of requests that its own record holds.
   const bool cluster_holds = known != nullptr && known->record.standing() == decision.standing;
   if (cluster_holds && register_ != nullptr) decision.verdict = GuardVerdict::kTrial;
   decision.retry_after = kClientTrialPauses.front();
@@ -170,7 +170,7 @@
   std::vector<RequestFingerprint> reports;
   for (const RequestFingerprint& request : checked.mapped().requests) {
     const auto found = seen_.find(request);
-    // It was answered meanwhile.
+    // The request was answered in the meantime.
     if (found == seen_.end() || found->second.unverified.erase(instance) == 0) continue;
     Seen& seen = found->second;
     if (verdict == LivenessVerdict::kEnded) {
@@ -221,7 +221,7 @@
     if (!at) found->second.reported.clear();
   }
   if (!at) return ReportSoon();
-  // A record that was cleared before it was pushed here is never seen as such.
+  // If the record was cleared before it reached this node, Update never sees it.
   DropCommitted();
 }
 
--- a/source/ingress/request_guard.h
+++ b/source/ingress/request_guard.h
@@ -1,13 +1,15 @@
-/// Keeps requests that crash the servers that run them from being sent on and on.
+/// Stops requests that crash back ends from being sent again and again.
 ///
-/// A request that loses its back end is counted against the back end's life only if that life has
-/// ended (LivenessCheck). Who else ran there at that moment is counted as well: what tells them
-/// apart is that they are answered at the next back end, which clears them, that what was served
-/// lately is not counted, and that a request is held only after a second crash without an answer
-/// between. The counts of all nodes meet in the cluster's record (SuspectLedger), which reaches
-/// each node with its configuration, also one that has just started; a node adds what it saw itself
-/// and the record does not hold yet. A held request is sent by one node at a time in the cluster
-/// (BeginTrial), long enough after its last crash that the servers it ended are back.
+/// A crash is counted against a request only if the back end's incarnation that lost it has ended
+/// (LivenessCheck). Requests that merely ran beside the cause are counted too. They are told apart
+/// as follows: a response from the next back end clears a request, a request that was served
+/// recently is not counted, and a request is held only after a second crash without a response in
+/// between.
+///
+/// The counts of all nodes are merged in the cluster's record (SuspectLedger), which reaches each
+/// node with its configuration. A node adds its own observations that the record doesn't hold yet.
+/// A held request is sent by one node of the cluster at a time (BeginTrial), long enough after its
+/// last crash for the back ends to have restarted.
 #pragma once
 
 #include <array>
@@ -29,43 +31,44 @@
 
 namespace millstair {
 
-/// How long a held request rests between its last crash, or the last trial, and the next trial: one
-/// pause for each trial that the cluster grants.
+/// Minimum time between the last crash or trial of a held request and its next trial, one entry for
+/// each trial.
 using TrialPauses = std::array<Duration, kMaxTrials>;
-/// Requests of clients. Longer than servers take to come back (3 s), so that a trial never takes a
-/// service's last server; then longer than an outage, since a server that ends under the second
-/// trial as well is the price of telling chance from cause.
+/// For client requests. The first exceeds the restart time of a server (3 s), so that a trial never
+/// takes down a service's last server. The second exceeds the length of a usual outage, so that
+/// unrelated crashes are not counted.
 inline constexpr TrialPauses kClientTrialPauses = {
     std::chrono::seconds(5), std::chrono::seconds(60), std::chrono::minutes(5)};
-/// Items of batch jobs: the text of one that met two crashes by chance is due in some seconds.
+/// For items of batch jobs, whose results are due within seconds.
 inline constexpr TrialPauses kItemTrialPauses = {Duration(0), std::chrono::seconds(5),
                                                  std::chrono::seconds(30)};
-/// What a node has seen served in this or the last span of this length crashes no server: losing it
-/// says nothing. Popular requests run at all servers all day and would meet each crash.
+/// Length of the windows in which served requests are remembered. Losing a request that was served
+/// in this or the last window is not counted against it: popular requests run on all servers and
+/// would meet every crash.
 inline constexpr Duration kServedSpan = std::chrono::seconds(5);
-/// When callers of a barred request may come back: nothing changes before an operator acts.
+/// Retry-After of a barred request, which stays barred until an operator acts or the record
+/// expires.
 inline constexpr Duration kBarredRetryAfter = std::chrono::seconds(60);
-/// A check of a life is under way; it takes some milliseconds.
+/// Poll interval while a liveness check is running.
 inline constexpr Duration kCheckPause = std::chrono::milliseconds(10);
 
 /// What a node may do with a request now.
 enum class GuardVerdict : uint8_t {
   kSend,
-  kWait,    ///< whether a life ended under it is being found out
-  kTrial,   ///< only after BeginTrial has granted it
-  kRefuse,  ///< not at all
+  kWait,    ///< a liveness check that may hold the request is running
+  kTrial,   ///< may be sent once BeginTrial has granted it
+  kRefuse,  ///< must not be sent
 };
 
 struct GuardDecision {
   GuardVerdict verdict = GuardVerdict::kSend;
-  /// For kRefuse: when it may be tried again.
+  /// For kRefuse: when to retry.
   Duration retry_after{0};
-  /// As far as this node knows.
+  /// According to this node and the cluster's record as received here.
   CrashCount count;
   SuspectStanding standing = SuspectStanding::kWatched;
 };
 
-/// A request as the guard knows it.
 struct GuardedRequest {
   RequestFingerprint fingerprint;
   std::string place;
@@ -74,63 +77,63 @@
 /// Lives on the node's serial executor.
 class RequestGuard {
  public:
-  /// Path at which back ends of a service answer whether they are well; empty if unknown.
+  /// Returns the health check path of a service; empty if unknown.
   using HealthPath = std::function<std::string(const ServiceName&)>;
 
   /// `stats` may be null.
   RequestGuard(Environment& environment, HttpCaller& http, const BackendProtocol& protocol,
                HealthPath health_path, StatsRegistry* stats);
 
-  /// Where crashes are reported; without one the node goes by what it sees itself. Outlives the
-  /// guard.
+  /// Where crashes are reported; outlives the guard. Without one the node relies on its own
+  /// observations.
   void SetRegister(SuspectRegister* suspect_register) { register_ = suspect_register; }
-  /// The cluster's record changed, or may have.
+  /// Applies the cluster's record, which may have changed.
   void Update(const SuspectRequests& suspects);
-  /// The configuration held is that of `revision`, its record of suspects included.
+  /// The local configuration, including its record of suspects, is at `revision`.
   void OnRevision(Revision revision);
 
-  /// Nothing is suspected.
+  /// No request is suspect.
   bool idle() const { return places_.empty(); }
-  /// Whether a request of `place` can be suspected at all; saves making its fingerprint.
+  /// Whether a request of `place` may be suspect; a cheap check before its fingerprint is computed.
   bool MayBeSuspect(const std::string& place) const;
   GuardDecision Judge(const RequestFingerprint& request,
                       const TrialPauses& pauses = kClientTrialPauses) const;
-  /// `done` hears whether this node may send the request once.
+  /// `done` is told whether this node may send the request once.
   void BeginTrial(const RequestFingerprint& request, std::function<void(bool granted)> done);
-  /// A trial was granted and no back end was reached: it has told nothing. It is kept for the next
-  /// try at this node, since the cluster counts trials as it grants them: three that ran nowhere
-  /// would bar a content for a day.
+  /// A trial was granted, but no back end was reached. It is kept for this node's next attempt,
+  /// since the cluster counts trials when it grants them: three that reached no back end would bar
+  /// the request.
   void ReturnTrial(const RequestFingerprint& request);
 
-  /// `instance` got the request and gave no whole answer.
+  /// `instance` received the request and sent no complete response.
   void OnLost(const GuardedRequest& request, const BackendInstance& instance);
-  /// A back end has answered the request, or got further with it than those that ended.
+  /// A back end responded to the request, or got further with it than the ones that crashed.
   void OnServed(const RequestFingerprint& request);
-  /// A back end has answered a request, suspect or not; `digest` tells it from others.
+  /// A back end responded to a request, whether suspect or not; `digest` identifies it.
   void RecordServed(uint64_t digest);
   bool ServedRecently(uint64_t digest);
-  /// Seeds the digests of this process, so that nobody can foresee them.
+  /// Random seed of this process's digests, so that callers can't produce collisions.
   uint64_t digest_seed() const { return digest_seed_; }
-  /// No try of this node follows: its crashes are reported even if there is only one. One crash of
-  /// a request that is tried again here is not: the next answer clears it, and a crash of a server
-  /// strikes all that runs there.
+  /// This node won't retry the request: its crashes are reported even if there is only one. A
+  /// single crash of a request that is retried here is not reported, since most are cleared by the
+  /// next response.
   void OnGivenUp(const RequestFingerprint& request);
 
  private:
-  /// What this node saw and the cluster's record may not hold yet.
+  /// This node's observations of a request that the cluster's record may not hold yet.
   struct Seen {
     std::string place;
     std::set<InstanceId> crashed;
-    /// Lives that are being asked for.
+    /// Incarnations whose liveness check is running.
     std::set<InstanceId> unverified;
     TimePoint changed_at;
     bool given_up = false;
-    /// Lives that the cluster has been told of, and the revision with which they count there; none
-    /// before that is known.
+    /// Incarnations reported to the cluster, and the revision at which the report was committed;
+    /// none until that is known.
     std::set<InstanceId> reported;
     std::optional<Revision> reported_at;
   };
-  /// The cluster's record of a request, and since when this node holds it.
+  /// The cluster's record of a request, and when this node received it.
   struct Known {
     SuspectRequest record;
     TimePoint received_at;
@@ -146,8 +149,8 @@
   bool WantsReport(const Seen& seen) const;
   void ReportSoon();
   void OnReported(const std::vector<RequestFingerprint>& requests, std::optional<Revision> at);
-  /// What the configuration held accounts for is not this node's to hold against a request: the
-  /// cluster's record does, or has been cleared since.
+  /// Drops observations that were committed at or before the local revision: the cluster's record
+  /// holds them, or has been cleared since.
   void DropCommitted();
   void DropOldSeen();
   void RefreshPlaces();
@@ -164,14 +167,14 @@
   SuspectRegister* register_ = nullptr;
   std::map<RequestFingerprint, Seen> seen_;
   std::map<RequestFingerprint, Known> known_;
-  /// Requests of `known_` of which a trial is granted to this node and not used.
+  /// Requests of `known_` with a trial granted to this node and not used.
   std::set<RequestFingerprint> unused_trials_;
   Revision revision_;
-  /// Places of all that is seen or known.
+  /// The places of all requests in `seen_` and `known_`.
   std::set<std::string> places_;
   std::map<InstanceId, Check> checks_;
   const uint64_t digest_seed_;
-  /// Digests of what was served in this span and in the one before.
+  /// Digests of requests served in the current and in the previous window.
   absl::flat_hash_set<uint64_t> served_;
   absl::flat_hash_set<uint64_t> served_before_;
   TimePoint span_started_at_;
--- a/source/ingress/request_watch.cc
+++ b/source/ingress/request_watch.cc
@@ -21,9 +21,8 @@
   GuardDecision decision = guard_.Judge(fingerprint());
   if (on_trial_ && !trial_used_) decision.verdict = GuardVerdict::kSend;
   if (decision.verdict != GuardVerdict::kSend && !lost_ && guard_.ServedRecently(digest())) {
-    // Nodes that have not seen it served counted crashes of an outage against it: what a back end
-    // answered a moment ago crashes none. One page that all callers ask for was withheld 102 times
-    // in 5 s without this.
+    // Other nodes may have counted crashes of an outage against a request that this node has just
+    // seen served. Clears it, so that popular requests are not withheld.
     guard_.OnServed(fingerprint());
     return {};
   }
@@ -58,7 +57,7 @@
     if (granted) return send();
     withhold(kClientTrialPauses.front());
   };
-  // The caller may have left by then.
+  // If the caller has disconnected by then, the trial goes back to the guard.
   const auto give_back = [&guard = guard_, request = fingerprint()](bool granted) {
     if (granted) guard.ReturnTrial(request);
   };
--- a/source/ingress/request_watch.h
+++ b/source/ingress/request_watch.h
@@ -1,5 +1,5 @@
-/// What one request on its way has to do with the guard: asks before each send, tells how sends
-/// end.
+/// Connects one request in flight with the guard: consults it before each send and reports how each
+/// send ended.
 #pragma once
 
 #include <functional>
@@ -11,12 +11,12 @@
 
 namespace millstair {
 
-/// Part of a flow, and gone with it. The request outlives it.
+/// Owned by a flow. `request` outlives it.
 class RequestWatch {
  public:
   RequestWatch(RequestGuard& guard, const ForwardRequest& request)
       : guard_(guard), request_(request) {}
-  /// A request that was lost and not answered is one that its caller may bring elsewhere.
+  /// Reports a lost request that was not answered, since its caller may retry it at another node.
   ~RequestWatch() {
     if (lost_) guard_.OnGivenUp(fingerprint());
     if (on_trial_ && !trial_used_) guard_.ReturnTrial(fingerprint());
@@ -24,28 +24,27 @@
   RequestWatch(const RequestWatch&) = delete;
   RequestWatch& operator=(const RequestWatch&) = delete;
 
-  /// Has the request sent once the guard allows it, maybe at once: waits by `retry_timer` while a
-  /// back end's life is being asked for, and asks for a trial if one is due. Else `withhold` hears
-  /// when it may be tried again. Nothing is called once the watch is gone.
+  /// Calls `send` once the guard allows it, possibly at once. Waits by `retry_timer` while a
+  /// liveness check is running, and requests a trial if one is due. Otherwise calls `withhold` with
+  /// the time until a retry. Nothing is called after the watch is destroyed.
   void SendIfAllowed(ScopedTimer& retry_timer, std::function<void()> send,
                      std::function<void(Duration retry_after)> withhold);
-  /// Whether a back end ended under it: then it is sent to one back end at a time.
+  /// Whether a back end crashed under the request: then it is sent to one back end at a time.
   bool IsSuspect();
 
-  /// It is on its way to a back end; a trial is used up by that, also if the back end refuses it,
-  /// since each send counts.
+  /// The request is being sent. This uses up a trial even if the back end refuses the request.
   void OnSent() { trial_used_ = on_trial_; }
-  /// Nothing of it reached the back end.
+  /// Nothing of the request reached the back end.
   void OnUnreachable() { trial_used_ = false; }
-  /// `instance` got it and gave no whole answer.
+  /// `instance` received the request and sent no complete response.
   void OnLost(const BackendInstance& instance);
-  /// Tells its content from others, also in logs.
+  /// Identifies the request's content, also in logs.
   const RequestFingerprint& fingerprint();
-  /// A back end answered it, or got further with it than the one that was lost before.
+  /// A back end responded to the request, or got further with it than the one that lost it.
   void OnServed();
 
  private:
-  /// What may be done with the request now. A trial that was granted allows one send.
+  /// What may be done with the request now. A granted trial allows one send.
   GuardDecision Judge();
   const std::string& place();
   uint64_t digest() const;
@@ -53,7 +52,7 @@
 
   RequestGuard& guard_;
   const ForwardRequest& request_;
-  /// Made when they are needed: most requests never do.
+  /// Computed on first use: most requests never need them.
   std::optional<std::string> place_;
   std::optional<RequestFingerprint> fingerprint_;
   bool lost_ = false;
