--- a/source/ingress/liveness_check.cc
+++ b/source/ingress/liveness_check.cc
@@ -5,8 +5,7 @@
 namespace millstair {
 namespace {
 
-/// The first call may go out on a kept connection that breaks just then: that says nothing of
-/// whether somebody listens.
+/// Two, since the first call may use a pooled connection that has just been closed.
 constexpr int kMaxCalls = 2;
 
 }  // namespace
@@ -48,7 +47,7 @@
   if (ended_) return;
   if (failure == CallFailure::kNotSent) return End(LivenessVerdict::kEnded);
   if (calls_ >= kMaxCalls) return End(LivenessVerdict::kUnsure);
-  // The failed call's own frame is still in use.
+  // Deferred, since the failed call is still on the stack.
   next_step_.Arm(Duration(0), [this] { Start(); });
 }
 
--- a/source/ingress/liveness_check.h
+++ b/source/ingress/liveness_check.h
@@ -1,7 +1,7 @@
-/// Asks at a back end's address whether one life of it is still there, after a request to it got no
-/// whole answer. A connection that breaks says little: an answer may be lost, connections are
-/// reset, an idle one was forgotten. Nobody listening, or another life answering, says that it
-/// ended.
+/// Checks whether an incarnation of a back end is still running after a request to it got no
+/// complete response. A broken connection alone doesn't show that: responses get lost and
+/// connections are reset. A refused connection, or a response by another incarnation, shows that it
+/// has ended.
 #pragma once
 
 #include <functional>
@@ -17,25 +17,24 @@
 namespace millstair {
 
 enum class LivenessVerdict : uint8_t {
-  kAlive,   ///< it answered
-  kEnded,   ///< nobody listens at its address, or another life of a back end answers there
-  kUnsure,  ///< silence, or connections that break
+  kAlive,   ///< it responded
+  kEnded,   ///< its address refuses connections, or another incarnation responded there
+  kUnsure,  ///< no response, or the connections broke
 };
 
 /// "lives" and so on, for logs.
 std::string_view LivenessVerdictName(LivenessVerdict verdict);
 
-/// Lives on the node's serial executor. Dropping it cancels the question.
+/// Lives on the node's serial executor. Destroying it cancels the check.
 class LivenessCheck : public HttpCallObserver {
  public:
-  /// Without an answer for this long nothing is known. A refused connection takes one way there and
-  /// back: 3 ms within a region, some 100 ms to another; and this node may stand still for most of
-  /// a tenth of a second where its share of a core is a quota.
+  /// Covers a refused connection to another region (some 100 ms) and a pause of this node under CPU
+  /// throttling (up to 100 ms).
   static constexpr Duration kTimeout = std::chrono::milliseconds(300);
 
   using Callback = std::function<void(LivenessVerdict)>;
 
-  /// `done` is called once, never by the constructor, and may destroy the check.
+  /// `done` is called once, never from the constructor, and may destroy the check.
   LivenessCheck(Environment& environment, HttpCaller& http, const BackendProtocol& protocol,
                 BackendInstance instance, std::string health_path, Callback done);
   void Start();
