--- a/source/ingress/ingress_service.cc
+++ b/source/ingress/ingress_service.cc
@@ -40,8 +40,8 @@
 void IngressService::UpdateRoutes(const RoutingDocument& document, Revision revision) {
   if (document.version == 0) return;
   const uint64_t digest = DigestOf(document);
-  // By content, not by version alone: the number is the operator's, and what was held under it may
-  // have been lost with disks and sent anew.
+  // Compares the content as well as the version: operators choose the version, and may reuse it for
+  // other content after the cluster lost its data.
   const bool held = routes_ && routes_->version == document.version && routes_->digest == digest;
   if (held) {
     newest_unreadable_ = false;
@@ -82,7 +82,7 @@
         result.routing_digest = digest;
         Count(result, environment_.Now() - started);
         auto ended = flows_.extract(id);
-        // The flow's own callbacks are still running.
+        // Destroyed later, since the flow's own callbacks are still on the stack.
         if (!ended.empty()) {
           environment_.Schedule(
               Duration(0), [flow = std::shared_ptr<ForwardFlow>(std::move(ended.mapped()))] {});
@@ -112,10 +112,10 @@
     return FinishSoon(ForwardOutcome::kNotConfigured, "no routes are known yet", std::move(done));
   }
   if (!is_current_() || newest_unreadable_) {
-    return FinishSoon(ForwardOutcome::kNotConfigured, "the routes held may be too old",
+    return FinishSoon(ForwardOutcome::kNotConfigured, "the routes of this node may be out of date",
                       std::move(done));
   }
-  FinishSoon(ForwardOutcome::kNoRoute, "no route leads there", std::move(done));
+  FinishSoon(ForwardOutcome::kNoRoute, "no route matches the request", std::move(done));
 }
 
 void IngressService::FinishSoon(ForwardOutcome outcome, std::string reason, Callback done) {
@@ -147,7 +147,7 @@
         result.forward.routing_digest = digest;
         Count(result.forward, environment_.Now() - started);
         auto ended = streams_.extract(id);
-        // The flow's own callbacks are still running.
+        // Destroyed later, since the flow's own callbacks are still on the stack.
         if (!ended.empty()) {
           environment_.Schedule(Duration(0),
                                 [flow = std::shared_ptr<StreamFlow>(std::move(ended.mapped()))] {});
--- a/source/ingress/ingress_service.h
+++ b/source/ingress/ingress_service.h
@@ -1,5 +1,4 @@
-/// Requests of clients on their way to back ends that registered themselves, by the routes of the
-/// operator's whole configuration.
+/// Forwards client requests to registered back ends by the operator's routing configuration.
 #pragma once
 
 #include <functional>
@@ -17,9 +16,8 @@
 
 namespace millstair {
 
-/// When a caller may come back to a node that does not know yet, or can't be sure of, what is
-/// configured. One that has just started is proven is_current after one or two heartbeats, and the
-/// caller's next try reaches another node anyway.
+/// When a caller may retry at a node whose configuration is missing or not confirmed. A node is
+/// usually confirmed after one or two heartbeats, and the retry may reach another node.
 inline constexpr Duration kRetryWhenUnconfigured = std::chrono::milliseconds(250);
 
 /// Lives on the node's serial executor.
@@ -32,50 +30,50 @@
                  const RoutingDocumentReader& reader, Zone own_zone,
                  StatsRegistry* stats = nullptr);
 
-  /// Hears of requests that began to run.
+  /// Called when a request starts to run.
   void SetRequestStartListener(RequestStartListener listener) {
     context_.on_request_started = std::move(listener);
   }
-  /// Whether the routes held are proven is_current. Where they are not, a request without a route
-  /// is told that this node can't tell now, since its route may be newer.
+  /// Whether the local routes are confirmed as current. While they are not, a request that matches
+  /// no route is answered as not configured, since a newer configuration may have its route.
   void SetIsCurrent(std::function<bool()> is_current) { is_current_ = std::move(is_current); }
-  /// Runs what goes by the configuration once that is proven is_current, or known not to be
-  /// provable now.
+  /// Runs work that uses the configuration once it is confirmed as current, or once it is known
+  /// that it can't be confirmed now.
   void SetWhenCurrent(WhenCurrent when_current) { context_.when_current = std::move(when_current); }
-  /// How long ago the configuration held was last known to be the newest; for logs.
+  /// Time since the local configuration was last confirmed as the newest; for logs.
   void SetConfirmationAge(std::function<std::optional<Duration>()> age) {
     context_.confirmation_age = std::move(age);
   }
   /// Where crashes of back ends are reported; outlives the service.
   void SetSuspectRegister(SuspectRegister& suspects) { guard_.SetRegister(&suspects); }
   RequestGuard& guard() { return guard_; }
-  /// What bounds requests to back ends that are slow after their start.
+  /// Limits on requests to cold back ends.
   void SetColdBound(ColdBound bound) { cold_bound_ = bound; }
-  /// Takes over a whole configuration.
+  /// Applies a complete configuration.
   void Update(const Configuration& configuration);
-  /// Takes over `changes`, which led to `configuration`.
+  /// Applies `changes`, which led to `configuration`.
   void Apply(const Configuration& configuration, const ConfigurationDelta& changes);
 
   /// Null before the first routing configuration.
   const RouteTable* routes() const { return routes_ ? &*routes_ : nullptr; }
-  /// Whether the newest document that came can't be read, so that the routes held are older.
+  /// Whether the newest routing document could not be parsed, so that older routes are in use.
   bool NewestUnreadable() const { return newest_unreadable_; }
   BackendDirectory& directory() { return directory_; }
   const BackendProtocol& protocol() const { return context_.protocol; }
 
-  /// `done` is called once, unless the request is cancelled; never before Forward returns.
+  /// `done` is called once unless the request is cancelled, and never before Forward returns.
   FlowId Forward(ForwardRequest request, Callback done);
-  /// The same for a request whose route streams; `sink` outlives the flow.
+  /// The same for a request of a streaming route; `sink` outlives the flow.
   FlowId ForwardStream(ForwardRequest request, StreamSink& sink,
                        std::function<void(StreamEnd)> done);
-  /// The client has gone.
+  /// Cancels a request whose client has disconnected.
   void Cancel(FlowId flow);
 
  private:
   void UpdateRoutes(const RoutingDocument& document, Revision revision);
   void Count(const ForwardResult& result, Duration took);
   void FinishSoon(ForwardOutcome outcome, std::string reason, Callback done);
-  /// Ends a request that no route leads on.
+  /// Ends a request that matches no route.
   void FinishUnrouted(Callback done);
 
   Environment& environment_;
