--- a/source/ingress/backend_protocol.h
+++ b/source/ingress/backend_protocol.h
@@ -1,5 +1,5 @@
-/// What the system says to back ends that register themselves, and how their answers are read.
-/// Implemented by the interface in use; the decisions stay here.
+/// Builds requests to registered back ends and parses their responses. Implemented by the API in
+/// use; contains no decisions.
 #pragma once
 
 #include <cstdint>
@@ -17,33 +17,33 @@
 
 namespace millstair {
 
-/// One request as it goes to one back end.
+/// A request as sent to one back end.
 struct BackendRequest {
-  /// Method, target, headers of the caller and body; unchanged.
+  /// The caller's method, target, headers and body, unchanged.
   HttpRequest http;
   std::string host;
   std::string request_id;
-  /// How long the back end may work on it.
+  /// Time limit of the back end.
   Duration time_left{0};
-  /// The life of the back end that is meant.
+  /// The incarnation of the back end that should run it.
   InstanceId instance;
-  /// Continue a stream after this event.
+  /// Resume a stream after this event.
   std::optional<uint64_t> resume_after;
-  /// For whom it runs; empty if for nobody that is known.
+  /// Empty if the caller is unknown.
   TenantName tenant;
 };
 
-/// What the head of an answer says.
+/// What the head of a response states.
 struct BackendAnswer {
-  /// False if it answers another request.
+  /// False if it is the response to another request.
   bool own = true;
   /// The back end did not run the request and never will.
   bool not_run = false;
-  /// Another back end, or another life of this one, has the address.
+  /// Another back end, or another incarnation of this one, uses the address.
   bool wrong_instance = false;
-  /// The back end ran the request to its end and signed the answer.
+  /// Present if the back end completed the request and signed its response.
   std::string signature;
-  /// Weights under which the answer's first part was made; none if it does not say.
+  /// Version of the weights at the start of the response; none if not stated.
   std::optional<WeightVersion> version;
 };
 
@@ -51,25 +51,25 @@
 struct StreamEvent {
   uint64_t id = 0;
   std::string data;
-  /// Weights from this event on, if it says that they changed.
+  /// Version of the weights from this event on, if it states a change.
   std::optional<WeightVersion> version;
 };
 
-/// What an engine says of itself.
+/// Status of an engine as it reports it.
 struct ReportedEngine {
   std::vector<NamedVersion> models;
-  /// An order is under way.
+  /// An order is being carried out.
   bool busy = false;
-  /// Orders taken in this life.
+  /// Orders accepted by this incarnation.
   uint64_t orders = 0;
-  /// When this life began; 0 if it doesn't say.
+  /// Start time of this incarnation; 0 if not stated.
   BirthTime started_at;
 };
 
-/// How running generations fare when an engine loads other weights.
+/// What happens to running generations when an engine loads other weights.
 enum class LoadMode : uint8_t {
-  kFinishFirst,  ///< they end before the load begins
-  kContinue,     ///< they go on under the new weights
+  kFinishFirst,  ///< they finish before the load begins
+  kContinue,     ///< they continue with the new weights
 };
 
 /// An order to load a version of a model.
@@ -77,35 +77,35 @@
   ModelName model;
   WeightVersion version;
   LoadMode mode = LoadMode::kContinue;
-  /// Who gives it, and with which fence.
+  /// The lease holder that sends the order, and its fence.
   std::string holder;
   uint64_t fence = 0;
-  /// Orders that the engine has to have taken so far; guards against one carried out late.
+  /// Number of orders that the engine must have accepted so far; protects against delayed orders.
   uint64_t expected_orders = 0;
   InstanceId instance;
 };
 
 enum class LoadAnswer : uint8_t {
   kAccepted,
-  kAlreadyLoaded,  ///< the engine has the version already
-  kRefused,  ///< another order is under way, or the engine took orders that are not known here
-  kUnknown,  ///< it may have been taken
+  kAlreadyLoaded,  ///< the engine has loaded the version already
+  kRefused,        ///< another order is being carried out, or the number of accepted orders differs
+  kUnknown,        ///< the outcome is unknown
 };
 
-/// Stateless; used on any thread.
+/// Stateless and thread-safe.
 class BackendProtocol {
  public:
   virtual ~BackendProtocol() = default;
   virtual HttpRequest MakeRequest(const BackendRequest& request) const = 0;
   virtual BackendAnswer ReadAnswer(const HttpResponseHead& head,
                                    const std::string& request_id) const = 0;
-  /// Reads one event of a stream, without the empty line that ends it. None for a comment.
+  /// Parses one event of a stream, without the empty line that ends it. None for a comment.
   virtual absl::StatusOr<std::optional<StreamEvent>> ReadEvent(std::string_view lines) const = 0;
-  /// Asks a back end whether it is well, at the path of its service; only the life that is meant
-  /// answers for itself.
+  /// Builds a health check on the path of its service; only the incarnation `instance` may respond
+  /// to it.
   virtual HttpRequest MakeHealthRequest(const InstanceId& instance,
                                         const std::string& path) const = 0;
-  /// Whether an answer to that question is from the life that was meant, well or not.
+  /// Whether the response to a health check came from `instance`, healthy or not.
   virtual bool IsAnswerOf(const HttpResponseHead& head, const InstanceId& instance) const = 0;
   virtual HttpRequest MakeReportRequest(const InstanceId& instance) const = 0;
   virtual absl::StatusOr<ReportedEngine> ReadReport(const std::string& body) const = 0;
