--- a/test/ingress/backend_directory_test.cc
+++ b/test/ingress/backend_directory_test.cc
@@ -14,17 +14,18 @@
 constexpr int kServices = 3;
 constexpr int kZones = 3;
 
-/// The back ends of a service that may get work, told anew from all that is known.
+/// Computes the expected result of Live from the complete configuration.
 std::vector<InstanceId> ExpectedLive(const Configuration& configuration,
-                                     const std::set<InstanceId>& over, const std::string& service) {
+                                     const std::set<InstanceId>& superseded,
+                                     const std::string& service) {
   std::vector<InstanceId> live;
   for (const auto& [id, instance] : configuration.instances) {
-    if (instance.state != MemberState::kLive || over.contains(id)) continue;
+    if (instance.state != MemberState::kLive || superseded.contains(id)) continue;
     if (instance.service != ServiceName(service)) continue;
     if (configuration.evacuated_zones.contains(instance.zone)) continue;
     bool latest = true;
     for (const auto& [other, record] : configuration.instances) {
-      if (record.state == MemberState::kGone || over.contains(other)) continue;
+      if (record.state == MemberState::kGone || superseded.contains(other)) continue;
       if (record.address != instance.address) continue;
       latest = latest && record.registered_at <= instance.registered_at;
     }
@@ -37,14 +38,14 @@
  public:
   explicit Fixture(uint64_t seed) : random_(seed) {}
 
-  /// One change of one back end, handed on as a change.
+  /// Applies a random change of one back end as a delta.
   void Change() {
     ConfigurationDelta changes;
     if (DrawChance(random_, 0.1)) return ChangeEvacuation();
     const InstanceId id(fmt::format("i{}", DrawBelow(random_, kServers)));
     if (DrawChance(random_, 0.1)) {
       configuration.instances.erase(id);
-      over.erase(id);
+      superseded.erase(id);
       changes.deleted_instances = {id};
     } else {
       BackendInstance& instance = configuration.instances[id];
@@ -60,7 +61,7 @@
     directory.Apply(configuration, changes);
   }
 
-  /// A zone is evacuated, or that ends.
+  /// Starts or ends the evacuation of a random zone.
   void ChangeEvacuation() {
     ConfigurationDelta changes;
     const Zone zone(fmt::format("z{}", DrawBelow(random_, kZones)));
@@ -73,12 +74,12 @@
     directory.Apply(configuration, changes);
   }
 
-  void EndOne() {
+  void SupersedeOne() {
     const InstanceId id(fmt::format("i{}", DrawBelow(random_, kServers)));
     if (directory.FindLive(id) == nullptr) return;
     directory.Begin(id);
     directory.End(id, BackendEnd::kWrongInstance, Duration(1));
-    over.insert(id);
+    superseded.insert(id);
   }
 
   void Check(const BackendDirectory& checked) {
@@ -88,12 +89,12 @@
       for (const BackendInstance* instance : checked.Live(ServiceName(service))) {
         live.push_back(instance->id);
       }
-      REQUIRE(live == ExpectedLive(configuration, over, service));
+      REQUIRE(live == ExpectedLive(configuration, superseded, service));
     }
   }
 
   Configuration configuration;
-  std::set<InstanceId> over;
+  std::set<InstanceId> superseded;
   VirtualScheduler scheduler{1};
   VirtualEnvironment environment{scheduler, 1};
   BackendDirectory directory{environment, Zone("z")};
@@ -103,20 +104,20 @@
   uint64_t revision_ = 0;
 };
 
-TEST_CASE("Changes one by one lead to what the whole would") {
+TEST_CASE("Applying deltas gives the same result as the complete configuration") {
   const uint64_t seed = GENERATE(range(1, 21));
   INFO("seed " << seed);
   Fixture fixture(seed);
   for (int i = 0; i < 400; ++i) {
     fixture.Change();
-    if (i % 7 == 0) fixture.EndOne();
+    if (i % 7 == 0) fixture.SupersedeOne();
     fixture.Check(fixture.directory);
   }
   fixture.directory.Update(fixture.configuration);
   fixture.Check(fixture.directory);
 }
 
-TEST_CASE("A back end that is forgotten goes with its last request") {
+TEST_CASE("A deleted back end is erased when its last request ends") {
   Fixture fixture(1);
   BackendInstance instance;
   instance.id = InstanceId("i");
@@ -133,7 +134,7 @@
   CHECK(fixture.directory.Running(instance.id) == 1);
   fixture.directory.End(instance.id, BackendEnd::kAnswered, Duration(1));
   CHECK(fixture.directory.Running(instance.id) == 0);
-  // It may come back, as a record that was kept elsewhere.
+  // The back end may be registered again.
   fixture.directory.Apply(Configuration(), changes);
   CHECK(fixture.directory.Live(ServiceName("s")).size() == 1);
 }
--- a/test/ingress/cold_backend_assignment_test.cc
+++ b/test/ingress/cold_backend_assignment_test.cc
@@ -1,4 +1,4 @@
-/// Which gateway alone may send to a back end, while gateways come and go and see it late.
+/// Assignment of cold back ends to gateways that join, leave and see changes late.
 #include "ingress/cold_backend_assignment.h"
 
 #include <catch2/catch.hpp>
@@ -21,8 +21,8 @@
 
 std::string NameOf(int gateway) { return fmt::format("g{}", gateway); }
 
-/// The cluster's members as they change, and gateways that learn of each change up to a lease late,
-/// are cut off, suspended and restarted.
+/// A changing cluster, whose gateways learn of each change up to a lease late and are isolated,
+/// suspended and restarted.
 class Members {
  public:
   Members(int gateways, uint64_t seed) : random_(seed) {
@@ -30,7 +30,7 @@
       NodeRecord record;
       record.node = NodeId(NameOf(i));
       record.gateway = true;
-      truth_.nodes[record.node] = record;
+      newest_.nodes[record.node] = record;
     }
     for (int i = 0; i < gateways; ++i) gateways_.push_back(Restarted(i));
   }
@@ -39,61 +39,61 @@
     scheduler_.RunFor(kStep);
     if (DrawChance(random_, 0.02)) Change();
     for (Gateway& gateway : gateways_) {
-      if (gateway.silent_until > environment_.Now()) continue;
-      if (DrawChance(random_, 0.001)) gateway.silent_until = environment_.Now() + seconds(3);
+      if (gateway.suspended_until > environment_.Now()) continue;
+      if (DrawChance(random_, 0.001)) gateway.suspended_until = environment_.Now() + seconds(3);
       if (DrawChance(random_, 0.0005)) gateway = Restarted(gateway.index);
-      // A proof takes until the next heartbeat; the lease runs from when it was sent.
-      if (DrawChance(random_, 0.05)) Prove(gateway);
+      // Confirmations arrive with a heartbeat.
+      if (DrawChance(random_, 0.05)) Confirm(gateway);
     }
   }
 
-  /// All are members, and in touch, for two leases.
+  /// Makes all gateways members and keeps them confirmed for two leases.
   void Settle() {
-    for (auto& [node, record] : truth_.nodes) record.state = MemberState::kLive;
+    for (auto& [node, record] : newest_.nodes) record.state = MemberState::kLive;
     const TimePoint until = environment_.Now() + 2 * kLease + kStep;
     while (environment_.Now() < until) {
       scheduler_.RunFor(kStep);
-      for (Gateway& gateway : gateways_) Prove(gateway);
+      for (Gateway& gateway : gateways_) Confirm(gateway);
     }
   }
 
-  /// Gateways that would send to `subject` now.
-  int Acting(const std::string& subject) {
-    int acting = 0;
+  /// Number of gateways that would send to `subject` now.
+  int CountAssigned(const std::string& subject) {
+    int assigned = 0;
     for (Gateway& gateway : gateways_) {
       const bool valid = gateway.lease_until > environment_.Now();
       const auto since = valid ? std::optional(gateway.confirmed_since) : std::nullopt;
-      acting += gateway.turns->IsAssignedToSelf(subject, since) ? 1 : 0;
+      assigned += gateway.assignment->IsAssignedToSelf(subject, since) ? 1 : 0;
     }
-    return acting;
+    return assigned;
   }
 
  private:
   struct Gateway {
     int index = 0;
-    std::unique_ptr<ColdBackendAssignment> turns;
+    std::unique_ptr<ColdBackendAssignment> assignment;
     TimePoint lease_until;
     TimePoint confirmed_since;
-    TimePoint silent_until;
+    TimePoint suspended_until;
   };
 
   Gateway Restarted(int index) {
     Gateway gateway;
     gateway.index = index;
-    gateway.turns =
+    gateway.assignment =
         std::make_unique<ColdBackendAssignment>(environment_, NodeId(NameOf(index)), kLease);
     return gateway;
   }
 
   void Change() {
     const size_t which = DrawBelow(random_, gateways_.size());
-    NodeRecord& record = truth_.nodes[NodeId(NameOf(static_cast<int>(which)))];
+    NodeRecord& record = newest_.nodes[NodeId(NameOf(static_cast<int>(which)))];
     record.state = record.state == MemberState::kLive ? MemberState::kGone : MemberState::kLive;
   }
 
-  /// It holds what was the newest when the proof was asked for.
-  void Prove(Gateway& gateway) {
-    gateway.turns->Update(truth_);
+  /// The gateway receives the newest configuration together with its confirmation.
+  void Confirm(Gateway& gateway) {
+    gateway.assignment->Update(newest_);
     if (gateway.lease_until <= environment_.Now()) gateway.confirmed_since = environment_.Now();
     gateway.lease_until = environment_.Now() + kLease;
   }
@@ -101,11 +101,11 @@
   RandomEngine random_;
   VirtualScheduler scheduler_{1};
   VirtualEnvironment environment_{scheduler_, 1};
-  Configuration truth_;
+  Configuration newest_;
   std::vector<Gateway> gateways_;
 };
 
-TEST_CASE("No two gateways send to one back end at once, whoever comes, goes or sees it late") {
+TEST_CASE("No two gateways are assigned to one back end while members change") {
   const int gateways = GENERATE(2, 9, 40);
   const uint64_t seed = GENERATE(range(1, 7));
   INFO("gateways " << gateways << " seed " << seed);
@@ -113,12 +113,12 @@
   for (int step = 0; step < 6000; ++step) {
     members.Step();
     for (int i = 0; i < kSubjects; ++i) {
-      REQUIRE(members.Acting(fmt::format("i{}", i)) <= 1);
+      REQUIRE(members.CountAssigned(fmt::format("i{}", i)) <= 1);
     }
   }
-  // Once nothing changes any more each back end has its gateway within two leases.
+  // In a stable cluster each back end is assigned to a gateway within two leases.
   members.Settle();
-  for (int i = 0; i < kSubjects; ++i) CHECK(members.Acting(fmt::format("i{}", i)) == 1);
+  for (int i = 0; i < kSubjects; ++i) CHECK(members.CountAssigned(fmt::format("i{}", i)) == 1);
 }
 
 }  // namespace
--- a/test/ingress/cold_backends_test.cc
+++ b/test/ingress/cold_backends_test.cc
@@ -1,5 +1,4 @@
-/// Back ends that are slow after their start, as all nodes that send to them together treat them.
-/// What arrives there is counted at the back end, in each second.
+/// Requests to cold back ends from all nodes together, counted per second at the back end.
 #include <catch2/catch.hpp>
 #include <deque>
 #include <memory>
@@ -39,33 +38,34 @@
   return policy;
 }
 
-/// Counts what arrives in any second.
+/// Records the maximum number of arrivals in any second.
 class ArrivalCount {
  public:
-  void Note(TimePoint now) {
+  void Record(TimePoint now) {
     arrivals_.push_back(now);
     while (now - arrivals_.front() >= seconds(1)) arrivals_.pop_front();
-    most_ = std::max(most_, arrivals_.size());
+    max_ = std::max(max_, arrivals_.size());
     ++all_;
   }
-  size_t most() const { return most_; }
+  size_t max() const { return max_; }
   size_t all() const { return all_; }
 
  private:
   std::deque<TimePoint> arrivals_;
-  size_t most_ = 0;
+  size_t max_ = 0;
   size_t all_ = 0;
 };
 
-/// A node that sends: its directory, and its turn.
+/// A gateway with its directory and its assignment.
 struct Sender {
   std::unique_ptr<BackendDirectory> directory;
-  std::unique_ptr<ColdBackendAssignment> turns;
+  std::unique_ptr<ColdBackendAssignment> assignment;
   TimePoint lease_until;
   TimePoint confirmed_since;
 };
 
-/// Gateways that all have more to send than one back end bears, and the leader of the batch jobs.
+/// Gateways that each have more requests than a cold back end can handle, and the leader of the
+/// batch jobs.
 class Senders {
  public:
   Senders(int gateways, uint64_t seed) : random_(seed) {
@@ -77,13 +77,13 @@
     }
     for (int i = 0; i < gateways; ++i) senders_.push_back(Gateway(i));
     leader_ = Directory();
-    Tell();
+    AnnounceCold();
   }
 
   void Step() {
     scheduler_.RunFor(milliseconds(5));
     for (size_t i = 0; i < senders_.size(); ++i) {
-      if (DrawChance(random_, 0.05)) Prove(senders_[i]);
+      if (DrawChance(random_, 0.05)) Confirm(senders_[i]);
       if (DrawChance(random_, 0.0005)) senders_[i] = Gateway(static_cast<int>(i));
       if (DrawChance(random_, 0.3)) Send(*senders_[i].directory);
     }
@@ -91,8 +91,8 @@
     Send(*leader_);
   }
 
-  /// It says that it is slow once more.
-  void Tell() {
+  /// The back end reports that it is cold for another period.
+  void AnnounceCold() {
     configuration_.instances[kCold] = ColdInstance(++revision_);
     for (Sender& sender : senders_) sender.directory->Update(configuration_);
     leader_->Update(configuration_);
@@ -116,14 +116,14 @@
   Sender Gateway(int index) {
     Sender sender;
     sender.directory = Directory();
-    sender.turns = std::make_unique<ColdBackendAssignment>(
+    sender.assignment = std::make_unique<ColdBackendAssignment>(
         environment_, NodeId(fmt::format("g{}", index)), kLease);
-    const size_t place = static_cast<size_t>(index);
-    sender.directory->SetColdAssignmentCheck([this, place](const InstanceId& instance) {
-      Sender& asked = senders_[place];
-      const bool valid = asked.lease_until > environment_.Now();
-      return asked.turns->IsAssignedToSelf(
-          instance.value(), valid ? std::optional(asked.confirmed_since) : std::nullopt);
+    const size_t position = static_cast<size_t>(index);
+    sender.directory->SetColdAssignmentCheck([this, position](const InstanceId& instance) {
+      Sender& self = senders_[position];
+      const bool valid = self.lease_until > environment_.Now();
+      return self.assignment->IsAssignedToSelf(
+          instance.value(), valid ? std::optional(self.confirmed_since) : std::nullopt);
     });
     return sender;
   }
@@ -135,8 +135,8 @@
         [this, since](const InstanceId&) { return environment_.Now() - since >= kLease; });
   }
 
-  void Prove(Sender& sender) {
-    sender.turns->Update(configuration_);
+  void Confirm(Sender& sender) {
+    sender.assignment->Update(configuration_);
     if (sender.lease_until <= environment_.Now()) sender.confirmed_since = environment_.Now();
     sender.lease_until = environment_.Now() + kLease;
   }
@@ -146,7 +146,7 @@
     if (!picked) return;
     directory.Begin(picked->id);
     directory.End(picked->id, BackendEnd::kAnswered, milliseconds(1));
-    arrived_.Note(environment_.Now());
+    arrived_.Record(environment_.Now());
   }
 
   RandomEngine random_;
@@ -159,21 +159,20 @@
   ArrivalCount arrived_;
 };
 
-/// The platform's bound holds for the sum of all senders, in touch or not, and does not grow with
-/// their number. Before, each sent what it liked: one leader alone 21 and 22 in a second where 18.8
-/// are borne.
-TEST_CASE("All nodes together send a slow back end no more in any second than it bears") {
+/// The limit holds for the sum of all senders, however many there are, even if some are not
+/// confirmed.
+TEST_CASE("All nodes together stay within the limit of a cold back end in every second") {
   const int gateways = GENERATE(2, 68, 300);
   const uint64_t seed = GENERATE(range(1, 4));
   INFO("gateways " << gateways << " seed " << seed);
   Senders senders(gateways, seed);
-  // It says so again before each span is over, so that it is slow all the time.
+  // Renews the report before each period ends, so that the back end stays cold.
   for (int i = 0; i < 8; ++i) {
     senders.RunFor(milliseconds(2500));
-    senders.Tell();
+    senders.AnnounceCold();
   }
-  CHECK(static_cast<double>(senders.arrived().most()) <= kRate * kBound.rate_factor + kBound.slack);
-  // And it gets something: a tenth of what it bears at the least.
+  CHECK(static_cast<double>(senders.arrived().max()) <= kRate * kBound.rate_factor + kBound.slack);
+  // At least a tenth of the allowed load is sent.
   CHECK(static_cast<double>(senders.arrived().all()) >= 0.1 * 20 * kRate);
 }
 
@@ -186,10 +185,10 @@
     directory.Update(configuration);
   }
 
-  /// Requests that are begun one after another now.
-  int SendAll(int most) {
+  /// Starts requests until none is allowed or the maximum is reached; returns their number.
+  int SendAll(int max) {
     int sent = 0;
-    while (sent < most && directory.Pick(kPages, {})) {
+    while (sent < max && directory.Pick(kPages, {})) {
       directory.Begin(kCold);
       ++sent;
     }
@@ -204,7 +203,7 @@
 
 constexpr int kMany = 50;
 
-TEST_CASE("A back end is bounded while it is slow, and no longer") {
+TEST_CASE("A back end is limited only while it is cold") {
   OneNode node;
   CHECK(node.SendAll(kMany) == kMany);
   node.configuration.instances[kCold] = ColdInstance(1);
@@ -216,9 +215,9 @@
   CHECK(node.SendAll(kMany) == kMany);
 }
 
-TEST_CASE("A back end that was out of reach, or in an evacuated zone, may be slow again") {
+TEST_CASE("A back end that was unreachable or in an evacuated zone is assumed to be cold") {
   OneNode node;
-  SECTION("out of reach") {
+  SECTION("unreachable") {
     node.directory.Begin(kCold);
     node.directory.End(kCold, BackendEnd::kUnreachable, Duration(0));
   }
@@ -238,7 +237,7 @@
   CHECK(node.SendAll(kMany) == kMany);
 }
 
-TEST_CASE("A configuration that changes nothing of it gives a slow back end no new start") {
+TEST_CASE("An unchanged configuration doesn't refill the tokens of a cold back end") {
   OneNode node;
   node.configuration.instances[kCold] = ColdInstance(1);
   node.directory.Update(node.configuration);
--- a/test/ingress/forward_flow_test.cc
+++ b/test/ingress/forward_flow_test.cc
@@ -71,7 +71,7 @@
   return answer;
 }
 
-TEST_CASE("A request without a route, or before any is known, is told apart") {
+TEST_CASE("A missing route and a missing configuration have different outcomes") {
   Fixture fixture;
   fixture.configuration.routing = {};
   auto result = fixture.Forward();
@@ -84,7 +84,7 @@
   CHECK(result->outcome == ForwardOutcome::kNoRoute);
 }
 
-/// How often requests of the tenant "t" were metered, and when the first one began.
+/// Counts metered requests of the tenant "t", and records when the first one started.
 struct Metered {
   explicit Metered(Fixture& fixture) {
     fixture.service_.SetRequestStartListener([this](const TenantName& tenant, TimePoint at) {
@@ -96,7 +96,7 @@
   TimePoint first_at;
 };
 
-TEST_CASE("A request is metered once, where and when it first ran") {
+TEST_CASE("A request is metered once, and only if it ran") {
   Fixture fixture;
   Metered metered(fixture);
   fixture.tenant = TenantName("t");
@@ -104,7 +104,6 @@
   fixture.Add("b:1", [](const HttpRequest&) { return Ok(); });
   REQUIRE(fixture.Forward());
   CHECK(metered.count == 1);
-  // Refused requests have not run.
   Fixture refused;
   Metered none(refused);
   refused.tenant = TenantName("t");
@@ -113,8 +112,8 @@
   CHECK(none.count == 0);
 }
 
-TEST_CASE("A request that was sent and not refused is metered though no answer came") {
-  const auto kind = GENERATE(FakeAnswer::Kind::kReset, FakeAnswer::Kind::kSilence);
+TEST_CASE("A request that was sent and not refused is metered even without a response") {
+  const auto kind = GENERATE(FakeAnswer::Kind::kReset, FakeAnswer::Kind::kNoResponse);
   Fixture fixture;
   Metered metered(fixture);
   fixture.tenant = TenantName("t");
@@ -126,7 +125,7 @@
   CHECK(metered.first_at <= started + milliseconds(50));
 }
 
-TEST_CASE("What reaches no back end, and what nobody is known to have asked, is not metered") {
+TEST_CASE("Requests that reach no back end or have no tenant are not metered") {
   Fixture fixture;
   Metered metered(fixture);
   fixture.Add("a:1", [](const HttpRequest&) { return Ok(); });
@@ -140,7 +139,7 @@
   CHECK(none.count == 0);
 }
 
-TEST_CASE("The longest prefix of the host wins") {
+TEST_CASE("The route with the longest matching prefix is selected") {
   RouteTable table;
   Route wide;
   wide.host = "a.example";
@@ -153,7 +152,7 @@
   CHECK(table.Find("b.example", "/p/x") == nullptr);
 }
 
-TEST_CASE("A whole answer is passed on, and names the life of the back end") {
+TEST_CASE("A request names the incarnation, and a complete response is passed on") {
   Fixture fixture;
   fixture.Add("1.1.1.1:1", [](const HttpRequest&) { return Ok(); });
   const auto result = fixture.Forward(milliseconds(300));
@@ -166,10 +165,10 @@
   CHECK(std::stoll(std::string(*FindHeader(sent.headers, "left"))) <= 300'000);
 }
 
-TEST_CASE("A repeatable request goes on elsewhere after a cut, within its attempts") {
+TEST_CASE("A repeatable request is retried after a truncated response, up to its attempts") {
   Fixture fixture;
   for (const char* address : {"1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3", "1.1.1.1:4"}) {
-    fixture.Add(address, [](const HttpRequest&) { return Of(FakeAnswer::Kind::kCutBody); });
+    fixture.Add(address, [](const HttpRequest&) { return Of(FakeAnswer::Kind::kTruncatedBody); });
   }
   const auto result = fixture.Forward();
   REQUIRE(result);
@@ -177,7 +176,7 @@
   CHECK(fixture.backends.SentRequests() == 2);
 }
 
-TEST_CASE("A request that runs at most once is not sent again after it may have run") {
+TEST_CASE("A request that runs at most once is not retried after it may have run") {
   Fixture fixture;
   fixture.route().kind = RouteKind::kOnce;
   fixture.Add("1.1.1.1:1", [](const HttpRequest&) { return Of(FakeAnswer::Kind::kReset); });
@@ -188,7 +187,8 @@
   CHECK(fixture.backends.SentRequests() == 1);
 }
 
-/// The request of the fixture is held for `since`; the pause before its trial is over if not given.
+/// Puts the fixture's request on hold and advances the time, by default past the pause before its
+/// first trial.
 void Hold(Fixture& fixture, FakeRegister& cluster, Duration since = kClientTrialPauses.front()) {
   fixture.service_.SetSuspectRegister(cluster);
   SuspectRequest held;
@@ -201,13 +201,13 @@
   fixture.scheduler.RunFor(since);
 }
 
-TEST_CASE("What this node has seen served lately is not withheld, and cleared for all") {
+TEST_CASE("A request that this node served recently is sent, and cleared in the cluster") {
   Fixture fixture;
   FakeRegister cluster;
   fixture.service_.SetSuspectRegister(cluster);
   fixture.Add("1.1.1.1:1", [](const HttpRequest&) { return Ok(); });
   REQUIRE(fixture.Forward()->outcome == ForwardOutcome::kAnswered);
-  // Other nodes counted the crashes of an outage against it.
+  // Other nodes counted crashes of an outage against the request.
   Hold(fixture, cluster, std::chrono::milliseconds(100));
   const auto result = fixture.Forward();
   REQUIRE(result);
@@ -216,14 +216,14 @@
   CHECK(cluster.cleared == std::vector<size_t>{2});
 }
 
-TEST_CASE("A trial is one send, also if the back end refuses it") {
+TEST_CASE("A trial is used up by one send, even if the back end refuses it") {
   Fixture fixture;
   FakeRegister cluster;
   Hold(fixture, cluster);
   for (const char* address : {"1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3"}) {
     fixture.Add(address, [](const HttpRequest&) { return Refusal(); });
   }
-  // The trial is over, by the time that the cluster knows of it.
+  // The cluster refuses a second trial.
   cluster.grants_once = true;
   const auto result = fixture.Forward();
   REQUIRE(result);
@@ -231,7 +231,7 @@
   CHECK(fixture.backends.SentRequests() == 1);
 }
 
-TEST_CASE("A held request is answered as not run, with the time when it may be tried") {
+TEST_CASE("A held request is answered as not run, with a retry time") {
   Fixture fixture;
   FakeRegister cluster;
   Hold(fixture, cluster);
@@ -245,7 +245,7 @@
   CHECK(fixture.took < milliseconds(20));
 }
 
-TEST_CASE("A trial that is answered clears the request, and one that reaches nobody goes on") {
+TEST_CASE("A trial continues past unreachable back ends, and a response clears the request") {
   Fixture fixture;
   FakeRegister cluster;
   Hold(fixture, cluster);
@@ -258,7 +258,7 @@
   CHECK(cluster.cleared == std::vector<size_t>{2});
 }
 
-TEST_CASE("A request that runs at most once may move on from a refusal") {
+TEST_CASE("A request that runs at most once is retried after a refusal") {
   Fixture fixture;
   fixture.route().kind = RouteKind::kOnce;
   bool refused = false;
@@ -273,7 +273,7 @@
   CHECK(fixture.backends.SentRequests() == 2);
 }
 
-TEST_CASE("A request that nobody takes is told when to come back, before its time is over") {
+TEST_CASE("A request that all back ends refuse fails before its deadline, with a retry time") {
   Fixture fixture;
   fixture.route().kind = RouteKind::kOnce;
   fixture.Add("1.1.1.1:1", [](const HttpRequest&) { return Refusal(); });
@@ -284,13 +284,13 @@
   CHECK(fixture.took < milliseconds(600));
 }
 
-TEST_CASE("A silent back end is hedged for a repeatable request only") {
+TEST_CASE("An unresponsive back end is hedged for a repeatable request only") {
   for (const bool repeatable : {true, false}) {
     Fixture fixture;
     fixture.route().kind = repeatable ? RouteKind::kRepeatable : RouteKind::kOnce;
     bool first = true;
     const auto script = [&first](const HttpRequest&) {
-      return std::exchange(first, false) ? Of(FakeAnswer::Kind::kSilence) : Ok();
+      return std::exchange(first, false) ? Of(FakeAnswer::Kind::kNoResponse) : Ok();
     };
     fixture.Add("1.1.1.1:1", script);
     fixture.Add("1.1.1.1:2", script);
@@ -299,12 +299,12 @@
     const auto wanted = repeatable ? ForwardOutcome::kAnswered : ForwardOutcome::kTimedOut;
     CHECK(result->outcome == wanted);
     CHECK(fixture.took <= milliseconds(801));
-    // The one that is not wanted any more is cancelled.
+    // The unanswered attempt is cancelled.
     CHECK(fixture.backends.calls[0]->cancelled);
   }
 }
 
-TEST_CASE("An answer to another request is never passed on") {
+TEST_CASE("A response to another request is never passed on") {
   Fixture fixture;
   fixture.Add("1.1.1.1:1", [](const HttpRequest&) {
     FakeAnswer answer = Ok();
@@ -316,7 +316,7 @@
   CHECK(result->outcome == ForwardOutcome::kFailed);
 }
 
-TEST_CASE("A life that is over gets nothing more, whatever the directory says") {
+TEST_CASE("A superseded incarnation gets no requests, whatever the configuration says") {
   Fixture fixture;
   fixture.Add("1.1.1.1:1", [](const HttpRequest&) {
     return FakeAnswer{FakeAnswer::Kind::kAnswer, 421, {}, {""}};
@@ -326,7 +326,7 @@
   CHECK(fixture.backends.CountAt("1.1.1.1:1") <= 1);
 }
 
-TEST_CASE("A back end that is leaving gets nothing more") {
+TEST_CASE("A back end that is leaving gets no requests") {
   Fixture fixture;
   fixture.Add("1.1.1.1:1", [](const HttpRequest&) { return Ok(); });
   fixture.Add("1.1.1.1:2", [](const HttpRequest&) { return Ok(); });
@@ -335,7 +335,7 @@
   CHECK(fixture.backends.CountAt("1.1.1.1:1") == 0);
 }
 
-TEST_CASE("Of two lives at one address the later one is meant") {
+TEST_CASE("Of two incarnations at one address the newer one gets the requests") {
   Fixture fixture;
   fixture.Add("1.1.1.1:1", [](const HttpRequest&) { return Ok(); });
   BackendInstance later = LiveInstance("1.1.1.1:1", "pages");
@@ -348,9 +348,9 @@
   }
 }
 
-TEST_CASE("A request whose client has gone is cancelled at its back end") {
+TEST_CASE("A request whose client has disconnected is cancelled at its back end") {
   Fixture fixture;
-  fixture.Add("1.1.1.1:1", [](const HttpRequest&) { return Of(FakeAnswer::Kind::kSilence); });
+  fixture.Add("1.1.1.1:1", [](const HttpRequest&) { return Of(FakeAnswer::Kind::kNoResponse); });
   fixture.service_.Update(fixture.configuration);
   const auto flow = fixture.service_.Forward({{"POST", "/p/x", {}, ""}, "a.example", "id", {}},
                                              [](const ForwardResult&) { FAIL("answered"); });
--- a/test/ingress/ingress_service_test.cc
+++ b/test/ingress/ingress_service_test.cc
@@ -1,4 +1,4 @@
-/// Which routes a node goes by as documents come.
+/// Which routes a node uses as routing documents arrive.
 #include "ingress/ingress_service.h"
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-/// A document names the service of its one route, at /p/; "unreadable" can't be read.
+/// Reads a document's content as the service of one route at /p/; "unreadable" is an error.
 class OneRoute : public RoutingDocumentReader {
  public:
   absl::StatusOr<RouteTable> Read(const std::string& content) const override {
@@ -38,13 +38,13 @@
     }
   }
 
-  void Take(uint64_t version, const std::string& content) {
+  void Apply(uint64_t version, const std::string& content) {
     configuration.routing = {version, content};
     configuration.revision = Next(configuration.revision);
     ingress.Update(configuration);
   }
 
-  ForwardResult Ask(const std::string& target) {
+  ForwardResult Send(const std::string& target) {
     ForwardResult ended;
     ingress.Forward({{"GET", target, {}, ""}, "h", "id", milliseconds(500)},
                     [&](const ForwardResult& result) { ended = result; });
@@ -61,25 +61,25 @@
   IngressService ingress{environment, backends, protocol, reader, Zone("z1")};
 };
 
-TEST_CASE("Other content under the version held is taken over") {
+TEST_CASE("New content under the same version is applied") {
   Fixture fixture;
-  fixture.Take(1, "pages");
-  fixture.Take(1, "shop");
-  fixture.Ask("/p/x");
+  fixture.Apply(1, "pages");
+  fixture.Apply(1, "shop");
+  fixture.Send("/p/x");
   CHECK(fixture.backends.CountAt("pages:1") == 0);
   CHECK(fixture.backends.CountAt("shop:1") == 1);
 }
 
-TEST_CASE("A node that can't read the newest routes refuses nothing for want of a route") {
+TEST_CASE("With an unreadable routing document a missing route is reported as not configured") {
   Fixture fixture;
-  fixture.Take(1, "pages");
-  CHECK(fixture.Ask("/q/x").outcome == ForwardOutcome::kNoRoute);
-  fixture.Take(2, "unreadable");
-  // They may have the route; those held still lead where they did.
-  CHECK(fixture.Ask("/q/x").outcome == ForwardOutcome::kNotConfigured);
-  CHECK(fixture.Ask("/p/x").outcome == ForwardOutcome::kAnswered);
-  fixture.Take(3, "shop");
-  CHECK(fixture.Ask("/q/x").outcome == ForwardOutcome::kNoRoute);
+  fixture.Apply(1, "pages");
+  CHECK(fixture.Send("/q/x").outcome == ForwardOutcome::kNoRoute);
+  fixture.Apply(2, "unreadable");
+  // The unreadable document may hold the route; the old routes stay in use.
+  CHECK(fixture.Send("/q/x").outcome == ForwardOutcome::kNotConfigured);
+  CHECK(fixture.Send("/p/x").outcome == ForwardOutcome::kAnswered);
+  fixture.Apply(3, "shop");
+  CHECK(fixture.Send("/q/x").outcome == ForwardOutcome::kNoRoute);
 }
 
 }  // namespace
--- a/test/ingress/request_guard_test.cc
+++ b/test/ingress/request_guard_test.cc
@@ -25,18 +25,18 @@
     backends.Serve("other:1", [](const HttpRequest&) {
       return FakeAnswer{Kind::kAnswer, 200, {{"instance", "another life"}}};
     });
-    backends.Serve("silent:1", [](const HttpRequest&) { return FakeAnswer{Kind::kSilence}; });
+    backends.Serve("silent:1", [](const HttpRequest&) { return FakeAnswer{Kind::kNoResponse}; });
     backends.Serve("resets:1", [](const HttpRequest&) { return FakeAnswer{Kind::kReset}; });
   }
 
-  /// `address` got the request and lost it; what that is taken for is known after.
+  /// `address` received the request and lost it; runs until the liveness check has ended.
   void Lose(const std::string& address) {
     guard.OnLost(kGuarded, LiveInstance(address, "pages"));
     scheduler.RunFor(milliseconds(200));
   }
 
-  /// The cluster's record of the request.
-  void Know(std::vector<std::string> crashed, uint32_t trials = 0, uint64_t revision = 7) {
+  /// Sets the cluster's record of the request.
+  void SetRecord(std::vector<std::string> crashed, uint32_t trials = 0, uint64_t revision = 7) {
     SuspectRequest record;
     record.request = kRequest;
     record.place = kGuarded.place;
@@ -56,7 +56,7 @@
                      nullptr};
 };
 
-TEST_CASE("Only a life that has ended is held against a request") {
+TEST_CASE("Only an incarnation that has ended counts as a crash") {
   Fixture fixture;
   for (const char* address : {"here:1", "silent:1", "resets:1"}) {
     fixture.Lose(address);
@@ -71,7 +71,7 @@
   CHECK_FALSE(fixture.guard.MayBeSuspect("a.example/q"));
 }
 
-TEST_CASE("One question is asked of a life for all that it lost") {
+TEST_CASE("One liveness check serves all requests that an incarnation lost") {
   Fixture fixture;
   for (const char* name : {"r1", "r2", "r3"}) {
     fixture.guard.OnLost({RequestFingerprint(name), name}, LiveInstance("nobody:1", "pages"));
@@ -83,7 +83,7 @@
   }
 }
 
-TEST_CASE("A request waits for the verdict that may hold it, and for no other") {
+TEST_CASE("A request waits only for a liveness check that could hold it") {
   Fixture fixture;
   fixture.guard.OnLost(kGuarded, LiveInstance("nobody:1", "pages"));
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kSend);
@@ -94,7 +94,7 @@
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kRefuse);
 }
 
-TEST_CASE("A single crash is reported once its caller gets no further try here") {
+TEST_CASE("A single crash is reported once this node gives the request up") {
   Fixture fixture;
   fixture.Lose("nobody:1");
   CHECK(fixture.cluster.reported.empty());
@@ -117,7 +117,7 @@
   }
 }
 
-TEST_CASE("What the cluster did not take is reported again") {
+TEST_CASE("A report that was not committed is repeated") {
   Fixture fixture;
   fixture.cluster.commits = false;
   fixture.Lose("nobody:1");
@@ -127,29 +127,29 @@
   CHECK(fixture.cluster.reported.size() > first);
   fixture.cluster.commits = true;
   fixture.scheduler.RunFor(seconds(2));
-  const size_t taken = fixture.cluster.reported.size();
+  const size_t committed = fixture.cluster.reported.size();
   fixture.scheduler.RunFor(seconds(5));
-  CHECK(fixture.cluster.reported.size() == taken);
+  CHECK(fixture.cluster.reported.size() == committed);
 }
 
-TEST_CASE("What was reported and cleared before it was pushed here is held against nobody") {
+TEST_CASE("A crash whose record was cleared before it reached this node is dropped") {
   Fixture fixture;
   fixture.Lose("nobody:1");
   fixture.Lose("nobody:2");
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kRefuse);
-  // The report is committed, and this node's configuration has not come so far.
+  // The report is committed, but this node's configuration is older.
   fixture.guard.OnRevision(Revision(99));
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kRefuse);
-  // Another node cleared the record: the next changes tell of it and of its end at once.
+  // Another node cleared the record before this node received it.
   fixture.guard.Update({});
   fixture.guard.OnRevision(Revision(101));
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kSend);
   CHECK(fixture.guard.idle());
 }
 
-TEST_CASE("A held request is tried after a pause, by whom the cluster lets") {
+TEST_CASE("A held request is tried after a pause, if the cluster grants a trial") {
   Fixture fixture;
-  fixture.Know({"i1", "i2"});
+  fixture.SetRecord({"i1", "i2"});
   GuardDecision decision = fixture.guard.Judge(kRequest);
   CHECK(decision.verdict == GuardVerdict::kRefuse);
   CHECK(decision.retry_after == kClientTrialPauses.front());
@@ -159,21 +159,21 @@
   fixture.guard.BeginTrial(kRequest, [&](bool answer) { granted = answer; });
   CHECK(granted == true);
   CHECK(fixture.cluster.trial_of == Revision(7));
-  // All others learn of the trial, and wait anew.
-  fixture.Know({"i1", "i2"}, 1, 8);
+  // A granted trial starts a new pause at all nodes.
+  fixture.SetRecord({"i1", "i2"}, 1, 8);
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kRefuse);
 }
 
-/// Three trials of a content found nobody listening and barred it for a day, for requests of
-/// clients as for items of batch jobs: the cluster counts a trial when it grants it.
-TEST_CASE("A trial that reached nobody is the node's to use again, and not asked for anew") {
+/// The cluster counts a trial when it grants it: trials that reach no back end must not bar the
+/// request.
+TEST_CASE("A trial that reached no back end is reused without a new grant") {
   Fixture fixture;
-  fixture.Know({"i1", "i2"});
+  fixture.SetRecord({"i1", "i2"});
   fixture.scheduler.RunFor(kClientTrialPauses.front());
   std::optional<bool> granted;
   fixture.guard.BeginTrial(kRequest, [&](bool answer) { granted = answer; });
   REQUIRE(granted == true);
-  fixture.Know({"i1", "i2"}, 1, 8);
+  fixture.SetRecord({"i1", "i2"}, 1, 8);
   fixture.guard.ReturnTrial(kRequest);
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kTrial);
   granted.reset();
@@ -181,22 +181,22 @@
   CHECK(granted == true);
   CHECK(fixture.cluster.trials == 1);
   SECTION("once only") { CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kRefuse); }
-  SECTION("also when others have used up the last one meanwhile") {
+  SECTION("also when other nodes have used up the last trial") {
     fixture.guard.ReturnTrial(kRequest);
-    fixture.Know({"i1", "i2"}, kMaxTrials, 9);
+    fixture.SetRecord({"i1", "i2"}, kMaxTrials, 9);
     CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kTrial);
   }
-  SECTION("no longer once the cluster has forgotten the request") {
+  SECTION("not after the cluster has deleted its record") {
     fixture.guard.ReturnTrial(kRequest);
     fixture.guard.Update({});
-    fixture.Know({"i1", "i2"}, 1, 20);
+    fixture.SetRecord({"i1", "i2"}, 1, 20);
     CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kRefuse);
   }
 }
 
-TEST_CASE("A barred request is not tried, however long it is asked for") {
+TEST_CASE("A barred request is never tried") {
   Fixture fixture;
-  fixture.Know({"i1", "i2", "i3", "i4"}, 2);
+  fixture.SetRecord({"i1", "i2", "i3", "i4"}, 2);
   for (int i = 0; i < 100; ++i) {
     fixture.scheduler.RunFor(seconds(60));
     CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kRefuse);
@@ -204,25 +204,25 @@
   CHECK(fixture.guard.Judge(kRequest).retry_after == kBarredRetryAfter);
 }
 
-TEST_CASE("Crashes before the first trial bar nothing, however many") {
+TEST_CASE("Crashes before the first trial don't bar a request") {
   Fixture fixture;
-  fixture.Know({"i1", "i2", "i3", "i4", "i5"});
+  fixture.SetRecord({"i1", "i2", "i3", "i4", "i5"});
   CHECK(fixture.guard.Judge(kRequest).standing == SuspectStanding::kHeld);
   fixture.scheduler.RunFor(kClientTrialPauses.front());
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kTrial);
 }
 
-TEST_CASE("An item's first trial follows at once, its second after a pause") {
+TEST_CASE("The first trial of a batch item needs no pause, the second does") {
   Fixture fixture;
-  fixture.Know({"i1", "i2"});
+  fixture.SetRecord({"i1", "i2"});
   CHECK(fixture.guard.Judge(kRequest, kItemTrialPauses).verdict == GuardVerdict::kTrial);
-  fixture.Know({"i1", "i2", "i3"}, 1, 8);
+  fixture.SetRecord({"i1", "i2", "i3"}, 1, 8);
   CHECK(fixture.guard.Judge(kRequest, kItemTrialPauses).verdict == GuardVerdict::kRefuse);
   fixture.scheduler.RunFor(kItemTrialPauses[1]);
   CHECK(fixture.guard.Judge(kRequest, kItemTrialPauses).verdict == GuardVerdict::kTrial);
 }
 
-TEST_CASE("What was served lately is remembered for one span or two, within a bound") {
+TEST_CASE("Served requests are remembered for one to two windows, within a limit") {
   Fixture fixture;
   fixture.guard.RecordServed(1);
   CHECK(fixture.guard.ServedRecently(1));
@@ -236,19 +236,19 @@
   CHECK(fixture.guard.ServedRecently(99'999));
 }
 
-TEST_CASE("What this node saw and what the cluster holds count together, each life once") {
+TEST_CASE("Crashes seen here and in the cluster's record are merged by incarnation") {
   Fixture fixture;
   fixture.Lose("nobody:1");
-  fixture.Know({"nobody:1"});
+  fixture.SetRecord({"nobody:1"});
   CHECK(fixture.guard.Judge(kRequest).count.crashes == 1);
   fixture.Lose("nobody:2");
   CHECK(fixture.guard.Judge(kRequest).count.crashes == 2);
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kRefuse);
 }
 
-TEST_CASE("An answer clears the cluster's record once, and again if that was not taken") {
+TEST_CASE("A response clears the cluster's record once, and again if that was not committed") {
   Fixture fixture;
-  fixture.Know({"i1", "i2"});
+  fixture.SetRecord({"i1", "i2"});
   fixture.cluster.commits = false;
   fixture.guard.OnServed(kRequest);
   fixture.cluster.commits = true;
@@ -260,7 +260,7 @@
   CHECK(fixture.guard.Judge(kRequest).verdict == GuardVerdict::kSend);
 }
 
-TEST_CASE("A flood of lost requests is remembered within a bound, and no held one pushed out") {
+TEST_CASE("Many lost requests are remembered within a limit and don't push out a held one") {
   Fixture fixture;
   fixture.Lose("nobody:1");
   fixture.Lose("nobody:2");
--- a/test/ingress/stream_flow_test.cc
+++ b/test/ingress/stream_flow_test.cc
@@ -63,11 +63,11 @@
   std::unique_ptr<StreamFlow> flow;
 };
 
-/// Answers with events; the first call breaks inside the second event.
+/// Responds with events; the first call is truncated inside the second event.
 FakeBackends::Script BreaksOnce(bool& broken) {
   return [&broken](const HttpRequest& request) {
     if (!std::exchange(broken, true)) {
-      return FakeAnswer{Kind::kCutBody, 200, {{"signature", "first"}}, {"1||one\n\n2||tw"}};
+      return FakeAnswer{Kind::kTruncatedBody, 200, {{"signature", "first"}}, {"1||one\n\n2||tw"}};
     }
     const bool resumes = FindHeader(request.headers, "resume") == "1";
     return FakeAnswer{Kind::kAnswer,
@@ -77,7 +77,7 @@
   };
 }
 
-TEST_CASE("Whole events are passed on as they come") {
+TEST_CASE("Complete events are passed on as they arrive") {
   Fixture fixture;
   fixture.Add("e:1", [](const HttpRequest&) {
     return FakeAnswer{Kind::kAnswer, 200, {}, {"1||o", "ne\n\n2||t", "wo\n\n"}};
@@ -89,7 +89,7 @@
   CHECK(fixture.sink.text == "1||one\n\n2||two\n\n");
 }
 
-TEST_CASE("A stream that breaks goes on elsewhere after its last event, with its first head") {
+TEST_CASE("An interrupted stream is resumed elsewhere after its last event, with its first head") {
   Fixture fixture;
   fixture.route.resumable = true;
   bool broken = false;
@@ -103,7 +103,7 @@
   CHECK(FindHeader(fixture.sink.head.headers, "signature") == "first");
 }
 
-TEST_CASE("A stream that may not be resumed is cut and not run again") {
+TEST_CASE("An interrupted stream that is not resumable fails and is not run again") {
   Fixture fixture;
   bool broken = false;
   fixture.Add("e:1", BreaksOnce(broken));
@@ -116,14 +116,14 @@
   CHECK(fixture.backends.SentRequests() == 1);
 }
 
-TEST_CASE("A run that begins again at the first event never doubles what was passed on") {
+TEST_CASE("A run that restarts at the first event never causes duplicate events") {
   Fixture fixture;
   fixture.route.resumable = true;
   fixture.route.attempts = 2;
   bool broken = false;
   const auto script = [&broken](const HttpRequest&) {
     const bool first = !std::exchange(broken, true);
-    return FakeAnswer{first ? Kind::kCutBody : Kind::kAnswer, 200, {}, {"1||one\n\n"}};
+    return FakeAnswer{first ? Kind::kTruncatedBody : Kind::kAnswer, 200, {}, {"1||one\n\n"}};
   };
   fixture.Add("e:1", script);
   fixture.Add("e:2", script);
@@ -133,7 +133,7 @@
   CHECK(fixture.sink.text == "1||one\n\n");
 }
 
-TEST_CASE("A refusal moves on before anything is passed on; nobody at all is told as not run") {
+TEST_CASE("A refused stream is retried, and reported as not run if all back ends refuse it") {
   Fixture fixture;
   fixture.Add("e:1", [](const HttpRequest&) {
     return FakeAnswer{Kind::kAnswer, 503, {{"refused", "1"}}, {}};
@@ -150,7 +150,7 @@
   CHECK(end->forward.outcome == ForwardOutcome::kAnswered);
 }
 
-TEST_CASE("An answer that is no stream is passed on as a whole") {
+TEST_CASE("A response that is not an event stream is passed on complete") {
   Fixture fixture;
   fixture.Add("e:1", [](const HttpRequest&) {
     return FakeAnswer{Kind::kAnswer, 422, {}, {"not", " so"}};
@@ -162,7 +162,7 @@
   CHECK(end->forward.body == "not so");
 }
 
-TEST_CASE("A stream ends at its time limit, and its back end is told") {
+TEST_CASE("A stream ends at its time limit and is cancelled at its back end") {
   Fixture fixture;
   fixture.Add("e:1", [](const HttpRequest&) {
     FakeAnswer answer{Kind::kAnswer, 200, {}, {"1||one\n\n", "2||two\n\n"}};
