--- a/source/quarantine/request_fingerprint.cc
+++ b/source/quarantine/request_fingerprint.cc
@@ -13,11 +13,11 @@
 namespace millstair {
 namespace {
 
-/// Identifiers of this kind begin here, drawn once.
+/// Namespace UUID of request fingerprints.
 constexpr boost::uuids::uuid kNamespace = {{0x5c, 0x0e, 0x9a, 0x6b, 0x1f, 0x37, 0x4d, 0x82, 0xa4,
                                             0xd9, 0x27, 0x63, 0xe8, 0xb0, 0x14, 0xcf}};
 
-/// With its length before it, no two lists of parts give the same text.
+/// The length prefix makes the encoding of a list of parts unambiguous.
 void AppendPart(std::string& text, std::string_view part) {
   text += fmt::format("{}:", part.size());
   text += part;
@@ -34,7 +34,7 @@
 }  // namespace
 
 uint64_t DigestOf(const RequestIdentity& identity, uint64_t seed) {
-  // Each part's digest seeds the next, so that parts don't run into each other.
+  // Each part's hash seeds the next, so that the boundaries of the parts count.
   uint64_t digest = seed;
   for (const std::string_view part : {identity.method, identity.host, identity.target,
                                       std::string_view(identity.caller.value()), identity.body}) {
--- a/source/quarantine/request_fingerprint.h
+++ b/source/quarantine/request_fingerprint.h
@@ -1,5 +1,5 @@
-/// What makes two requests the same: who asks, where, and for what. Identifiers, deadlines and
-/// other headers differ from one try to the next and don't count.
+/// Identifies requests with the same content: caller, endpoint and body. Request identifiers,
+/// deadlines and other headers differ between attempts and are not part of it.
 #pragma once
 
 #include <cstdint>
@@ -9,27 +9,27 @@
 
 namespace millstair {
 
-/// What a fingerprint is made of. Views; used at once.
+/// The parts of a fingerprint. Holds views; not to be stored.
 struct RequestIdentity {
   std::string_view method;
   std::string_view host;
   /// Path and query.
   std::string_view target;
-  /// Empty where nobody is known: then all callers count as one.
+  /// Empty if the caller is unknown: all such callers count as one.
   const TenantName& caller;
   std::string_view body;
 };
 
-/// Of a longer body only the first and the last half of this and its length count, so that a
-/// fingerprint takes some 10 ms at most.
+/// Of a longer body only the length, the first half and the last half of this many bytes are
+/// hashed, which takes at most some 10 ms.
 inline constexpr size_t kMaxFingerprintedBytes = 1024 * 1024;
 
-/// A quick digest of the same parts, for tables of one process; not for others.
+/// A fast, seeded hash of the same parts, for tables within one process.
 uint64_t DigestOf(const RequestIdentity& identity, uint64_t seed);
 
-/// A name-based identifier (RFC 4122, version 5) of all parts: 36 characters. Nobody can make a
-/// request that has the fingerprint of another one's: that takes a second preimage of SHA-1. So it
-/// needs no secret, and a node that has just started makes the same one as all others.
+/// A name-based UUID (RFC 4122, version 5) of all parts: 36 characters. To match another request's
+/// fingerprint takes a second preimage of SHA-1, so no secret is needed and all nodes compute the
+/// same value.
 RequestFingerprint FingerprintOf(const RequestIdentity& identity);
 
 }  // namespace millstair
--- a/source/quarantine/suspect_ledger.h
+++ b/source/quarantine/suspect_ledger.h
@@ -1,5 +1,5 @@
-/// Changes of the cluster's record of suspect requests. Part of the replicated state: the same
-/// calls in the same order give the same record on every replica.
+/// Changes the cluster's record of suspect requests. Part of the replicated state: the same calls
+/// in the same order produce the same record on every replica.
 #pragma once
 
 #include <map>
@@ -11,31 +11,32 @@
 
 using SuspectRequests = std::map<RequestFingerprint, SuspectRequest>;
 
-/// How long a request is remembered after its last change. One crash says little after a minute.
-/// Servers are mended within a day, or an operator lifts what is barred.
+/// How long a request is remembered after its last change. A barred request is kept long enough for
+/// the servers to be fixed or an operator to lift it.
 inline constexpr Duration kWatchedRetention = std::chrono::minutes(1);
 inline constexpr Duration kHeldRetention = std::chrono::minutes(10);
 inline constexpr Duration kBarredRetention = std::chrono::hours(24);
-/// More are not remembered (some 400 kB at each node). Those with the fewest crashes go first, and
-/// the oldest among them: a caller that wants to push out a barred one has to crash three servers
+/// Maximum number of records (some 400 kB at each node). The oldest of those with the fewest
+/// crashes are dropped first: to push out a barred request, a caller has to crash three servers
 /// under each of as many requests.
 inline constexpr size_t kMaxSuspects = 1024;
 
-/// Lives for one command. Notes in `touched` which requests it changed.
+/// Exists for one command. Adds the requests that it changes to `touched`.
 class SuspectLedger {
  public:
   SuspectLedger(SuspectRequests& suspects, std::set<RequestFingerprint>& touched, Revision revision,
                 WallTime now)
       : suspects_(suspects), touched_(touched), revision_(revision), now_(now) {}
 
-  /// Counts the lives that ended under a request; one that is known already changes nothing.
+  /// Records the incarnations that ended under a request; known ones change nothing.
   void Report(const CrashReport& report);
-  /// Grants one trial to whoever asks first with the record's last change `seen`; whether it did.
+  /// Grants a trial if `seen` is the revision of the record's last change, so that only the first
+  /// of several concurrent requests succeeds. Returns whether it was granted.
   bool BeginTrial(const RequestFingerprint& request, Revision seen);
-  /// A back end has answered the request whose record had no more than `crashes` then: it crashes
-  /// nobody. One that has more since stays.
+  /// Deletes the record of a request that a back end answered, unless it holds more than `crashes`,
+  /// the number known to the reporting node.
   void Clear(const RequestFingerprint& request, size_t crashes);
-  /// Forgets what is old.
+  /// Deletes expired records.
   void Expire();
 
  private:
--- a/source/quarantine/suspect_register.h
+++ b/source/quarantine/suspect_register.h
@@ -1,4 +1,4 @@
-/// The cluster's record of suspect requests, as a node that sends requests changes it.
+/// Interface by which nodes that send requests change the cluster's record of suspect requests.
 #pragma once
 
 #include <functional>
@@ -9,17 +9,17 @@
 
 namespace millstair {
 
-/// Calls on the node's serial executor. A call whose outcome is not known says false, late.
+/// Called on the node's serial executor. If the outcome of a call is unknown, `done` receives false
+/// after a timeout.
 class SuspectRegister {
  public:
-  /// Whether the change is committed.
   using Done = std::function<void(bool committed)>;
 
   virtual ~SuspectRegister() = default;
-  /// The revision with which a report counts; none if it may not be committed.
+  /// The revision at which the report was committed; none if that is unknown.
   using Reported = std::function<void(std::optional<Revision> committed_at)>;
   virtual void Report(std::vector<CrashReport> reports, Reported done) = 0;
-  /// Says true to one node at a time.
+  /// Grants a trial to one node at a time.
   virtual void BeginTrial(const RequestFingerprint& request, Revision seen, Done done) = 0;
   virtual void Clear(const RequestFingerprint& request, size_t crashes, Done done) = 0;
 };
--- a/source/quarantine/suspect_request.cc
+++ b/source/quarantine/suspect_request.cc
@@ -7,7 +7,7 @@
 std::string PlaceOf(std::string_view host, std::string_view target) {
   std::string place = fmt::format("{}{}", host, target);
   if (place.size() > kMaxPlaceBytes) place.resize(kMaxPlaceBytes);
-  // What is stored as text must not hold a zero byte.
+  // Text fields of stored records can't hold a zero byte.
   std::erase(place, '\0');
   return place;
 }
--- a/test/quarantine/request_fingerprint_test.cc
+++ b/test/quarantine/request_fingerprint_test.cc
@@ -13,7 +13,7 @@
   return FingerprintOf({method, host, target, tenant, body});
 }
 
-TEST_CASE("The same request has the same fingerprint, and each part tells requests apart") {
+TEST_CASE("The same request has the same fingerprint, and each part changes it") {
   const RequestFingerprint first = Of("POST", "a", "/p", "t", "body");
   CHECK(first == Of("POST", "a", "/p", "t", "body"));
   const std::set<RequestFingerprint> all = {
@@ -27,12 +27,12 @@
   CHECK(all.size() == 6);
 }
 
-TEST_CASE("Parts that only touch each other elsewhere make another fingerprint") {
+TEST_CASE("Moving the boundary between parts changes the fingerprint") {
   CHECK(Of("POST", "a", "/p", "t", "x") != Of("POST", "a", "/pt", "", "x"));
   CHECK(Of("POST", "a", "/p", "1:x", "") != Of("POST", "a", "/p", "", "1:x"));
 }
 
-TEST_CASE("A long body counts with its beginning, its end and its length") {
+TEST_CASE("A long body counts by its start, its end and its length") {
   const std::string body(3 * kMaxFingerprintedBytes, 'x');
   std::string other_end = body;
   other_end.back() = 'y';
--- a/test/quarantine/suspect_ledger_test.cc
+++ b/test/quarantine/suspect_ledger_test.cc
@@ -13,7 +13,7 @@
 
 const RequestFingerprint kRequest("r");
 
-/// A record whose time and revision grow with each change.
+/// Runs each command at a new revision.
 class Fixture {
  public:
   SuspectLedger Ledger() {
@@ -30,7 +30,7 @@
   WallTime now{hours(1000)};
 };
 
-/// Ends lives under the request, two of them in trials.
+/// Bars the request by two crashes, then two more in trials.
 void Bar(Fixture& fixture) {
   fixture.Crash("i1");
   fixture.Crash("i2");
@@ -40,16 +40,16 @@
   }
 }
 
-TEST_CASE("The second life that ends holds a request, and the second one in a trial bars it") {
+TEST_CASE("The second crash holds a request, and the second crash in a trial bars it") {
   Fixture fixture;
   fixture.Crash("i1");
   CHECK(fixture.Standing() == SuspectStanding::kWatched);
-  // What two gateways report of one life counts once.
+  // Two gateways that report the same incarnation count once.
   fixture.Crash("i1");
   CHECK(fixture.Standing() == SuspectStanding::kWatched);
   fixture.Crash("i2");
   CHECK(fixture.Standing() == SuspectStanding::kHeld);
-  // Many of one content may have run at once.
+  // Crashes before the first trial don't bar: concurrent requests may have the same content.
   fixture.Crash("i3");
   CHECK(fixture.Standing() == SuspectStanding::kHeld);
   CHECK(fixture.Ledger().BeginTrial(kRequest, fixture.suspects.at(kRequest).changed_at));
@@ -61,7 +61,7 @@
   CHECK(fixture.suspects.at(kRequest).place == "a.example/p");
 }
 
-TEST_CASE("A report of what is known changes nothing") {
+TEST_CASE("A report of a known crash changes nothing") {
   Fixture fixture;
   fixture.Crash("i1");
   const SuspectRequest before = fixture.suspects.at(kRequest);
@@ -71,7 +71,7 @@
   CHECK(fixture.touched.empty());
 }
 
-TEST_CASE("One node at a time gets a trial, of a held request only") {
+TEST_CASE("A trial is granted to one node at a time, for held requests only") {
   Fixture fixture;
   fixture.Crash("i1");
   CHECK_FALSE(fixture.Ledger().BeginTrial(kRequest, fixture.suspects.at(kRequest).changed_at));
@@ -82,7 +82,7 @@
   CHECK_FALSE(fixture.Ledger().BeginTrial(RequestFingerprint("other"), Revision()));
 }
 
-TEST_CASE("Trials of which nothing is heard bar a request in the end") {
+TEST_CASE("Trials without an outcome bar a request in the end") {
   Fixture fixture;
   fixture.Crash("i1");
   fixture.Crash("i2");
@@ -92,7 +92,7 @@
   CHECK(fixture.Standing() == SuspectStanding::kBarred);
 }
 
-TEST_CASE("An answer clears a request, unless another life ended since") {
+TEST_CASE("A response clears a request, unless it crashed again since") {
   Fixture fixture;
   fixture.Crash("i1");
   fixture.Crash("i2");
@@ -104,7 +104,7 @@
   CHECK(fixture.touched.contains(kRequest));
 }
 
-TEST_CASE("A request is forgotten the later the more it did") {
+TEST_CASE("Records of more severe requests expire later") {
   Fixture fixture;
   fixture.Crash("i1");
   fixture.now += minutes(1);
@@ -122,7 +122,7 @@
   CHECK(fixture.suspects.empty());
 }
 
-TEST_CASE("A flood of requests with one crash each pushes no barred one out") {
+TEST_CASE("Many requests with one crash each don't push out a barred one") {
   Fixture fixture;
   Bar(fixture);
   for (size_t i = 0; i < 2 * kMaxSuspects; ++i) {
@@ -132,7 +132,7 @@
   CHECK(fixture.Standing() == SuspectStanding::kBarred);
 }
 
-TEST_CASE("A record keeps no more lives than it needs, and no long or unprintable place") {
+TEST_CASE("A record limits its incarnations and the length and content of its place") {
   Fixture fixture;
   for (int i = 0; i < 100; ++i) fixture.Crash(fmt::format("i{}", i));
   CHECK(fixture.suspects.at(kRequest).crashed.size() == kMaxRecordedCrashes);
