--- a/source/limits/admission.cc
+++ b/source/limits/admission.cc
@@ -7,9 +7,9 @@
 namespace millstair {
 namespace {
 
-/// Weight of a new service time in the smoothed one.
+/// Weight of a new sample in the smoothed service time.
 constexpr double kServiceSmoothing = 0.1;
-/// Told to callers when nothing is known about service times yet.
+/// Used while no service time is known.
 constexpr Duration kDefaultRetryAfter = std::chrono::seconds(1);
 
 }  // namespace
@@ -94,7 +94,7 @@
 }
 
 void AdmissionController::AdmitQueued() {
-  // A callback may drop other places, or the controller itself.
+  // A callback may destroy other admissions or the controller itself.
   const std::weak_ptr<AdmissionController*> alive = self_;
   while (!alive.expired() && !queue_.empty() && running_ < limits_.max_concurrent) {
     Admission& next = *queue_.begin()->second;
--- a/source/limits/admission.h
+++ b/source/limits/admission.h
@@ -1,5 +1,5 @@
-/// Admission of requests per traffic group: a bound on concurrent requests and a bounded queue in
-/// which work that cannot make its deadline is refused at once.
+/// Admission control per traffic group: limits concurrent requests and queues further ones in a
+/// bounded queue. Requests that would miss their deadline are refused at once.
 #pragma once
 
 #include <cstdint>
@@ -23,18 +23,18 @@
 enum class AdmissionRefusal {
   kQueueFull,
   kCannotMakeDeadline,
-  kDeadlinePassed,  ///< in the queue, despite the forecast
+  kDeadlinePassed,  ///< while queued, despite the forecast
 };
 
 struct AdmissionRefused {
   AdmissionRefusal reason = AdmissionRefusal::kQueueFull;
-  /// When the caller may expect room.
+  /// When the caller may expect a free slot.
   Duration retry_after{0};
 };
 
 class AdmissionController;
 
-/// A request's place: queued, then admitted. Dropping it leaves the queue or frees the slot.
+/// A request's entry in the queue, then its slot. Destroying it leaves the queue or frees the slot.
 class Admission {
  public:
   ~Admission();
@@ -45,7 +45,7 @@
 
  private:
   friend class AdmissionController;
-  /// Urgent first, then in order of arrival.
+  /// Urgent requests first, then in order of arrival.
   struct Rank {
     int negative_priority = 0;
     uint64_t arrival = 0;
@@ -65,7 +65,7 @@
   bool admitted_ = false;
 };
 
-/// Outcome of asking: a place, or a refusal.
+/// Either an admission or a refusal.
 struct AdmissionResult {
   std::unique_ptr<Admission> admission;
   std::optional<AdmissionRefused> refused;
@@ -79,17 +79,17 @@
   AdmissionController(const AdmissionController&) = delete;
   AdmissionController& operator=(const AdmissionController&) = delete;
 
-  /// Asks for a slot. If the result is a place that is not yet admitted, `later` is called once:
-  /// without a refusal when admitted, else with it. It is never called before Admit returns.
+  /// Requests a slot. If the returned admission is not admitted yet, `later` is called once:
+  /// without a refusal when it is admitted, else with one. It is never called before Admit returns.
   AdmissionResult Admit(RequestPriority priority, TimePoint deadline,
                         std::function<void(std::optional<AdmissionRefused>)> later);
 
-  /// New limits from the configuration; running requests go on.
+  /// Applies new limits; running requests continue.
   void SetLimits(AdmissionLimits limits);
 
   uint32_t running() const { return running_; }
   size_t queued() const { return queue_.size(); }
-  /// Forecast of the wait of a request that comes now.
+  /// Expected queueing time of a request that arrives now.
   Duration ExpectedWait() const { return ExpectedWaitBehind(queue_.size()); }
 
  private:
@@ -113,9 +113,9 @@
   std::map<Admission::Rank, Admission*> queue_;
   ScopedTimer admit_timer_;
   ScopedTimer expiry_timer_;
-  /// When expiry_timer_ runs; places that left the queue since make it run in vain at worst.
+  /// When `expiry_timer_` fires; may be early if the entry has left the queue.
   TimePoint expiry_at_;
-  /// Lets places notice that the controller has gone.
+  /// Lets admissions detect that the controller was destroyed.
   std::shared_ptr<AdmissionController*> self_;
 };
 
--- a/source/limits/concurrency_limit.cc
+++ b/source/limits/concurrency_limit.cc
@@ -6,14 +6,14 @@
 namespace millstair {
 namespace {
 
-/// Weight of a new latency in the recent one.
+/// Weight of a new sample in the recent latency.
 constexpr double kRecentSmoothing = 0.2;
-/// Samples after which the unloaded latency is measured anew.
+/// Samples per window of the unloaded latency.
 constexpr uint32_t kWindowSamples = 200;
 constexpr double kProbeShare = 0.5;
 /// Weight of a new limit.
 constexpr double kLimitSmoothing = 0.2;
-/// Largest cut by one measured latency.
+/// Largest cut by one sample.
 constexpr double kMinGradient = 0.5;
 constexpr double kFailureCut = 0.9;
 
@@ -30,7 +30,7 @@
                         : recent_seconds_ + kRecentSmoothing * (seconds - recent_seconds_);
   const double gradient =
       std::clamp(options_.tolerance * unloaded_seconds_ / recent_seconds_, kMinGradient, 1.0);
-  // Without use of the limit its growth would be unfounded.
+  // Don't grow a limit that is not being used.
   const bool in_use = outstanding * 2 >= limit_;
   if (gradient >= 1.0 && !in_use) return;
   const double wanted = limit_ * gradient + std::sqrt(limit_);
--- a/source/limits/concurrency_limit.h
+++ b/source/limits/concurrency_limit.h
@@ -1,4 +1,4 @@
-/// Adaptive bound on the concurrent requests of one back end, following measured latency.
+/// Adaptive limit on concurrent requests to one back end, based on measured latency.
 #pragma once
 
 #include <cstdint>
@@ -11,27 +11,27 @@
   double initial = 4;
   double min_limit = 1;
   double max_limit = 512;
-  /// Latency may rise to this multiple of the unloaded latency before the limit shrinks.
+  /// Ratio of latency to unloaded latency above which the limit shrinks.
   double tolerance = 1.5;
 };
 
-/// Gradient control: the limit is scaled by unloaded latency over recent latency, plus room for a
-/// short queue. A failure cuts it by a fixed share. The unloaded latency is the least of the last
-/// windows of samples; each window begins with half the limit, since under a standing queue the
-/// unloaded latency would never be seen.
+/// Gradient control: the limit is scaled by the ratio of unloaded to recent latency, plus headroom
+/// for a short queue. A failure cuts it by a fixed factor. The unloaded latency is the minimum of a
+/// window of samples. Each window begins with half the limit, since a standing queue would hide the
+/// unloaded latency.
 class ConcurrencyLimit {
  public:
   explicit ConcurrencyLimit(ConcurrencyLimitOptions options = {});
 
-  /// A request finished after `latency` while `outstanding` were under way.
+  /// A request finished after `latency` while `outstanding` were in progress.
   void RecordLatency(Duration latency, uint32_t outstanding);
-  /// A request was refused, cut or timed out.
+  /// A request was refused, interrupted or timed out.
   void RecordFailure();
-  /// The back end restarted or changed its weights: what was learned of its latency is void.
+  /// Discards the measured latency, after the back end restarted or changed its weights.
   void Reset();
 
   uint32_t limit() const { return static_cast<uint32_t>(limit_); }
-  /// Latency without load as learned so far; 0 if unknown.
+  /// Measured latency without load; 0 if unknown.
   Duration unloaded_latency() const { return FromSeconds(unloaded_seconds_); }
 
  private:
@@ -41,7 +41,7 @@
   double limit_;
   double unloaded_seconds_ = 0;
   double recent_seconds_ = 0;
-  /// Least latency of the window under way, and its samples so far.
+  /// Minimum latency and number of samples of the current window.
   double window_min_seconds_ = 0;
   uint32_t window_samples_ = 0;
 };
--- a/source/limits/fair_share.cc
+++ b/source/limits/fair_share.cc
@@ -8,7 +8,7 @@
 namespace millstair {
 namespace {
 
-/// Stands in for a weight of nothing.
+/// Replaces weights of 0 or less.
 constexpr double kMinWeight = 1e-9;
 
 struct Candidate {
--- a/source/limits/fair_share.h
+++ b/source/limits/fair_share.h
@@ -1,4 +1,4 @@
-/// Divides capacity between claimants by weight: max-min fairness, as between pools and streams.
+/// Divides capacity between claimants by weight (max-min fairness).
 #pragma once
 
 #include <cstdint>
@@ -7,17 +7,18 @@
 namespace millstair {
 
 struct FairClaim {
-  /// Weight against the others; at most 0 gets only what no other wants.
+  /// Relative weight; a claim with weight 0 or less gets only what no other wants.
   double weight = 1.0;
-  /// Already holds.
+  /// Units held already.
   uint32_t held = 0;
-  /// Would take on top of `held`.
+  /// Units wanted in addition to `held`.
   uint32_t wanted = 0;
 };
 
-/// How much of `capacity` each claim gets, in the order of `claims`. Units go one by one to the
-/// claim that holds least for its weight, so that held and new units together tend to the weights;
-/// nothing that someone wants is left over. Ties go to the earlier claim.
+/// Returns the share of `capacity` granted to each claim, in the order of `claims`. Each unit goes
+/// to the claim that holds the least relative to its weight, so that held and granted units
+/// together approach the weights. Capacity is left over only if all claims are satisfied. Ties go
+/// to the earlier claim.
 std::vector<uint32_t> DivideFairly(uint32_t capacity, const std::vector<FairClaim>& claims);
 
 }  // namespace millstair
--- a/source/limits/token_bucket.h
+++ b/source/limits/token_bucket.h
@@ -1,4 +1,4 @@
-/// Lets through so many a second, and a few at once.
+/// Token bucket: limits a rate and the size of bursts.
 #pragma once
 
 #include <algorithm>
@@ -8,21 +8,20 @@
 
 namespace millstair {
 
-/// Value type; time is that of the node's environment. Begins full: whoever may have used up
-/// another holder's part waits before it takes from a new one.
+/// Value type; uses the time of the node's environment. Starts full.
 class TokenBucket {
  public:
   TokenBucket(double per_second, double capacity, TimePoint now)
       : per_second_(per_second), capacity_(capacity), tokens_(capacity), filled_at_(now) {}
 
-  /// Whole tokens that are there.
+  /// Number of complete tokens.
   uint32_t Available(TimePoint now) {
     Fill(now);
-    // A rounding error must not cost a whole further wait.
+    // Keeps a rounding error from delaying a complete token.
     constexpr double kRounding = 1e-6;
     return static_cast<uint32_t>(std::max(tokens_ + kRounding, 0.0));
   }
-  /// Takes one, also if none is there: it is missing later then.
+  /// Takes one token; the balance may become negative.
   void Take(TimePoint now) {
     Fill(now);
     tokens_ -= 1;
--- a/test/limits/admission_test.cc
+++ b/test/limits/admission_test.cc
@@ -46,7 +46,7 @@
   CHECK(f.log == std::vector<std::string>{"urgent admitted", "first admitted", "second admitted"});
 }
 
-TEST_CASE("a place that is given up leaves the queue") {
+TEST_CASE("a destroyed admission leaves the queue") {
   Fixture f;
   auto running = f.Ask("running", RequestPriority::kLive, seconds(10));
   auto dropped = f.Ask("dropped", RequestPriority::kLive, seconds(10));
@@ -58,7 +58,7 @@
   CHECK(f.controller.running() == 1);
 }
 
-TEST_CASE("work that cannot make its deadline is refused at once with a time to come back") {
+TEST_CASE("a request that can't meet its deadline is refused at once with a retry time") {
   Fixture f;
   {
     auto slow = f.Ask("slow", RequestPriority::kLive, seconds(10));
@@ -72,7 +72,7 @@
   CHECK(f.Ask("patient", RequestPriority::kLive, seconds(9)).admission != nullptr);
 }
 
-TEST_CASE("a queued request is refused when its deadline passes all the same") {
+TEST_CASE("a queued request is refused when its deadline passes") {
   Fixture f;
   auto running = f.Ask("running", RequestPriority::kLive, seconds(10));
   auto queued = f.Ask("queued", RequestPriority::kLive, seconds(2));
@@ -83,7 +83,7 @@
   CHECK(f.controller.queued() == 0);
 }
 
-TEST_CASE("larger limits admit what waits") {
+TEST_CASE("raised limits admit queued requests") {
   Fixture f;
   auto running = f.Ask("running", RequestPriority::kLive, seconds(10));
   auto queued = f.Ask("queued", RequestPriority::kLive, seconds(10));
@@ -92,7 +92,7 @@
   CHECK(queued.admission->admitted());
 }
 
-TEST_CASE("a callback may drop its neighbours and the controller may go before its places") {
+TEST_CASE("a callback may destroy other admissions, and the controller may be destroyed first") {
   VirtualScheduler scheduler(1);
   VirtualEnvironment environment(scheduler, 1);
   auto controller = std::make_unique<AdmissionController>(environment, AdmissionLimits{2, 9});
--- a/test/limits/share_test.cc
+++ b/test/limits/share_test.cc
@@ -9,23 +9,23 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("room is divided by weight, and nothing wanted is left over") {
+TEST_CASE("capacity is divided by weight, and none is left over while any is wanted") {
   CHECK(DivideFairly(9, {{2, 0, 100}, {1, 0, 100}}) == std::vector<uint32_t>{6, 3});
   CHECK(DivideFairly(9, {{2, 0, 1}, {1, 0, 100}}) == std::vector<uint32_t>{1, 8});
   CHECK(DivideFairly(9, {{1, 0, 2}, {1, 0, 3}}) == std::vector<uint32_t>{2, 3});
   CHECK(DivideFairly(3, {{0, 0, 9}, {1, 0, 9}}) == std::vector<uint32_t>{0, 3});
 }
 
-TEST_CASE("what a claimant holds already counts against it") {
+TEST_CASE("units held already count towards a claim's share") {
   CHECK(DivideFairly(4, {{1, 4, 100}, {1, 0, 100}}) == std::vector<uint32_t>{0, 4});
 }
 
-/// Latency of a server that works on `capacity` requests at once.
+/// Latency of a server that runs `capacity` requests at once.
 Duration ServerLatency(double limit, double capacity) {
   return FromSeconds(0.1 * std::max(1.0, limit / capacity));
 }
 
-TEST_CASE("the concurrency limit settles near what the back end can carry") {
+TEST_CASE("the concurrency limit settles near the back end's capacity") {
   for (const double capacity : {4.0, 40.0}) {
     ConcurrencyLimit limit;
     for (int i = 0; i < 500; ++i) {
@@ -37,13 +37,13 @@
   }
 }
 
-TEST_CASE("failures cut the concurrency limit, but not below its least") {
+TEST_CASE("failures cut the concurrency limit, but not below its minimum") {
   ConcurrencyLimit limit;
   for (int i = 0; i < 100; ++i) limit.RecordFailure();
   CHECK(limit.limit() == 1);
 }
 
-TEST_CASE("rollouts give way when live latency rises and come back slowly") {
+TEST_CASE("the rollout share shrinks when live latency rises and recovers slowly") {
   RolloutShare share;
   TimePoint now{std::chrono::hours(1)};
   CHECK(share.Sequences(now, 100) == 95);
