--- a/source/retry/retry_budget.h
+++ b/source/retry/retry_budget.h
@@ -1,5 +1,5 @@
-/// Keeps retries and hedges a bounded share of first attempts, so that a struggling fleet is not
-/// buried under repeats.
+/// Limits retries and hedges to a share of first attempts, so that they don't multiply the load on
+/// an overloaded fleet.
 #pragma once
 
 #include <algorithm>
@@ -7,10 +7,9 @@
 namespace millstair {
 
 struct RetryBudgetLimits {
-  /// Retries allowed per first try.
+  /// Retries allowed per first attempt.
   double share = 0.2;
-  /// Retries that may be saved up; also the balance at the start, so that a quiet service can
-  /// still retry.
+  /// Maximum balance, and the initial one, so that a service with little traffic can retry.
   double reserve = 10;
 };
 
--- a/source/retry/retry_policy.h
+++ b/source/retry/retry_policy.h
@@ -1,5 +1,5 @@
-/// Decides whether a failed try is repeated. A request is tried again only if it truly did not run
-/// or if it may run more than once.
+/// Decides whether a failed attempt is retried. A request is retried only if it certainly did not
+/// run, or if it may run more than once.
 #pragma once
 
 #include <optional>
@@ -13,18 +13,17 @@
 struct RetryTiming {
   Duration initial_backoff = std::chrono::milliseconds(20);
   Duration max_backoff = std::chrono::seconds(1);
-  /// Tries of one request, the first included.
+  /// Attempts of one request, including the first.
   int max_attempts = 6;
 };
 
-/// What a finished try means for the request.
 struct FailedAttempt {
   CallFailure failure = CallFailure::kUnknown;
   /// The request may run more than once.
   bool repeatable = false;
-  /// Part of the answer went to the caller already and cannot be continued elsewhere.
+  /// Part of the response was passed on to the caller and can't be resumed elsewhere.
   bool answer_started = false;
-  /// Tries made so far.
+  /// Attempts made so far.
   int attempts = 1;
   /// Time left until the request's deadline.
   Duration time_left{0};
@@ -34,19 +33,19 @@
 
 struct RetryDecision {
   bool retry = false;
-  /// When `retry`: how long to wait first.
+  /// Delay before the retry.
   Duration backoff{0};
-  /// When not `retry`.
+  /// Valid if `retry` is false.
   RetryRefusal refusal = RetryRefusal::kMayHaveRun;
 };
 
-/// Faults that a test switches on to prove that its checks notice them.
+/// Faults that tests inject to prove that their checks detect them.
 struct RetryFaults {
-  /// Repeats a request that may have run, even if it must not run twice.
+  /// Retries requests that may have run, even if they must not run twice.
   bool repeat_possibly_run = false;
 };
 
-/// Waiting time before try `attempts + 1`: full jitter below an exponentially growing bound.
+/// Delay before attempt `attempts + 1`: full jitter below an exponentially growing bound.
 Duration JitteredBackoff(const RetryTiming& timing, int attempts, RandomEngine& random);
 
 /// Lives on the node's serial executor.
@@ -56,8 +55,8 @@
               RetryFaults faults = {})
       : timing_(timing), budget_(budget), random_(random), faults_(faults) {}
 
-  /// Spends from the budget when the answer is to retry. A refusal by a back end costs nothing
-  /// there, but still counts against the budget, so that refusals cannot multiply the load.
+  /// Spends from the budget when it decides to retry. Refusals by back ends count against the
+  /// budget too, so that they can't multiply the load.
   RetryDecision Decide(const FailedAttempt& failed);
 
  private:
--- a/test/retry/retry_policy_test.cc
+++ b/test/retry/retry_policy_test.cc
@@ -26,7 +26,7 @@
   RetryPolicy policy_;
 };
 
-TEST_CASE("a request that must not run twice is repeated only if it truly did not run") {
+TEST_CASE("a request that must not run twice is retried only if it certainly did not run") {
   Policy policy;
   CHECK(policy.Retries(CallFailure::kNotSent, false));
   CHECK(policy.Retries(CallFailure::kRefused, false));
@@ -34,7 +34,7 @@
   CHECK_FALSE(policy.Retries(CallFailure::kCut, false));
 }
 
-TEST_CASE("a repeatable request is repeated after any failure, while there is time") {
+TEST_CASE("a repeatable request is retried after any failure, while there is time") {
   Policy policy;
   CHECK(policy.Retries(CallFailure::kUnknown, true));
   CHECK(policy.Retries(CallFailure::kCut, true));
@@ -42,12 +42,12 @@
   CHECK_FALSE(policy.Retries(CallFailure::kCut, true, kLongTime, RetryTiming{}.max_attempts));
 }
 
-TEST_CASE("the fault for tests repeats what may have run") {
+TEST_CASE("the injected fault retries requests that may have run") {
   Policy policy(RetryFaults{.repeat_possibly_run = true});
   CHECK(policy.Retries(CallFailure::kUnknown, false));
 }
 
-TEST_CASE("retries stay a share of first tries") {
+TEST_CASE("retries are limited to a share of first attempts") {
   RetryBudget budget(RetryBudgetLimits{.share = 0.2, .reserve = 3});
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -58,7 +58,7 @@
   CHECK(retries <= 203);
 }
 
-TEST_CASE("back-off is jittered below a growing bound") {
+TEST_CASE("backoff is jittered below a growing bound") {
   RandomEngine random(3);
   const RetryTiming timing;
   Duration largest_of_first{0};
@@ -73,7 +73,7 @@
   CHECK(largest_of_late > timing.max_backoff / 2);
 }
 
-TEST_CASE("an outcome that may be ran never turns into not run") {
+TEST_CASE("an outcome that may have run never turns into not run") {
   CHECK(Combine(Outcome::kNotRun, Outcome::kNotRun) == Outcome::kNotRun);
   CHECK(Combine(Outcome::kUnknown, Outcome::kNotRun) == Outcome::kUnknown);
   CHECK(Combine(Outcome::kNotRun, Outcome::kUnknown) == Outcome::kUnknown);
