--- a/source/routing/completion_estimate.cc
+++ b/source/routing/completion_estimate.cc
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr double kMinResidenceSeconds = 0.05;
-/// Share of waiting work that is ahead of a live request; rollouts wait behind it.
+/// Share of the waiting work that is served before a new live request; rollouts wait behind it.
 constexpr double kWaitingAheadOfLive = 0.5;
-/// Slow start: the estimate begins at this multiple and falls to the plain one.
+/// Initial factor of the slow start; it falls linearly to 1.
 constexpr double kSlowStartFactor = 3;
 constexpr double kSlowStartSeconds = 5;
 constexpr uint32_t kDefaultSequences = 32;
@@ -25,7 +25,7 @@
 
 namespace {
 
-/// Share of what waits that comes before `priority`.
+/// Share of the waiting work that is served before a request of `priority`.
 double AheadShare(RequestPriority priority) {
   return priority == RequestPriority::kRollout ? 1 : kWaitingAheadOfLive;
 }
@@ -33,7 +33,7 @@
 }  // namespace
 
 double LoadConfidence(const EngineView& engine, const FleetStats& fleet, TimePoint now) {
-  // The gateways have to share out the engine over the whole life of a report, not just now.
+  // The gateways share the engine over the report's whole validity, not just now.
   const double age =
       std::max(fleet.report_horizon_seconds, ToSeconds(now - engine.load.taken_at()));
   const double residence = std::max(kMinResidenceSeconds, fleet.mean_residence_seconds);
--- a/source/routing/completion_estimate.h
+++ b/source/routing/completion_estimate.h
@@ -8,26 +8,26 @@
 
 namespace millstair {
 
-/// What is known beside the engine's own state. Seconds and tokens.
+/// Fleet-wide statistics, in seconds and tokens.
 struct FleetStats {
-  /// Mean sequences per engine of the fleet; old reports are drawn towards it.
+  /// Mean sequences per engine of the fleet; estimates from old reports tend towards it.
   double mean_sequences = 0;
-  /// Learned mean time that a request stays on an engine.
+  /// Smoothed time that a request stays on an engine.
   double mean_residence_seconds = 2;
-  /// Learned age that a report reaches before the next one replaces it.
+  /// Smoothed age of a report when the next one replaces it.
   double report_horizon_seconds = 0.5;
-  /// Learned time to process one prompt token.
+  /// Smoothed time to process one prompt token.
   double prefill_seconds_per_token = 50e-6;
-  /// Learned mean of generated tokens of a request.
+  /// Smoothed number of generated tokens per request.
   double mean_tokens = 64;
-  /// Gateways that send to the same engines.
+  /// Number of gateways that send to the same engines.
   uint32_t gateways = 1;
 };
 
 struct EstimatedWork {
   uint32_t prompt_tokens = 0;
   uint32_t expected_tokens = 0;
-  /// Prompt tokens believed to be in the engine's cache, weighted by trust.
+  /// Prompt tokens expected in the engine's cache, weighted by the trust in that information.
   double cached_tokens = 0;
   RequestPriority priority = RequestPriority::kLive;
 };
@@ -39,14 +39,15 @@
   double total() const { return wait_seconds + prefill_seconds + decode_seconds; }
 };
 
-/// By how much an engine that began to serve just now counts as slower than it is, from 1.
+/// Factor, at least 1, by which the estimate of an engine that has just started to serve is raised.
 double SlowStartFactor(const EngineView& engine, TimePoint now);
 
-/// How far the engine's load as known still holds, 0..1: what others changed since the report is
-/// not seen, and a request that was there may have ended. What this gateway did is known.
+/// Confidence, 0..1, in the last known load of the engine. It falls with the report's age, as other
+/// gateways' requests since then are unknown and earlier requests may have ended. Requests of this
+/// gateway are known.
 double LoadConfidence(const EngineView& engine, const FleetStats& fleet, TimePoint now);
 
-/// Sequences that the engine is believed to have now.
+/// Estimated sequences on the engine now.
 double EstimatedSequences(const EngineView& engine, const FleetStats& fleet, TimePoint now);
 
 CompletionEstimate EstimateCompletion(const EngineView& engine, const EstimatedWork& work,
--- a/source/routing/engine_view.h
+++ b/source/routing/engine_view.h
@@ -1,4 +1,4 @@
-/// What the router knows of one back end.
+/// The router's knowledge of one back end.
 #pragma once
 
 #include <string>
@@ -19,13 +19,14 @@
   EngineName name;
   std::string address;
   EngineType type = EngineType::kModel;
-  /// Zone whose gateways observe it: its machine's, or of the gateways that stand in.
+  /// Zone whose gateways observe it: its machine's, or that of the substitute gateways if its
+  /// machine's zone has none.
   Zone zone;
   /// Merged state from the configuration.
   MemberState state = MemberState::kGone;
-  /// It said itself that it is leaving; newer than what the configuration may know.
+  /// The engine reported that it is leaving; may be newer than the configuration.
   bool reported_leaving = false;
-  /// Its weights are not what was published; no work may go there.
+  /// Its weights are not those published; it gets no work.
   bool weights_uncertain = false;
   TimePoint reported_leaving_at;
 
@@ -33,13 +34,13 @@
   StepTimeModel step_time;
   OutlierEjection ejection;
   RolloutShare rollout_share;
-  /// Live requests of this gateway under way there.
+  /// Live requests of this gateway in progress there.
   uint32_t live_outstanding = 0;
-  /// Since when it serves with its present incarnation and weights; for slow start.
+  /// Since when it serves with its current incarnation and weights; for slow start.
   TimePoint serving_since;
   bool slow_starting = false;
 
-  /// Plain back ends: smoothed time of an answer in seconds, and the bound on requests under way.
+  /// Plain back ends: smoothed latency, and the limit on concurrent requests.
   double answer_seconds = 0;
   ConcurrencyLimit concurrency{ConcurrencyLimitOptions{.initial = 32}};
 
--- a/source/routing/lagged_load.cc
+++ b/source/routing/lagged_load.cc
@@ -5,7 +5,7 @@
 namespace millstair {
 namespace {
 
-/// Changes kept while no report comes; older ones are taken for reported.
+/// Bounds the changes kept without a new report; older ones are assumed to be in the report.
 constexpr size_t kMaxChanges = 4096;
 
 }  // namespace
--- a/source/routing/lagged_load.h
+++ b/source/routing/lagged_load.h
@@ -1,5 +1,5 @@
-/// Load of one engine as this gateway knows it: the last report, which is late, plus what this
-/// gateway itself started and ended there since the report's figures were taken.
+/// This gateway's view of one engine's load: the last report plus the requests that this gateway
+/// has started and ended there since the report was measured.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +12,8 @@
 
 class LaggedLoad {
  public:
-  /// Takes over `report`, whose figures were taken at `taken_at`. False if it is older than the one
-  /// held, by incarnation or time; nothing changes then.
+  /// Applies `report`, measured at `taken_at`. Returns false and changes nothing if it is not newer
+  /// than the last one by incarnation or time.
   bool ApplyReport(const EngineReport& report, TimePoint taken_at);
   void OnStarted(TimePoint now, uint32_t prefill_tokens, uint32_t kv_blocks);
   void OnEnded(TimePoint now, uint32_t kv_blocks);
@@ -22,15 +22,15 @@
   const EngineReport& report() const { return report_; }
   TimePoint taken_at() const { return taken_at_; }
 
-  /// Running and waiting sequences, own changes since the report included.
+  /// Running and waiting sequences, including own changes since the report.
   double Sequences() const;
-  /// Prompt tokens that wait to be processed.
+  /// Prompt tokens waiting to be processed.
   double WaitingPrefillTokens() const;
-  /// KV blocks that are free; not below 0.
+  /// Free KV blocks; at least 0.
   double FreeKvBlocks() const;
-  /// Sequences that this gateway started since the report.
+  /// Sequences that this gateway has started since the report.
   uint32_t StartedSince() const { return started_since_; }
-  /// Requests of this gateway under way there.
+  /// Requests of this gateway in progress there.
   uint32_t outstanding() const { return outstanding_; }
 
  private:
--- a/source/routing/outlier_ejection.h
+++ b/source/routing/outlier_ejection.h
@@ -1,4 +1,4 @@
-/// Takes a back end out of the choice for a while after failures in a row, longer each time.
+/// Excludes a back end for a while after consecutive failures, each time for longer.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace millstair {
 
 struct EjectionOptions {
-  /// Failures in a row that eject.
+  /// Consecutive failures that eject a back end.
   uint32_t failures = 3;
   Duration first = std::chrono::seconds(1);
   Duration max_duration = std::chrono::seconds(30);
@@ -33,7 +33,7 @@
     ++ejections_;
     failures_ = 0;
   }
-  /// The back end is known to be well again.
+  /// The back end is known to be healthy again.
   void Readmit() {
     failures_ = 0;
     until_ = TimePoint();
--- a/source/routing/step_time_model.h
+++ b/source/routing/step_time_model.h
@@ -1,4 +1,4 @@
-/// Learns how an engine's step time grows with the sequences in its batch.
+/// Models an engine's step time as a function of the sequences in its batch.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 
 namespace millstair {
 
-/// Least squares with forgetting over (sequences, step time) as engines report them.
+/// Least squares with exponential forgetting over (sequences, step time) samples from engine
+/// reports.
 class StepTimeModel {
  public:
   void Add(double sequences, Duration step_time) {
@@ -22,7 +23,7 @@
     Fit();
   }
 
-  /// What was learned is void: the engine restarted.
+  /// Discards all samples, after the engine restarted.
   void Reset() { *this = StepTimeModel(); }
 
   bool known() const { return weight_ > 0; }
@@ -34,9 +35,10 @@
 
  private:
   static constexpr double kDecay = 0.98;
-  /// Taken while nothing is known.
+  /// Used while there are no samples.
   static constexpr double kUnknownSeconds = 0.03;
-  /// With less spread than this the slope cannot be told; a small share of the mean is taken.
+  /// Below this variance of the sequences the slope can't be fitted; kDefaultSlopeShare of the mean
+  /// is used.
   static constexpr double kMinVariance = 1.0;
   static constexpr double kDefaultSlopeShare = 0.01;
 
