--- a/source/routing/engine_choice.cc
+++ b/source/routing/engine_choice.cc
@@ -1,4 +1,4 @@
-// How EngineRouter chooses among the candidates of a workload.
+// How EngineRouter selects among the candidates of a workload.
 #include <algorithm>
 #include <limits>
 
@@ -8,14 +8,14 @@
 namespace millstair {
 namespace {
 
-/// Draws per candidate wanted; some hit engines that may not take the work.
+/// Draws per wanted candidate; some hit engines that may not take the work.
 constexpr uint32_t kDrawsPerCandidate = 4;
-/// Estimates of plain back ends are multiplied by a draw from this to this plus 1.
+/// Estimates of plain back ends are multiplied by a random factor between this and this plus 1.
 constexpr double kMinBlur = 0.5;
-/// Taken while the time of an answer is not known.
+/// Used while the latency is unknown.
 constexpr double kMinAnswerSeconds = 0.001;
 
-/// Figures of a list's load are worked out anew after this long.
+/// How often the load figures of a list are refreshed.
 constexpr Duration kLoadInterval = std::chrono::milliseconds(20);
 
 template <class Candidate>
@@ -140,7 +140,8 @@
   const bool all = count <= size_t{options_.sampled} * kDrawsPerCandidate;
   const uint64_t first = DrawBelow(environment_.Random(), count);
   const size_t draws = all ? count : size_t{options_.sampled} * kDrawsPerCandidate;
-  // Where other gateways choose too, to take the best of several would bring the herd back.
+  // With several gateways, selecting the best of several samples would again make all of them
+  // select the same engine.
   const uint32_t wanted = fleet_.gateways > 1 ? 1 : options_.sampled;
   uint32_t accepted = 0;
   std::optional<Candidate> sampled;
@@ -156,7 +157,7 @@
     ++accepted;
     KeepBetter(Evaluate(slot, request), sampled);
   }
-  // None had its turn: the best of those drawn, or any that may take the work.
+  // No engine was accepted: use the best of those drawn, or any that may take the work.
   for (size_t i = 0; i < count && !all && accepted == 0 && refused.empty(); ++i) {
     const EngineSlot slot = list.slots[(first + i) % count];
     if (Eligible(*engines_[slot], workload, request, last_resort)) refused.push_back(slot);
@@ -190,7 +191,8 @@
   Candidate candidate;
   candidate.slot = slot;
   if (engine.type == EngineType::kHttp) {
-    // Blurred, so that one that was slow once is tried again; one that is not known goes first.
+    // Randomized, so that a back end that was slow once is tried again. One with unknown latency
+    // comes first.
     const double blur = kMinBlur + DrawUnit(environment_.Random());
     const double answer = std::max(kMinAnswerSeconds, engine.answer_seconds);
     candidate.seconds = answer * (1 + engine.load.outstanding()) * blur;
--- a/source/routing/engine_router.cc
+++ b/source/routing/engine_router.cc
@@ -9,18 +9,18 @@
 namespace millstair {
 namespace {
 
-/// Weight of a new observation in smoothed figures.
+/// Weight of a new sample in smoothed figures.
 constexpr double kSmoothing = 0.1;
-/// Prefill costs are learned only from prompts with at least this much to process.
+/// Prefill costs are measured only on prompts with at least this many uncached tokens.
 constexpr uint32_t kMinPrefillTokens = 128;
 constexpr double kMinPrefillSeconds = 1e-6;
 constexpr double kMaxPrefillSeconds = 500e-6;
-/// A report that is older says nothing of how often reports come.
+/// Maximum report age that counts towards the report horizon.
 constexpr double kMaxHorizonSeconds = 5;
 /// A pool that placed nothing for this long leaves its share to others.
 constexpr Duration kPoolIdle = std::chrono::seconds(5);
 
-/// The mean load of the fleet is worked out anew at most this often.
+/// Minimum time between updates of the fleet's mean load.
 constexpr Duration kFleetLoadInterval = std::chrono::milliseconds(50);
 
 double Smooth(double old, double sample) {
@@ -33,7 +33,7 @@
 
 bool CountsAgainstEngine(const PlacementOutcome& outcome) {
   if (outcome.end == PlacementEnd::kMixed) return true;
-  // One that refuses again and again is left alone for a while, too; one that leaves is out anyway.
+  // Repeated refusals count too; an engine that is leaving is excluded anyway.
   return outcome.end == PlacementEnd::kFailed && !outcome.leaving;
 }
 
@@ -56,12 +56,12 @@
       std::any_of(engines_.begin(), engines_.end(), [this](const auto& engine) {
         return engine->zone == options_.zone && engine->state == MemberState::kLive;
       });
-  // A zone without engines uses those of others, with all the other gateways.
+  // A zone without engines shares those of other zones with all gateways.
   if (!engines_here) fleet_.gateways = std::max(1U, observers_.gateway_count());
 }
 
 void EngineRouter::RebuildEngines(const Configuration& configuration) {
-  // Slots stay as they are, so that placements and prefixes need no renumbering.
+  // Slots are never reused, so that placements and prefixes keep their indices.
   for (const auto& [key, resource] : configuration.resources) {
     const auto* spec = std::get_if<EngineSpec>(&resource.spec);
     if (spec == nullptr) continue;
@@ -201,7 +201,7 @@
   if (found == workloads_.end()) return std::nullopt;
   ++counters_.decisions;
   std::optional<Candidate> chosen = ChooseByPolicy(found->second, request, false);
-  // Stale reports and ejected engines are better than no engine at all.
+  // A stale report or an ejected engine is better than no engine at all.
   if (!chosen && request.priority != RequestPriority::kRollout) {
     chosen = ChooseByPolicy(found->second, request, true);
   }
@@ -279,7 +279,7 @@
   }
   fleet_.mean_tokens = Smooth(fleet_.mean_tokens, outcome.tokens);
   fleet_.mean_residence_seconds = Smooth(fleet_.mean_residence_seconds, ToSeconds(outcome.elapsed));
-  // Rollouts bring an expectation of their own.
+  // Rollouts state their own expected length.
   if (placement.priority != RequestPriority::kRollout && placement.work.expected_tokens > 0) {
     const double ratio = outcome.tokens / static_cast<double>(placement.work.expected_tokens);
     const double sample = std::clamp(length_share_ * ratio, 0.01, 1.0);
@@ -289,7 +289,7 @@
 
 void EngineRouter::UpdateLiveLatency(EngineView& engine, const OwnPlacement& placement,
                                      const PlacementOutcome& outcome) {
-  // What it would have taken with the live requests alone, as far as this gateway can tell.
+  // Expected latency with the live requests alone, as far as this gateway knows.
   const double live = 1.0 + engine.live_outstanding * static_cast<double>(home_gateways_);
   const Duration alone = UnloadedFirstToken(engine, placement.work, fleet_) +
                          FromSeconds(outcome.tokens * engine.step_time.Seconds(live));
@@ -346,7 +346,7 @@
   if (found == workloads_.end()) return 0;
   const uint32_t capacity = CapacityOf(found->second);
   if (capacity == 0) return 0;
-  // Other pools of the model that are at work share the capacity by their weights.
+  // Other active pools of the model share the capacity by weight.
   std::vector<FairClaim> claims{{found->second.share, found->second.in_flight, capacity}};
   const TimePoint now = environment_.Now();
   for (const auto& [key, other] : workloads_) {
--- a/source/routing/engine_router.h
+++ b/source/routing/engine_router.h
@@ -1,11 +1,10 @@
 /// The router of a gateway: one view of all back ends for live requests and rollouts.
 ///
-/// Candidates come from the configuration's matching. A few are sampled, the holders of the deepest
-/// cached prefix are added, and the one with the least estimated time to completion is taken. An
-/// engine is sampled with a probability that follows from how far its load, as it would have
-/// developed since the report, lies below the mean; so many gateways with equally late reports do
-/// not all run to the same engine. The own zone comes
-/// first; others are looked at when the own zone has no room.
+/// Candidates come from the configuration's Match resources. A few are sampled, the engines with
+/// the deepest cached prefix are added, and the one with the lowest estimated completion time is
+/// selected. The probability of sampling an engine grows with how far its estimated load is below
+/// the mean, so that gateways with equally old reports don't all select the same engine. Engines of
+/// other zones are considered only if the own zone has no capacity.
 #pragma once
 
 #include <functional>
@@ -28,7 +27,7 @@
 
 namespace millstair {
 
-/// Faults that a test switches on to prove that its checks notice them.
+/// Faults that tests inject to prove that their checks detect them.
 struct RoutingFaults {
   /// Sends work to engines that are leaving.
   bool choose_leaving = false;
@@ -37,7 +36,7 @@
 struct RouterOptions {
   Zone zone;
   RoutingPolicy policy = RoutingPolicy::kEstimate;
-  /// Candidates drawn at random, and prefix holders looked at beside them.
+  /// Number of candidates drawn at random, and of prefix holders considered in addition.
   uint32_t sampled = 3;
   uint32_t prefix_holders = 2;
   /// An engine without a report for this long takes work only if no other can.
@@ -47,7 +46,7 @@
   RoutingFaults faults;
 };
 
-/// Figures for /metrics.
+/// For /metrics.
 struct RouterCounters {
   uint64_t decisions = 0;
   uint64_t no_engine = 0;
@@ -61,47 +60,48 @@
  public:
   EngineRouter(Environment& environment, RouterOptions options);
 
-  /// Takes over engines and matching; cheap if the revision is the one held.
+  /// Applies the engines and matches; does nothing if the revision is unchanged.
   void UpdateConfiguration(const Configuration& configuration);
-  /// A report of `engine` whose figures were taken at `taken_at`. False if it was not news.
+  /// Applies a report of `engine` measured at `taken_at`. False if it is not newer than the last
+  /// one.
   bool ApplyReport(const EngineName& engine, const EngineReport& report, TimePoint taken_at);
-  /// Cache events of `engine` read after event `after`.
+  /// Applies cache events of `engine` that follow event `after`.
   void ApplyCacheEvents(const EngineName& engine, uint64_t after, bool resync,
                         const CacheEvents& events);
   /// A poll found `engine` unreachable, or reachable again.
   void SetReachable(const EngineName& engine, bool reachable);
-  /// The weights of `engine` are in doubt, or are no longer.
+  /// Whether the weights of `engine` are uncertain; it gets no work while they are.
   void SetWeightsUncertain(const EngineName& engine, bool weights_uncertain);
-  /// `engine` said that it is leaving, or is no longer.
+  /// Whether `engine` reports that it is leaving.
   void SetLeaving(const EngineName& engine, bool leaving);
 
   std::optional<Placement> Place(const ResourceKey& workload,
                                  const RoutingRequest& request) override;
   void End(PlacementId id, const PlacementOutcome& outcome) override;
   uint32_t RolloutCapacity(const ResourceKey& workload) const override;
-  /// The first `tokens` of a live request arrived together this long after it was sent.
+  /// The first `tokens` of a live request arrived together `latency` after it was sent.
   void OnFirstTokens(PlacementId id, Duration latency, uint32_t tokens);
-  /// A live request had to wait because no engine could take it.
+  /// A live request was queued because no engine could take it.
   void OnLiveQueued(const ResourceKey& workload);
 
-  /// May the engine take work now? Tested again right before a queued request is sent.
+  /// Whether the engine may take work now. Checked again right before a queued request is sent.
   bool MayTakeWork(const EngineName& engine) const;
   const EngineView* FindEngine(const EngineName& engine) const;
   const PrefixIndex& prefixes() const { return prefixes_; }
   const PlacementRules& rules() const { return rules_; }
   std::optional<EngineSlot> SlotOf(const EngineName& engine) const;
-  /// Learned share of `max_tokens` that requests generate, and their mean tokens.
+  /// Expected number of generated tokens: the smoothed share of `max_tokens` that requests use.
   uint32_t ExpectedTokens(uint32_t max_tokens) const;
   const FleetStats& fleet() const { return fleet_; }
   const RouterCounters& counters() const { return counters_; }
   const ObserverAssignment& observers() const { return observers_; }
-  /// Rollouts are only placed while this says so (lease, drain); live requests see to it
-  /// themselves, since their traffic group has a say. Default: always.
+  /// Rollouts are placed only while `may_give_work` returns true (lease, drain); live requests
+  /// check this themselves. Default: always.
   void SetGate(std::function<bool()> may_give_work) { may_give_work_ = std::move(may_give_work); }
 
  private:
-  /// Engines of a workload in the own zone, or in others, with figures of their load that are
-  /// worked out anew every now and then.
+  /// Engines of a workload in the own zone or in others, with load figures that are refreshed
+  /// periodically.
   struct CandidateList {
     std::vector<EngineSlot> slots;
     double mean_sequences = 0;
@@ -119,7 +119,7 @@
     std::vector<EngineSlot> all;
     /// Position of round robin.
     uint64_t next = 0;
-    /// Rollouts of this workload that this gateway has under way.
+    /// Rollouts of this workload in progress from this gateway.
     uint32_t in_flight = 0;
     TimePoint last_placed;
   };
@@ -143,7 +143,7 @@
   void RebuildWorkloads(const Configuration& configuration);
   bool Eligible(const EngineView& engine, const Workload& workload, const RoutingRequest& request,
                 bool last_resort) const;
-  /// Rollouts that the engine can take on top of what it has; may be negative.
+  /// Further rollouts that the engine can take; may be negative.
   double FreeForRollouts(const EngineView& engine) const;
   uint32_t CapacityOf(const Workload& workload) const;
   std::optional<Candidate> ChooseByPolicy(Workload& workload, const RoutingRequest& request,
@@ -155,8 +155,8 @@
   std::optional<Candidate> ChooseLeastOutstanding(const Workload& workload,
                                                   const RoutingRequest& request, bool last_resort);
   void UpdateLoad(CandidateList& list) const;
-  /// Draws whether an engine with this load should get its turn, so that over all gateways the
-  /// engines fill up evenly.
+  /// Accepts an engine at random by its load, so that all gateways together fill the engines
+  /// evenly.
   bool DrawAccepted(const CandidateList& list, EngineSlot slot);
   void ConsiderSampled(CandidateList& list, const Workload& workload, const RoutingRequest& request,
                        bool last_resort, std::optional<Candidate>& best);
--- a/source/routing/router.h
+++ b/source/routing/router.h
@@ -1,4 +1,4 @@
-/// Chooses the engine for a request.
+/// Inputs and outputs of the choice of an engine for a request.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace millstair {
 
-/// What the router must know of the work to place it.
+/// The properties of a request that routing depends on.
 struct RoutingRequest {
   ModelName model;
   std::vector<BlockHash> prefix_blocks;
@@ -24,7 +24,7 @@
   std::set<EngineName> excluded;
 };
 
-/// Policies that the bench compares; kEstimate is the product's.
+/// kEstimate is used in production; the others are for benchmarks.
 enum class RoutingPolicy { kEstimate, kRoundRobin, kLeastOutstanding, kEstimateWithoutPrefix };
 
 struct RoutingChoice {
