--- a/source/routing/observer_assignment.cc
+++ b/source/routing/observer_assignment.cc
@@ -26,7 +26,7 @@
     const bool orphan = near == by_zone.end();
     entry.observers = (orphan ? all : near->second).Choose(resource.name, kObserversPerEngine);
     if (orphan && !entry.observers.empty()) entry.home = zone_of[entry.observers.front()];
-    // Resources are sorted by name, so each entry goes to the end.
+    // Resources are sorted by name, so each entry is appended.
     engines_.emplace_hint(engines_.end(), EngineName(resource.name), std::move(entry));
   }
 }
--- a/source/routing/observer_assignment.h
+++ b/source/routing/observer_assignment.h
@@ -1,4 +1,4 @@
-/// Which gateways observe which engine, by rendezvous hashing over the live gateways.
+/// Assigns observing gateways to engines by rendezvous hashing over the live gateways.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,19 @@
 
 namespace millstair {
 
-/// Observers per engine.
 inline constexpr size_t kObserversPerEngine = 2;
 
-/// Worked out from one configuration. Value type.
+/// Computed from one configuration. Value type.
 class ObserverAssignment {
  public:
   ObserverAssignment() = default;
   explicit ObserverAssignment(const Configuration& configuration);
 
-  /// Observers of `engine`, the first is the one that shares; empty if there is no live gateway.
+  /// Observers of `engine`; the first one shares its reports with others. Empty if there is no live
+  /// gateway.
   const std::vector<NodeId>& Observers(const EngineName& engine) const;
-  /// Zone whose gateways care for `engine`: its own, or its first observer's if its own has none.
+  /// Zone whose gateways observe `engine`: its own, or its first observer's if its own has no
+  /// gateway.
   const Zone& HomeZone(const EngineName& engine) const;
   /// Live gateways of `zone`, sorted.
   const std::vector<NodeId>& Gateways(const Zone& zone) const;
--- a/source/routing/placement_rules.cc
+++ b/source/routing/placement_rules.cc
@@ -9,11 +9,11 @@
 struct Candidate {
   EngineName name;
   EngineType type = EngineType::kModel;
-  /// Its own labels and its machine's, or only its own if the machine has none.
+  /// Its own labels merged with its machine's, or only its own if the machine has none.
   const Labels* labels = nullptr;
 };
 
-/// Engines by name, and the merged labels that some of them point to.
+/// Engines by name, and storage for the merged labels that some of them point to.
 struct Candidates {
   std::vector<Candidate> engines;
   std::deque<Labels> merged;
@@ -35,7 +35,7 @@
   return candidates;
 }
 
-/// Which of the candidates something holds for, in their order.
+/// One flag per candidate, in the same order.
 using EngineFlags = std::vector<bool>;
 
 /// Model that a workload needs; none if `resource` is no workload, empty for plain HTTP.
--- a/source/routing/placement_rules.h
+++ b/source/routing/placement_rules.h
@@ -15,23 +15,22 @@
 /// Labels of an engine: its machine's, overridden by its own. Unknown engines have none.
 Labels EngineLabels(const Configuration& configuration, const EngineName& engine);
 
-/// Label of an engine that states its wanted role; absent is no role.
+/// Label of an engine that states its desired role; absent means no role.
 inline constexpr char kRoleLabel[] = "role";
 
-/// The matching of one revision, worked out once. Value type; engines are sorted by name.
+/// The matching of one revision. Value type; engines are sorted by name.
 class PlacementRules {
  public:
   PlacementRules() = default;
   explicit PlacementRules(const Configuration& configuration);
 
-  /// Revision that the rules were worked out for.
   Revision revision() const { return revision_; }
-  /// Model engines that are to hold `model`.
+  /// Model engines that should hold `model`.
   const std::vector<EngineName>& EnginesForModel(const ModelName& model) const;
   /// Back ends that serve `workload` (a Pool or a TrafficGroup). For a workload with a model these
   /// are model engines that hold it; for one without, plain HTTP back ends.
   const std::vector<EngineName>& EnginesForWorkload(const ResourceKey& workload) const;
-  /// Models that `engine` is to hold.
+  /// Models that `engine` should hold.
   const std::vector<ModelName>& ModelsForEngine(const EngineName& engine) const;
 
  private:
@@ -41,10 +40,10 @@
   std::map<EngineName, std::vector<ModelName>> by_engine_;
 };
 
-/// Keeps the rules of the newest revision asked for.
+/// Caches the rules of the last revision requested.
 class PlacementRulesCache {
  public:
-  /// Rules for `configuration`; worked out anew only if its revision changed.
+  /// Rules for `configuration`; recomputed only if its revision changed.
   const PlacementRules& For(const Configuration& configuration);
 
  private:
--- a/source/routing/prefix_index.cc
+++ b/source/routing/prefix_index.cc
@@ -6,11 +6,11 @@
 namespace millstair {
 namespace {
 
-/// Trust that is left after one missing event; half is gone after about fourteen.
+/// Trust factor of one missing event; fourteen of them halve the trust.
 constexpr double kTrustAfterMissingEvent = 0.95;
-/// Trust that is left when an unknown number of events is missing.
+/// Trust factor of an unknown number of missing events.
 constexpr double kTrustAfterGap = 0.5;
-/// Without a reading for this long, trust falls by half.
+/// Time without a batch after which trust has halved.
 constexpr double kHalfLifeSeconds = 10;
 constexpr uint64_t kMaxMissingCounted = 200;
 
@@ -104,7 +104,7 @@
   const EngineBlocks* engine = Find(slot);
   if (engine == nullptr) return 0;
   if (blocks.empty() || !engine->blocks.contains(blocks.front())) return 0;
-  // Hashes are chained, so a block is of use only with all before it; engines evict from the end.
+  // Hashes are chained, so a block is useful only with all before it; engines evict from the end.
   size_t held = 1;
   size_t beyond = blocks.size() + 1;
   while (beyond - held > 1) {
--- a/source/routing/prefix_index.h
+++ b/source/routing/prefix_index.h
@@ -1,5 +1,5 @@
-/// Which prefix blocks each engine holds in its KV cache, as told by numbered cache events that
-/// come late and with gaps.
+/// Which prefix blocks each engine holds in its KV cache, according to numbered cache events that
+/// arrive late and with gaps.
 #pragma once
 
 #include <cstdint>
@@ -13,40 +13,40 @@
 
 namespace millstair {
 
-/// Position of an engine in the router's table.
+/// Index of an engine in the router's table.
 using EngineSlot = uint32_t;
 
-/// What became of a batch of cache events.
+/// Effect of a batch of cache events.
 enum class CacheEventsEffect : uint8_t {
   kApplied = 1,
-  kRepeated = 2,  ///< nothing new in it
-  kGap = 3,       ///< applied, but events before it are missing
+  kRepeated = 2,  ///< it held nothing new
+  kGap = 3,       ///< applied, but earlier events are missing
 };
 
 /// Blocks of all engines that the router knows. Lives on the node's executor.
 class PrefixIndex {
  public:
-  /// Below this trust an engine's blocks are to be read anew.
+  /// Below this trust a resync of the engine's blocks is needed.
   static constexpr double kResyncBelow = 0.7;
 
-  /// Takes over `events` that were read after event `after`; a resync replaces all blocks held.
+  /// Applies `events` that follow event `after`; a resync replaces all blocks held.
   CacheEventsEffect Apply(EngineSlot slot, uint64_t after, bool resync, const CacheEvents& events,
                           TimePoint now);
   /// Forgets the engine's blocks: it restarted, changed its weights or left.
   void Forget(EngineSlot slot);
 
-  /// How far the blocks of `slot` can be believed, 0..1: falls with each missing event and with the
-  /// time since the last reading; a resync restores it.
+  /// Confidence, 0..1, in the recorded blocks of `slot`. Falls with each missing event and with the
+  /// time since the last batch; a resync restores it.
   double Trust(EngineSlot slot, TimePoint now) const;
-  /// The engine's blocks should be read with a resync.
+  /// Whether the engine's blocks should be read with a resync.
   bool NeedsResync(EngineSlot slot) const;
-  /// Number up to which events of `slot` are known.
+  /// Sequence number up to which events of `slot` are known.
   uint64_t NewestEvent(EngineSlot slot) const;
 
-  /// Number of leading ones of `blocks` that `slot` holds, by bisection: exact if what it holds of
-  /// them has no hole.
+  /// Length of the prefix of `blocks` that `slot` holds, by bisection; exact if the held blocks
+  /// have no gap.
   uint32_t LeadingHeld(EngineSlot slot, const std::vector<BlockHash>& blocks) const;
-  /// Engines that hold the deepest block of `blocks` that anyone holds; null if no one holds any.
+  /// Engines that hold the deepest block of `blocks` held by any; null if none is held.
   const std::vector<EngineSlot>* BestHolders(const std::vector<BlockHash>& blocks) const;
 
  private:
@@ -54,7 +54,7 @@
     Incarnation incarnation;
     absl::flat_hash_set<BlockHash> blocks;
     uint64_t newest = 0;
-    /// Trust right after the last reading.
+    /// Trust right after the last batch.
     double trust = 0;
     TimePoint read_at;
     bool known = false;
@@ -65,7 +65,7 @@
   const EngineBlocks* Find(EngineSlot slot) const;
 
   std::vector<EngineBlocks> engines_;
-  /// Holders of each block, without order.
+  /// Unordered holders of each block.
   absl::flat_hash_map<BlockHash, std::vector<EngineSlot>> holders_;
 };
 
