--- a/test/routing/configuration_fixture.h
+++ b/test/routing/configuration_fixture.h
@@ -1,4 +1,3 @@
-/// Builds configurations for routing tests.
 #pragma once
 
 #include <string>
@@ -34,7 +33,7 @@
     Put(MakeResource("galleries", MatchSpec{Select("pages"), std::nullopt, Select("pages")}));
   }
 
-  /// A machine with one engine of the same name in `zone`; its address is "<name>:1".
+  /// Adds a machine in `zone` with one engine of the same name; its address is "<name>:1".
   ConfigurationBuilder& Engine(const std::string& name, const std::string& zone,
                                EngineType type = EngineType::kModel) {
     Put(MakeResource("m-" + name, MachineSpec{Zone(zone), "10.0.0." + name}));
--- a/test/routing/engine_router_test.cc
+++ b/test/routing/engine_router_test.cc
@@ -24,13 +24,13 @@
   void Report(const std::string& engine, const EngineReport& report) {
     router->ApplyReport(EngineName(engine), report, environment.Now());
   }
-  /// Name of the engine chosen, "" for none.
+  /// Name of the selected engine, "" for none.
   std::string Choose(const RoutingRequest& request = LiveRequest(),
                      const ResourceKey& workload = LiveGroup()) {
     const auto placement = router->Place(workload, request);
     return placement ? placement->choice.engine.value() : "";
   }
-  /// How often each engine is chosen of `count` requests that end at once.
+  /// Counts the selected engines over `count` requests, each of which ends at once.
   std::map<std::string, int> Tally(int count, const RoutingRequest& request = LiveRequest()) {
     std::map<std::string, int> tally;
     for (int i = 0; i < count; ++i) {
@@ -48,7 +48,7 @@
   std::unique_ptr<EngineRouter> router;
 };
 
-TEST_CASE("the engine with less load is chosen, counting what was sent since the report") {
+TEST_CASE("the less loaded engine is selected, counting requests sent since the report") {
   Fixture f;
   f.builder.Engine("a", "z1").Engine("b", "z1").Gateway("g", "z1");
   f.Configure();
@@ -56,12 +56,13 @@
   f.Report("b", ReportWith(14));
   std::map<std::string, int> tally;
   for (int i = 0; i < 14; ++i) ++tally[f.Choose()];
-  // Four go to the emptier one, the others in turn; it may get one more for its shorter steps.
+  // The first four go to the less loaded engine, the rest alternate. It may get one more for its
+  // shorter steps.
   CHECK(tally["a"] >= 9);
   CHECK(tally["a"] <= 10);
 }
 
-TEST_CASE("engines that are leaving, drained, mixed or unknown get nothing") {
+TEST_CASE("engines that are leaving, drained, mixed or unknown get no requests") {
   Fixture f;
   for (const char* name : {"draining", "drained", "mixed", "swapping", "silent", "well"}) {
     f.builder.Engine(name, "z1");
@@ -77,7 +78,7 @@
   }
   CHECK(f.Tally(50) == std::map<std::string, int>{{"well", 50}});
 
-  SECTION("the engine's own word counts at once, until a later report takes it back") {
+  SECTION("an engine that reports leaving is excluded at once, until a later report") {
     f.router->SetLeaving(EngineName("well"), true);
     CHECK(f.Choose() == "");
     CHECK_FALSE(f.router->MayTakeWork(EngineName("well")));
@@ -109,7 +110,7 @@
     f.Report("e17", full);
     CHECK(f.Tally(20, request)["e17"] == 0);
   }
-  SECTION("and not when the events are too old to be believed") {
+  SECTION("and not when the events are too old to be trusted") {
     f.scheduler.RunFor(seconds(8));
     for (int i = 0; i < 40; ++i) f.Report(fmt::format("e{:02}", i), ReportWith(4));
     const auto slot = *f.router->SlotOf(EngineName("e17"));
@@ -120,7 +121,7 @@
   }
 }
 
-TEST_CASE("the own zone comes first, others when it has no room") {
+TEST_CASE("the own zone is preferred; others are used when it has no capacity") {
   Fixture f;
   f.builder.Engine("near", "z1").Engine("far", "z2").Gateway("g", "z1").Gateway("h", "z2");
   f.Configure();
@@ -134,7 +135,7 @@
   CHECK(f.Tally(10) == std::map<std::string, int>{{"far", 10}});
 }
 
-TEST_CASE("an engine that fails in a row is ejected for a while, unless it is the only one") {
+TEST_CASE("an engine with consecutive failures is ejected for a while, unless it is the only one") {
   Fixture f;
   f.builder.Engine("a", "z1").Engine("b", "z1").Gateway("g", "z1");
   f.Configure();
@@ -154,7 +155,7 @@
   CHECK(f.Choose() == "a");
 }
 
-TEST_CASE("after a restart an engine gets its share slowly") {
+TEST_CASE("a restarted engine starts slowly") {
   Fixture f;
   f.builder.Engine("a", "z1").Engine("b", "z1").Gateway("g", "z1");
   f.Configure();
@@ -165,7 +166,7 @@
   EngineReport restarted = ReportWith(0);
   restarted.incarnation = Incarnation(2);
   f.Report("a", restarted);
-  // Idle as it is, it would get all of them.
+  // Being idle, it would get all requests without the slow start.
   const int at_first = f.Tally(300)["a"];
   CHECK(at_first > 30);
   CHECK(at_first < 150);
@@ -175,7 +176,7 @@
   CHECK(f.Tally(300)["a"] == 300);
 }
 
-TEST_CASE("a report that is older than the one held changes nothing") {
+TEST_CASE("a report older than the last one changes nothing") {
   Fixture f;
   f.builder.Engine("a", "z1").Gateway("g", "z1");
   f.Configure();
@@ -186,14 +187,14 @@
   CHECK(f.router->FindEngine(EngineName("a"))->load.Sequences() == 3);
 }
 
-TEST_CASE("rollouts fill only the room that live traffic leaves, shared by the gateways") {
+TEST_CASE("rollouts use only capacity left by live traffic, shared by the gateways") {
   Fixture f;
   f.builder.Engine("a", "z1").Engine("b", "z1").Gateway("g", "z1").Gateway("h", "z1");
   f.Configure();
   CHECK(f.router->RolloutCapacity(RolloutPool()) == 0);
   f.Report("a", ReportWith(10));
   f.Report("b", ReportWith(32));
-  // 95 % of 32 sequences, less the 10 that run; half of it for each gateway.
+  // 95 % of 32 sequences, minus the 10 that run; half of the rest for each gateway.
   CHECK(f.router->RolloutCapacity(RolloutPool()) == 10);
   RoutingRequest rollout = LiveRequest();
   rollout.priority = RequestPriority::kRollout;
@@ -205,7 +206,7 @@
   CHECK(f.Choose() != "");
 }
 
-TEST_CASE("round robin takes turns, least outstanding the least loaded") {
+TEST_CASE("round robin alternates, least outstanding selects the least loaded engine") {
   Fixture turns(RoutingPolicy::kRoundRobin);
   Fixture least(RoutingPolicy::kLeastOutstanding);
   for (Fixture* f : {&turns, &least}) {
@@ -219,7 +220,7 @@
   for (int i = 0; i < 4; ++i) CHECK(least.Choose() == "b");
 }
 
-TEST_CASE("plain back ends are chosen by their answers under way") {
+TEST_CASE("plain back ends are selected by their requests in progress") {
   Fixture f;
   f.builder.Engine("p", "z1", EngineType::kHttp).Engine("q", "z1", EngineType::kHttp);
   f.builder.Gateway("g", "z1");
--- a/test/routing/herd_test.cc
+++ b/test/routing/herd_test.cc
@@ -1,4 +1,4 @@
-// Many gateways with equally late reports must not all run to the same engine.
+// Many gateways with equally old reports must not all select the same engine.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -20,14 +20,14 @@
 constexpr Duration kReportInterval = milliseconds(500);
 constexpr Duration kReportLag = milliseconds(300);
 constexpr Duration kServiceTime = milliseconds(800);
-/// 40 engines with 12 of 32 sequences each at this rate.
+/// Rate that keeps 40 engines at 12 of 32 sequences each.
 constexpr Duration kArrivalInterval = kServiceTime / (kEngines * 12);
 constexpr Duration kRunTime = std::chrono::seconds(20);
 constexpr Duration kWarmUp = std::chrono::seconds(2);
 
 std::string EngineAt(int i) { return fmt::format("e{:02}", i); }
 
-/// Engines that only count their sequences, seen by many routers through late reports.
+/// Engines that only count their sequences, with many routers that receive late reports.
 class HerdRun {
  public:
   HerdRun(RoutingPolicy policy, uint64_t seed) : scheduler_(seed), environment_(scheduler_, seed) {
@@ -102,12 +102,12 @@
   double samples_ = 0;
 };
 
-TEST_CASE("with late reports the sampled estimate spreads work better than the least loaded") {
+TEST_CASE("with late reports the sampled estimate spreads work better than least outstanding") {
   for (const uint64_t seed : {1, 2, 3}) {
     const double estimate = HerdRun(RoutingPolicy::kEstimate, seed).MeanSpread();
     const double least = HerdRun(RoutingPolicy::kLeastOutstanding, seed).MeanSpread();
     CAPTURE(seed, estimate, least);
-    // Random placement would give a standard deviation of about 3.5, the root of the mean.
+    // Random placement would give a standard deviation of about 3.5, the square root of the mean.
     CHECK(estimate < 4.5);
     CHECK(estimate < 0.6 * least);
   }
--- a/test/routing/prefix_index_test.cc
+++ b/test/routing/prefix_index_test.cc
@@ -17,7 +17,7 @@
   return batch;
 }
 
-TEST_CASE("leading blocks count only up to the first that is missing") {
+TEST_CASE("leading blocks count only up to the first missing one") {
   PrefixIndex index;
   index.Apply(0, 0, false, Events({{1, true, 11}, {2, true, 12}, {3, true, 14}}, 3), kStart);
   CHECK(index.LeadingHeld(0, {11, 12, 13, 14}) == 2);
@@ -41,7 +41,7 @@
   CHECK(index.Trust(0, kStart) == Approx(1));
   CHECK(index.Trust(0, kStart + seconds(10)) == Approx(0.5));
 
-  // Events 3 to 9 were lost on the way.
+  // Events 3 to 9 were lost.
   CHECK(index.Apply(0, 2, false, Events({{10, true, 13}}, 10), kStart) == CacheEventsEffect::kGap);
   const double after_losses = index.Trust(0, kStart);
   CHECK(after_losses < 0.75);
@@ -60,7 +60,7 @@
   CHECK(index.LeadingHeld(0, {21}) == 1);
 }
 
-TEST_CASE("events of an earlier life are ignored, and a new life forgets the blocks") {
+TEST_CASE("events of an earlier incarnation are ignored, and a new one resets the blocks") {
   PrefixIndex index;
   index.Apply(0, 0, false, Events({{1, true, 11}}, 1, 2), kStart);
   CHECK(index.Apply(0, 0, false, Events({{2, true, 12}}, 2, 1), kStart) ==
