--- a/source/ingress/backend_directory.h
+++ b/source/ingress/backend_directory.h
@@ -50,8 +50,8 @@
   /// Whether this node is the one of its kind that may send to a cold back end; by default every
   /// node is.
   using ColdAssignmentCheck = std::function<bool(const InstanceId&)>;
-  void SetColdAssignmentCheck(ColdAssignmentCheck turn) {
-    cold_assignment_check_ = std::move(turn);
+  void SetColdAssignmentCheck(ColdAssignmentCheck check) {
+    cold_assignment_check_ = std::move(check);
   }
   void SetColdPolicy(ColdPolicy policy);
   /// How many requests this node may start at `instance` now if it is cold; unlimited if it is not.
--- a/source/ingress/cold_backend_assignment.cc
+++ b/source/ingress/cold_backend_assignment.cc
@@ -42,9 +42,9 @@
 
 void ColdBackendAssignment::ForgetDeparted() {
   const TimePoint now = environment_.Now();
-  const size_t over =
+  const size_t expired =
       std::erase_if(departed_, [&](const auto& entry) { return now - entry.second > lease_; });
-  if (over > 0) candidates_.reset();
+  if (expired > 0) candidates_.reset();
 }
 
 }  // namespace millstair
--- a/source/ingress/ingress_service.cc
+++ b/source/ingress/ingress_service.cc
@@ -42,8 +42,9 @@
   const uint64_t digest = DigestOf(document);
   // Compares the content as well as the version: operators choose the version, and may reuse it for
   // other content after the cluster lost its data.
-  const bool held = routes_ && routes_->version == document.version && routes_->digest == digest;
-  if (held) {
+  const bool unchanged =
+      routes_ && routes_->version == document.version && routes_->digest == digest;
+  if (unchanged) {
     newest_unreadable_ = false;
     return;
   }
--- a/source/ingress/request_guard.cc
+++ b/source/ingress/request_guard.cc
@@ -279,9 +279,9 @@
   const TimePoint now = environment_.Now();
   std::erase_if(seen_, [&](const auto& entry) {
     const Seen& seen = entry.second;
-    const Duration kept =
+    const Duration retention =
         seen.crashed.size() >= kCrashesToHold ? kHeldRetention : kWatchedRetention;
-    return seen.unverified.empty() && now - seen.changed_at > kept;
+    return seen.unverified.empty() && now - seen.changed_at > retention;
   });
   while (seen_.size() > kMaxSeen) {
     seen_.erase(std::min_element(seen_.begin(), seen_.end(), [](const auto& a, const auto& b) {
--- a/source/routing/placement_rules.cc
+++ b/source/routing/placement_rules.cc
@@ -126,12 +126,12 @@
     for (const EngineName& engine : by_model_[model]) by_engine_[engine].push_back(model);
     holders.emplace(model, std::move(flags));
   }
-  const EngineFlags nobody(engines.size());
+  const EngineFlags no_engines(engines.size());
   for (const auto& [key, resource] : configuration.resources) {
     const std::optional<ModelName> model = WorkloadModel(resource);
     if (!model) continue;
     const auto held = holders.find(*model);
-    const EngineFlags& holding = held == holders.end() ? nobody : held->second;
+    const EngineFlags& holding = held == holders.end() ? no_engines : held->second;
     const bool plain = model->value().empty();
     const auto fits = [&](size_t i) { return plain ? !is_model_engine(i) : holding[i]; };
     EngineFlags flags(engines.size());
--- a/test/ingress/forward_flow_test.cc
+++ b/test/ingress/forward_flow_test.cc
@@ -192,8 +192,8 @@
 void Hold(Fixture& fixture, FakeRegister& cluster, Duration since = kClientTrialPauses.front()) {
   fixture.service_.SetSuspectRegister(cluster);
   SuspectRequest held;
-  const TenantName nobody;
-  held.request = FingerprintOf({"POST", "a.example", "/p/x", nobody, "body"});
+  const TenantName no_tenant;
+  held.request = FingerprintOf({"POST", "a.example", "/p/x", no_tenant, "body"});
   held.place = PlaceOf("a.example", "/p/x");
   held.crashed = {InstanceId("i1"), InstanceId("i2")};
   fixture.configuration.suspects[held.request] = held;
--- a/test/limits/admission_test.cc
+++ b/test/limits/admission_test.cc
@@ -14,7 +14,7 @@
 
 class Fixture {
  public:
-  AdmissionResult Ask(const std::string& name, RequestPriority priority, Duration within) {
+  AdmissionResult Admit(const std::string& name, RequestPriority priority, Duration within) {
     return controller.Admit(priority, environment.Now() + within,
                             [this, name](const std::optional<AdmissionRefused>& refused) {
                               log.push_back(name + (refused ? " refused" : " admitted"));
@@ -30,12 +30,12 @@
 
 TEST_CASE("the queue serves urgent requests first, then in order of arrival") {
   Fixture f;
-  auto running = f.Ask("running", RequestPriority::kLive, seconds(10));
+  auto running = f.Admit("running", RequestPriority::kLive, seconds(10));
   REQUIRE(running.admission->admitted());
-  auto first = f.Ask("first", RequestPriority::kLive, seconds(10));
-  auto second = f.Ask("second", RequestPriority::kLive, seconds(10));
-  auto urgent = f.Ask("urgent", RequestPriority::kUrgentLive, seconds(10));
-  CHECK(f.Ask("fourth", RequestPriority::kLive, seconds(10)).refused->reason ==
+  auto first = f.Admit("first", RequestPriority::kLive, seconds(10));
+  auto second = f.Admit("second", RequestPriority::kLive, seconds(10));
+  auto urgent = f.Admit("urgent", RequestPriority::kUrgentLive, seconds(10));
+  CHECK(f.Admit("fourth", RequestPriority::kLive, seconds(10)).refused->reason ==
         AdmissionRefusal::kQueueFull);
   running.admission.reset();
   f.Run(milliseconds(1));
@@ -48,9 +48,9 @@
 
 TEST_CASE("a destroyed admission leaves the queue") {
   Fixture f;
-  auto running = f.Ask("running", RequestPriority::kLive, seconds(10));
-  auto dropped = f.Ask("dropped", RequestPriority::kLive, seconds(10));
-  auto kept = f.Ask("kept", RequestPriority::kLive, seconds(10));
+  auto running = f.Admit("running", RequestPriority::kLive, seconds(10));
+  auto dropped = f.Admit("dropped", RequestPriority::kLive, seconds(10));
+  auto kept = f.Admit("kept", RequestPriority::kLive, seconds(10));
   dropped.admission.reset();
   running.admission.reset();
   f.Run(milliseconds(1));
@@ -61,21 +61,21 @@
 TEST_CASE("a request that can't meet its deadline is refused at once with a retry time") {
   Fixture f;
   {
-    auto slow = f.Ask("slow", RequestPriority::kLive, seconds(10));
+    auto slow = f.Admit("slow", RequestPriority::kLive, seconds(10));
     f.Run(seconds(4));
   }
-  auto running = f.Ask("running", RequestPriority::kLive, seconds(10));
-  const auto hopeless = f.Ask("hopeless", RequestPriority::kLive, seconds(3));
+  auto running = f.Admit("running", RequestPriority::kLive, seconds(10));
+  const auto hopeless = f.Admit("hopeless", RequestPriority::kLive, seconds(3));
   REQUIRE(hopeless.refused.has_value());
   CHECK(hopeless.refused->reason == AdmissionRefusal::kCannotMakeDeadline);
   CHECK(hopeless.refused->retry_after == seconds(4));
-  CHECK(f.Ask("patient", RequestPriority::kLive, seconds(9)).admission != nullptr);
+  CHECK(f.Admit("patient", RequestPriority::kLive, seconds(9)).admission != nullptr);
 }
 
 TEST_CASE("a queued request is refused when its deadline passes") {
   Fixture f;
-  auto running = f.Ask("running", RequestPriority::kLive, seconds(10));
-  auto queued = f.Ask("queued", RequestPriority::kLive, seconds(2));
+  auto running = f.Admit("running", RequestPriority::kLive, seconds(10));
+  auto queued = f.Admit("queued", RequestPriority::kLive, seconds(2));
   f.Run(milliseconds(1999));
   CHECK(f.log.empty());
   f.Run(milliseconds(2));
@@ -85,8 +85,8 @@
 
 TEST_CASE("raised limits admit queued requests") {
   Fixture f;
-  auto running = f.Ask("running", RequestPriority::kLive, seconds(10));
-  auto queued = f.Ask("queued", RequestPriority::kLive, seconds(10));
+  auto running = f.Admit("running", RequestPriority::kLive, seconds(10));
+  auto queued = f.Admit("queued", RequestPriority::kLive, seconds(10));
   f.controller.SetLimits({2, 3});
   f.Run(milliseconds(1));
   CHECK(queued.admission->admitted());
--- a/test/routing/engine_router_test.cc
+++ b/test/routing/engine_router_test.cc
@@ -207,16 +207,16 @@
 }
 
 TEST_CASE("round robin alternates, least outstanding selects the least loaded engine") {
-  Fixture turns(RoutingPolicy::kRoundRobin);
+  Fixture round_robin(RoutingPolicy::kRoundRobin);
   Fixture least(RoutingPolicy::kLeastOutstanding);
-  for (Fixture* f : {&turns, &least}) {
+  for (Fixture* f : {&round_robin, &least}) {
     f->builder.Engine("a", "z1").Engine("b", "z2").Engine("c", "z1").Gateway("g", "z1");
     f->Configure();
     f->Report("a", ReportWith(5));
     f->Report("b", ReportWith(1));
     f->Report("c", ReportWith(5));
   }
-  CHECK(turns.Tally(30) == std::map<std::string, int>{{"a", 10}, {"b", 10}, {"c", 10}});
+  CHECK(round_robin.Tally(30) == std::map<std::string, int>{{"a", 10}, {"b", 10}, {"c", 10}});
   for (int i = 0; i < 4; ++i) CHECK(least.Choose() == "b");
 }
 
