--- a/source/ingress/backend_protocol.h
+++ b/source/ingress/backend_protocol.h
@@ -41,7 +41,7 @@
   bool not_run = false;
   /// Another back end, or another incarnation of this one, uses the address.
   bool wrong_instance = false;
-  /// Present if the back end completed the request and signed its response.
+  /// Set if the back end completed the request and signed its response.
   std::string signature;
   /// Version of the weights at the start of the response; none if not stated.
   std::optional<WeightVersion> version;
--- a/source/ingress/forward_flow.cc
+++ b/source/ingress/forward_flow.cc
@@ -120,8 +120,8 @@
 ForwardFlow::~ForwardFlow() { CancelAttempts(); }
 
 void ForwardFlow::CancelAttempts() {
-  // Attempts in progress count as started, unless a back end still queues them. If an earlier
-  // attempt was answered, it has been metered already.
+  // Attempts in progress count as started, although a back end may still have them in its queue. If
+  // an earlier attempt was answered, the request has been metered already.
   if (!attempts_.empty()) meter_.RecordStart(attempts_.front()->sent_at());
   for (const auto& attempt : attempts_) attempt->End(BackendEnd::kCancelled);
 }
--- a/source/limits/concurrency_limit.h
+++ b/source/limits/concurrency_limit.h
@@ -16,9 +16,9 @@
 };
 
 /// Gradient control: the limit is scaled by the ratio of unloaded to recent latency, plus headroom
-/// for a short queue. A failure cuts it by a fixed factor. The unloaded latency is the minimum of a
-/// window of samples. Each window begins with half the limit, since a standing queue would hide the
-/// unloaded latency.
+/// for a short queue. A failure cuts it by a fixed factor. The unloaded latency is the minimum
+/// of the last and the current window of samples. Each window begins with half the limit, since a
+/// standing queue would hide the unloaded latency.
 class ConcurrencyLimit {
  public:
   explicit ConcurrencyLimit(ConcurrencyLimitOptions options = {});
