--- a/source/gateway/completion_flow.cc
+++ b/source/gateway/completion_flow.cc
@@ -38,8 +38,8 @@
 
   void NoteTokens(uint32_t count) {
     if (count > 0 && tokens_ == 0) {
-      flow_.context_.router.NoteFirstTokens(placement_.id,
-                                            flow_.context_.environment.Now() - sent_at_, count);
+      flow_.context_.router.OnFirstTokens(placement_.id,
+                                          flow_.context_.environment.Now() - sent_at_, count);
     }
     tokens_ += count;
   }
@@ -81,7 +81,7 @@
 CompletionFlow::~CompletionFlow() = default;
 
 void CompletionFlow::Dispatch() {
-  context_.retry_budget.NoteFirstTry();
+  context_.retry_budget.RecordFirstAttempt();
   PlaceOrWait();
 }
 
@@ -109,7 +109,7 @@
   const TimePoint now = context_.environment.Now();
   if (!waiting_) {
     waiting_since_ = now;
-    context_.router.NoteLiveQueued(request_.group->key());
+    context_.router.OnLiveQueued(request_.group->key());
   }
   waiting_ = true;
   if (now - waiting_since_ >= kLongestWait) {
@@ -252,10 +252,10 @@
 }
 
 void CompletionFlow::RetryOrFail(CallFailure failure, const std::string& reason) {
-  FailedTry failed;
+  FailedAttempt failed;
   failed.failure = failure;
   failed.repeatable = request_.meta.repeatable;
-  failed.tries = tries_;
+  failed.attempts = tries_;
   failed.time_left = TimeLeft();
   const RetryDecision decision = context_.retry.Decide(failed);
   if (!decision.retry) {
--- a/source/ingress/ingress_service.cc
+++ b/source/ingress/ingress_service.cc
@@ -24,7 +24,7 @@
 void IngressService::Update(const Configuration& configuration) {
   directory_.Update(configuration);
   guard_.Update(configuration.suspects);
-  guard_.NoteRevision(configuration.revision);
+  guard_.OnRevision(configuration.revision);
   UpdateRoutes(configuration.routing, configuration.revision);
 }
 
@@ -33,22 +33,23 @@
   directory_.Apply(configuration, changes);
   const bool suspects = !changes.changed_suspects.empty() || !changes.deleted_suspects.empty();
   if (suspects) guard_.Update(configuration.suspects);
-  guard_.NoteRevision(configuration.revision);
+  guard_.OnRevision(configuration.revision);
   if (changes.routing) UpdateRoutes(configuration.routing, configuration.revision);
 }
 
 void IngressService::UpdateRoutes(const RoutingDocument& document, Revision revision) {
   if (document.version == 0) return;
   const uint64_t digest = DigestOf(document);
-  // By content, not by version alone: the number is the operator's, and what was held under it may
-  // have been lost with disks and sent anew.
-  const bool held = routes_ && routes_->version == document.version && routes_->digest == digest;
-  if (held) {
-    newest_unread_ = false;
+  // Compares the content as well as the version: operators choose the version, and may reuse it for
+  // other content after the cluster lost its data.
+  const bool unchanged =
+      routes_ && routes_->version == document.version && routes_->digest == digest;
+  if (unchanged) {
+    newest_unreadable_ = false;
     return;
   }
   auto table = reader_.Read(document.content);
-  newest_unread_ = !table.ok();
+  newest_unreadable_ = !table.ok();
   if (!table.ok()) {
     LogEvent(EventId::kRoutingUnread, "version={} error=\"{}\"", document.version,
              std::string(table.status().message()));
@@ -82,7 +83,7 @@
         result.routing_digest = digest;
         Count(result, environment_.Now() - started);
         auto ended = flows_.extract(id);
-        // The flow's own callbacks are still running.
+        // Destroyed later, since the flow's own callbacks are still on the stack.
         if (!ended.empty()) {
           environment_.Schedule(
               Duration(0), [flow = std::shared_ptr<ForwardFlow>(std::move(ended.mapped()))] {});
@@ -104,18 +105,18 @@
                       std::string(ForwardOutcomeName(result.outcome))})
       .Observe(ToSeconds(took));
   stats_->NewCounter({"millstair_forward_tries_total", "Requests sent to back ends."})
-      .Add(result.tries);
+      .Add(result.attempts);
 }
 
 void IngressService::FinishUnrouted(Callback done) {
   if (!routes_) {
     return FinishSoon(ForwardOutcome::kNotConfigured, "no routes are known yet", std::move(done));
   }
-  if (!fresh_() || newest_unread_) {
-    return FinishSoon(ForwardOutcome::kNotConfigured, "the routes held may be too old",
+  if (!is_current_() || newest_unreadable_) {
+    return FinishSoon(ForwardOutcome::kNotConfigured, "the routes of this node may be out of date",
                       std::move(done));
   }
-  FinishSoon(ForwardOutcome::kNoRoute, "no route leads there", std::move(done));
+  FinishSoon(ForwardOutcome::kNoRoute, "no route matches the request", std::move(done));
 }
 
 void IngressService::FinishSoon(ForwardOutcome outcome, std::string reason, Callback done) {
@@ -147,7 +148,7 @@
         result.forward.routing_digest = digest;
         Count(result.forward, environment_.Now() - started);
         auto ended = streams_.extract(id);
-        // The flow's own callbacks are still running.
+        // Destroyed later, since the flow's own callbacks are still on the stack.
         if (!ended.empty()) {
           environment_.Schedule(Duration(0),
                                 [flow = std::shared_ptr<StreamFlow>(std::move(ended.mapped()))] {});
--- a/source/ingress/request_guard.cc
+++ b/source/ingress/request_guard.cc
@@ -8,13 +8,13 @@
 namespace millstair {
 namespace {
 
-/// Requests of which a node remembers what it saw itself (some 100 kB). Those with the fewest
-/// crashes go first.
-constexpr size_t kMostSeen = 256;
-/// Requests that are remembered as served in one span (some 30 kB); a busier node remembers those
-/// of a shorter one.
-constexpr size_t kMostServed = 2048;
-/// Between two reports of what the cluster did not take.
+/// Maximum number of requests with local observations (some 100 kB); those with the fewest crashes
+/// are dropped first.
+constexpr size_t kMaxSeen = 256;
+/// Maximum number of requests in one window of served requests (some 30 kB); a new window starts
+/// early when it is full.
+constexpr size_t kMaxServed = 2048;
+/// Pause before a report that was not committed is repeated.
 constexpr Duration kReportPause = std::chrono::seconds(1);
 
 }  // namespace
@@ -45,21 +45,21 @@
              request, record.place, record.crashed.size(), record.trials,
              SuspectStandingName(record.standing()));
     const auto seen = seen_.find(request);
-    // What the cluster holds it holds for this node too.
+    // Crashes in the cluster's record need no local copy.
     if (seen == seen_.end()) continue;
     for (const InstanceId& instance : record.crashed) seen->second.crashed.erase(instance);
-    if (seen->second.crashed.empty() && seen->second.in_doubt.empty()) seen_.erase(seen);
+    if (seen->second.crashed.empty() && seen->second.unverified.empty()) seen_.erase(seen);
   }
   DropOldSeen();
   RefreshPlaces();
 }
 
-void RequestGuard::NoteRevision(Revision revision) {
+void RequestGuard::OnRevision(Revision revision) {
   revision_ = revision;
-  if (!seen_.empty()) DropAccounted();
+  if (!seen_.empty()) DropCommitted();
 }
 
-void RequestGuard::DropAccounted() {
+void RequestGuard::DropCommitted() {
   const size_t before = seen_.size();
   for (auto entry = seen_.begin(); entry != seen_.end();) {
     Seen& seen = entry->second;
@@ -68,7 +68,7 @@
       seen.reported.clear();
       seen.reported_at.reset();
     }
-    const bool nothing_left = seen.crashed.empty() && seen.in_doubt.empty();
+    const bool nothing_left = seen.crashed.empty() && seen.unverified.empty();
     entry = nothing_left ? seen_.erase(entry) : std::next(entry);
   }
   if (seen_.size() != before) RefreshPlaces();
@@ -102,9 +102,9 @@
   const size_t crashes = CrashesOf(seen, known);
   decision.count = known == nullptr ? CrashCount{crashes, 0, 0} : known->record.CountWith(crashes);
   decision.standing = StandingOf(decision.count);
-  const size_t in_doubt = seen == nullptr ? 0 : seen->in_doubt.size();
+  const size_t unverified = seen == nullptr ? 0 : seen->unverified.size();
   if (decision.standing == SuspectStanding::kWatched) {
-    const bool may_hold = in_doubt > 0 && crashes + in_doubt >= kCrashesToHold;
+    const bool may_hold = unverified > 0 && crashes + unverified >= kCrashesToHold;
     decision.verdict = may_hold ? GuardVerdict::kWait : GuardVerdict::kSend;
     return decision;
   }
@@ -117,12 +117,12 @@
     decision.retry_after = kBarredRetryAfter;
     return decision;
   }
-  TimePoint since = known == nullptr ? seen->changed_at : known->learned_at;
+  TimePoint since = known == nullptr ? seen->changed_at : known->received_at;
   if (seen != nullptr) since = std::max(since, seen->changed_at);
   const Duration pause = pauses[decision.count.trials];
   decision.retry_after = std::max(since + pause - environment_.Now(), Duration(0));
   if (decision.retry_after > Duration(0)) return decision;
-  // The cluster grants trials of what it holds only.
+  // The cluster grants trials only of requests that its own record holds.
   const bool cluster_holds = known != nullptr && known->record.standing() == decision.standing;
   if (cluster_holds && register_ != nullptr) decision.verdict = GuardVerdict::kTrial;
   decision.retry_after = kClientTrialPauses.front();
@@ -148,32 +148,32 @@
   LogEvent(EventId::kTrialReturned, "fingerprint={}", request);
 }
 
-void RequestGuard::NoteLost(const GuardedRequest& request, const BackendInstance& instance) {
+void RequestGuard::OnLost(const GuardedRequest& request, const BackendInstance& instance) {
   Seen& seen = seen_[request.fingerprint];
   seen.place = request.place;
-  seen.in_doubt.insert(instance.id);
+  seen.unverified.insert(instance.id);
   seen.changed_at = environment_.Now();
   places_.insert(request.place);
   const auto [check, added] = checks_.try_emplace(instance.id);
   check->second.requests.insert(request.fingerprint);
   if (!added) return;
-  check->second.check = std::make_unique<LifeCheck>(
+  check->second.check = std::make_unique<LivenessCheck>(
       environment_, http_, protocol_, instance, health_path_(instance.service),
-      [this, id = instance.id](LifeVerdict verdict) { OnChecked(id, verdict); });
+      [this, id = instance.id](LivenessVerdict verdict) { OnChecked(id, verdict); });
   check->second.check->Start();
 }
 
-void RequestGuard::OnChecked(const InstanceId& instance, LifeVerdict verdict) {
+void RequestGuard::OnChecked(const InstanceId& instance, LivenessVerdict verdict) {
   auto checked = checks_.extract(instance);
   LogEvent(EventId::kLifeChecked, "instance={} verdict={} requests={}", instance,
-           LifeVerdictName(verdict), checked.mapped().requests.size());
+           LivenessVerdictName(verdict), checked.mapped().requests.size());
   std::vector<RequestFingerprint> reports;
   for (const RequestFingerprint& request : checked.mapped().requests) {
     const auto found = seen_.find(request);
-    // It was answered meanwhile.
-    if (found == seen_.end() || found->second.in_doubt.erase(instance) == 0) continue;
+    // The request was answered in the meantime.
+    if (found == seen_.end() || found->second.unverified.erase(instance) == 0) continue;
     Seen& seen = found->second;
-    if (verdict == LifeVerdict::kEnded) {
+    if (verdict == LivenessVerdict::kEnded) {
       seen.crashed.insert(instance);
       seen.changed_at = environment_.Now();
       LogEvent(EventId::kCrashNoted, "fingerprint={} place=\"{}\" instance={} crashes={}", request,
@@ -186,7 +186,7 @@
       }
       if (WantsReport(seen)) reports.push_back(request);
     }
-    if (seen.crashed.empty() && seen.in_doubt.empty()) seen_.erase(found);
+    if (seen.crashed.empty() && seen.unverified.empty()) seen_.erase(found);
   }
   Report(reports);
   DropOldSeen();
@@ -221,8 +221,8 @@
     if (!at) found->second.reported.clear();
   }
   if (!at) return ReportSoon();
-  // A record that was cleared before it was pushed here is never seen as such.
-  DropAccounted();
+  // If the record was cleared before it reached this node, Update never sees it.
+  DropCommitted();
 }
 
 void RequestGuard::ReportSoon() {
@@ -235,7 +235,7 @@
   });
 }
 
-void RequestGuard::NoteServed(const RequestFingerprint& request) {
+void RequestGuard::OnServed(const RequestFingerprint& request) {
   if (seen_.erase(request) > 0) RefreshPlaces();
   const auto known = known_.find(request);
   if (known == known_.end() || known->second.clearing || register_ == nullptr) return;
@@ -249,26 +249,26 @@
   }));
 }
 
-void RequestGuard::RememberServed(uint64_t digest) {
-  BeginSpanIfDue();
+void RequestGuard::RecordServed(uint64_t digest) {
+  RotateServedIfDue();
   served_.insert(digest);
 }
 
-bool RequestGuard::ServedLately(uint64_t digest) {
-  BeginSpanIfDue();
+bool RequestGuard::ServedRecently(uint64_t digest) {
+  RotateServedIfDue();
   return served_.contains(digest) || served_before_.contains(digest);
 }
 
-void RequestGuard::BeginSpanIfDue() {
-  const Duration passed = environment_.Now() - span_begun_;
-  if (passed < kServedSpan && served_.size() < kMostServed) return;
+void RequestGuard::RotateServedIfDue() {
+  const Duration passed = environment_.Now() - span_started_at_;
+  if (passed < kServedSpan && served_.size() < kMaxServed) return;
   served_before_.clear();
   if (passed < 2 * kServedSpan) std::swap(served_, served_before_);
   served_.clear();
-  span_begun_ = environment_.Now();
+  span_started_at_ = environment_.Now();
 }
 
-void RequestGuard::NoteGivenUp(const RequestFingerprint& request) {
+void RequestGuard::OnGivenUp(const RequestFingerprint& request) {
   const auto found = seen_.find(request);
   if (found == seen_.end()) return;
   found->second.given_up = true;
@@ -279,10 +279,11 @@
   const TimePoint now = environment_.Now();
   std::erase_if(seen_, [&](const auto& entry) {
     const Seen& seen = entry.second;
-    const Duration kept = seen.crashed.size() >= kCrashesToHold ? kHeldFor : kWatchedFor;
-    return seen.in_doubt.empty() && now - seen.changed_at > kept;
+    const Duration retention =
+        seen.crashed.size() >= kCrashesToHold ? kHeldRetention : kWatchedRetention;
+    return seen.unverified.empty() && now - seen.changed_at > retention;
   });
-  while (seen_.size() > kMostSeen) {
+  while (seen_.size() > kMaxSeen) {
     seen_.erase(std::min_element(seen_.begin(), seen_.end(), [](const auto& a, const auto& b) {
       return std::pair(a.second.crashed.size(), a.second.changed_at) <
              std::pair(b.second.crashed.size(), b.second.changed_at);
--- a/source/ingress/stream_flow.cc
+++ b/source/ingress/stream_flow.cc
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr int kOk = 200;
-constexpr Duration kLongestWithoutLimit = std::chrono::minutes(10);
-constexpr Duration kPauseMin = std::chrono::milliseconds(10);
-constexpr Duration kPauseMax = std::chrono::milliseconds(40);
-/// A stream that no back end takes is given up after this part of its time.
+constexpr Duration kDefaultTimeout = std::chrono::minutes(10);
+constexpr Duration kRetryPauseMin = std::chrono::milliseconds(10);
+constexpr Duration kRetryPauseMax = std::chrono::milliseconds(40);
+/// A stream that no back end accepts is given up after this share of its time limit.
 constexpr double kGiveUpShare = 0.5;
 constexpr Duration kRetryAfter = std::chrono::milliseconds(50);
 
@@ -71,12 +71,12 @@
       sink_(sink),
       done_(std::move(done)),
       started_at_(context.environment.Now()),
-      meter_(context.on_begun, request_.tenant),
+      meter_(context.on_request_started, request_.tenant),
       watch_(context.guard, request_),
       retry_after_(kRetryAfter),
       deadline_timer_(context.environment),
       retry_timer_(context.environment) {
-  Duration limit = route_.timeout.value_or(kLongestWithoutLimit);
+  Duration limit = route_.timeout.value_or(kDefaultTimeout);
   if (request_.time_left) limit = std::min(limit, *request_.time_left);
   deadline_ = started_at_ + limit;
   events_ = request_.resume_after.value_or(0);
@@ -113,13 +113,13 @@
   const TimePoint now = context_.environment.Now();
   auto target = context_.directory.Pick(DrawService(route_, context_.environment), tried_);
   if (!target) {
-    // Nobody is there: those tried before may be again.
+    // All known back ends were tried; allow each of them again.
     tried_.clear();
     const double used = ToSeconds(now - started_at_);
     if (!begun_ && used >= kGiveUpShare * ToSeconds(deadline_ - started_at_)) {
-      return Finish(ForwardOutcome::kFailed, "no back end takes it");
+      return Finish(ForwardOutcome::kFailed, "no back end is available");
     }
-    retry_timer_.Arm(DrawDuration(context_.environment.Random(), kPauseMin, kPauseMax),
+    retry_timer_.Arm(DrawDuration(context_.environment.Random(), kRetryPauseMin, kRetryPauseMax),
                      [this] { SendIfAllowed(); });
     return;
   }
@@ -127,8 +127,8 @@
   last_instance_ = target->id;
   ++sent_;
   ++may_have_run_;
-  proof_age_at_send_ = std::max(proof_age_at_send_, context_.proof_age());
-  watch_.NoteSent();
+  confirmation_age_at_send_ = std::max(confirmation_age_at_send_, context_.confirmation_age());
+  watch_.OnSent();
   BackendRequest request{request_.http, request_.host,         request_.request_id, deadline_ - now,
                          target->id,    request_.resume_after, request_.tenant};
   if (begun_) request.resume_after = events_;
@@ -138,7 +138,8 @@
 
 void StreamFlow::OnHead(Run& run, const HttpResponseHead& head) {
   const BackendAnswer answer = context_.protocol.ReadAnswer(head, request_.request_id);
-  if (!answer.own) return OnFailed(run, BackendEnd::kFailed, "it answers another request");
+  if (!answer.own)
+    return OnFailed(run, BackendEnd::kFailed, "the response belongs to another request");
   if (answer.not_run) {
     --may_have_run_;
     EndRun(answer.wrong_instance ? BackendEnd::kWrongInstance : BackendEnd::kRefused);
@@ -158,60 +159,62 @@
 void StreamFlow::OnBody(Run& run, std::string bytes) {
   if (plain_) {
     plain_body_ += bytes;
-  } else if (!TakeEvents(bytes)) {
-    OnFailed(run, BackendEnd::kFailed, "its events do not follow one another");
+  } else if (!ForwardEvents(bytes)) {
+    OnFailed(run, BackendEnd::kFailed,
+             "the stream holds an event that is malformed or out of order");
   }
 }
 
-bool StreamFlow::TakeEvents(const std::string& bytes) {
-  std::string whole;
-  bool sound = true;
-  for (const std::string& lines : splitter_.Take(bytes)) {
+bool StreamFlow::ForwardEvents(const std::string& bytes) {
+  std::string complete;
+  bool valid = true;
+  for (const std::string& lines : splitter_.Append(bytes)) {
     const auto event = context_.protocol.ReadEvent(lines);
-    sound = event.ok();
-    if (!sound) break;
+    valid = event.ok();
+    if (!valid) break;
     if (event->has_value()) {
-      // Ids rise; a run that goes on has to begin after what was passed on.
-      sound = (*event)->id > events_;
-      if (!sound) break;
+      // Event ids increase; a resumed run has to start after the last event passed on.
+      valid = (*event)->id > events_;
+      if (!valid) break;
       events_ = (*event)->id;
     }
-    whole += lines;
-    whole += "\n\n";
+    complete += lines;
+    complete += "\n\n";
   }
-  if (!whole.empty()) {
-    // It got further than where the last back end ended.
-    if (std::exchange(after_loss_, false)) watch_.NoteServed();
-    // A generation begins with its first token.
-    meter_.NoteBegun(context_.environment.Now());
-    sink_.OnEvents(std::move(whole));
+  if (!complete.empty()) {
+    // The run got further than the one that was lost.
+    if (std::exchange(after_loss_, false)) watch_.OnServed();
+    // A generation counts as started with its first token.
+    meter_.RecordStart(context_.environment.Now());
+    sink_.OnEvents(std::move(complete));
   }
-  return sound;
+  return valid;
 }
 
 void StreamFlow::OnFinished(Run& run) {
   if (!plain_ && splitter_.HasPartialEvent()) {
-    return OnFailed(run, BackendEnd::kFailed, "it ended inside an event");
+    return OnFailed(run, BackendEnd::kFailed, "the stream ended inside an event");
   }
   EndRun(BackendEnd::kAnswered);
-  watch_.NoteServed();
+  watch_.OnServed();
   Finish(ForwardOutcome::kAnswered, "");
 }
 
 void StreamFlow::OnFailed(Run& run, BackendEnd end, const std::string& reason) {
   if (end == BackendEnd::kUnreachable) {
     --may_have_run_;
-    watch_.NoteUnreachable();
+    watch_.OnUnreachable();
   } else {
-    LogLostTry(context_, request_, watch_.fingerprint(), run.target().id, run.sent_at(), reason);
-    watch_.NoteLost(run.target());
+    LogLostAttempt(context_, request_, watch_.fingerprint(), run.target().id, run.sent_at(),
+                   reason);
+    watch_.OnLost(run.target());
     after_loss_ = true;
   }
   EndRun(end);
-  GoOnOrFail(reason);
+  ResumeOrFail(reason);
 }
 
-void StreamFlow::GoOnOrFail(const std::string& reason) {
+void StreamFlow::ResumeOrFail(const std::string& reason) {
   const bool may_run_again =
       may_have_run_ == 0 || (route_.resumable && may_have_run_ < route_.attempts);
   if (!may_run_again) return Finish(ForwardOutcome::kFailed, reason);
@@ -232,9 +235,9 @@
   result.forward.outcome = not_run ? ForwardOutcome::kNotRun : outcome;
   result.forward.retry_after = retry_after_;
   result.forward.reason = reason;
-  result.forward.tries = sent_;
+  result.forward.attempts = sent_;
   result.forward.instance = last_instance_;
-  result.forward.proof_age_at_send = proof_age_at_send_;
+  result.forward.confirmation_age_at_send = confirmation_age_at_send_;
   result.forward.head = head_;
   result.forward.body = std::move(plain_body_);
   result.begun = begun_;
--- a/source/jobs/ingress_node.cc
+++ b/source/jobs/ingress_node.cc
@@ -47,15 +47,15 @@
       cold_assignment_(environment, options.self.node, options.configuration_timing.lease),
       ready_timer_(environment) {
   ingress_.SetColdBound(options.cold_bound);
-  ingress_.directory().SetColdTurn([this](const InstanceId& instance) {
-    return cold_assignment_.IsOurs(instance.value(), configuration_->ConfirmedSince());
+  ingress_.directory().SetColdAssignmentCheck([this](const InstanceId& instance) {
+    return cold_assignment_.IsAssignedToSelf(instance.value(), configuration_->ConfirmedSince());
   });
   ingress_.SetSuspectRegister(suspects_);
-  ingress_.SetFresh([this] { return LeaseValid(); });
-  ingress_.SetProofAge([this] { return ConfirmationAge(); });
+  ingress_.SetIsCurrent([this] { return LeaseValid(); });
+  ingress_.SetConfirmationAge([this] { return ConfirmationAge(); });
   ingress_.SetWhenCurrent(
       [this](std::function<void()> work) { configuration_->WhenCurrent(std::move(work)); });
-  ingress_.OnBegun(
+  ingress_.SetRequestStartListener(
       [this](const TenantName& tenant, TimePoint at) { usage_.OnRequestStarted(tenant, at); });
 }
 
@@ -129,7 +129,7 @@
     if (by_key && !ready_) return {AdmissionVerdict::kUnsure, {}, kRetryWhenUnconfigured};
     return {AdmissionVerdict::kAllowed, access.tenant, Duration(0)};
   }
-  const bool sure = ready_ && LeaseValid() && !ingress_.NewestUnread();
+  const bool sure = ready_ && LeaseValid() && !ingress_.NewestUnreadable();
   if (!sure) return {AdmissionVerdict::kUnsure, {}, kRetryWhenUnconfigured};
   return {AdmissionVerdict::kUnknownKey, {}, Duration(0)};
 }
--- a/source/jobs/load_scheduler.cc
+++ b/source/jobs/load_scheduler.cc
@@ -351,8 +351,9 @@
 
 void LoadScheduler::HandleReport(const InstanceId& instance, const ReportedEngine& report) {
   // Another incarnation of the server replied, so this one has ended.
-  const bool other_incarnation = report.born != StartTime() && report.born != StartTimeOf(instance);
-  if (other_incarnation) return directory_.NoteOver(instance);
+  const bool other_incarnation =
+      report.started_at != StartTime() && report.started_at != StartTimeOf(instance);
+  if (other_incarnation) return directory_.OnSuperseded(instance);
   EngineLoadState& engine = engines_.at(instance);
   for (const NamedVersion& held : report.models) {
     engine.versions[held.model] = std::max(engine.versions[held.model], held.version);
@@ -456,11 +457,11 @@
   if (!engine.loading) return;
   const TimePoint now = environment_.Now();
   switch (answer) {
-    case LoadAnswer::kTaken:
+    case LoadAnswer::kAccepted:
       engine.loading_since = now;
       engine.next_poll_at = now + FirstPollDelay();
       return;
-    case LoadAnswer::kHolds:
+    case LoadAnswer::kAlreadyLoaded:
       engine.versions[engine.loading->model] =
           std::max(engine.versions[engine.loading->model], engine.loading->version);
       break;
--- a/source/retry/retry_budget.h
+++ b/source/retry/retry_budget.h
@@ -1,5 +1,5 @@
-/// Keeps retries and hedges a bounded share of first tries, so that a struggling fleet is not
-/// buried under repeats.
+/// Limits retries and hedges to a share of first attempts, so that they don't multiply the load on
+/// an overloaded fleet.
 #pragma once
 
 #include <algorithm>
@@ -7,10 +7,9 @@
 namespace millstair {
 
 struct RetryBudgetLimits {
-  /// Retries allowed per first try.
+  /// Retries allowed per first attempt.
   double share = 0.2;
-  /// Retries that may be saved up; also the balance at the start, so that a quiet service can
-  /// still retry.
+  /// Maximum balance, and the initial one, so that a service with little traffic can retry.
   double reserve = 10;
 };
 
@@ -19,7 +18,7 @@
  public:
   explicit RetryBudget(RetryBudgetLimits limits = {}) : limits_(limits), balance_(limits.reserve) {}
 
-  void NoteFirstTry() { balance_ = std::min(limits_.reserve, balance_ + limits_.share); }
+  void RecordFirstAttempt() { balance_ = std::min(limits_.reserve, balance_ + limits_.share); }
 
   /// Takes one retry from the budget; false if none is left.
   bool Spend() {
--- a/source/routing/outlier_ejection.h
+++ b/source/routing/outlier_ejection.h
@@ -1,4 +1,4 @@
-/// Takes a back end out of the choice for a while after failures in a row, longer each time.
+/// Excludes a back end for a while after consecutive failures, each time for longer.
 #pragma once
 
 #include <algorithm>
@@ -9,31 +9,31 @@
 namespace millstair {
 
 struct EjectionOptions {
-  /// Failures in a row that eject.
+  /// Consecutive failures that eject a back end.
   uint32_t failures = 3;
   Duration first = std::chrono::seconds(1);
-  Duration largest = std::chrono::seconds(30);
+  Duration max_duration = std::chrono::seconds(30);
 };
 
 class OutlierEjection {
  public:
   explicit OutlierEjection(EjectionOptions options = {}) : options_(options) {}
 
-  void NoteSuccess() {
+  void RecordSuccess() {
     failures_ = 0;
     if (ejections_ > 0) --ejections_;
   }
   /// A call failed; `unreachable` ones (nothing could be sent) count double.
-  void NoteFailure(TimePoint now, bool unreachable) {
+  void RecordFailure(TimePoint now, bool unreachable) {
     failures_ += unreachable ? 2 : 1;
     if (failures_ < options_.failures || Ejected(now)) return;
     Duration span = options_.first;
-    for (uint32_t i = 0; i < ejections_ && span < options_.largest; ++i) span *= 2;
-    until_ = now + std::min(span, options_.largest);
+    for (uint32_t i = 0; i < ejections_ && span < options_.max_duration; ++i) span *= 2;
+    until_ = now + std::min(span, options_.max_duration);
     ++ejections_;
     failures_ = 0;
   }
-  /// The back end is known to be well again.
+  /// The back end is known to be healthy again.
   void Readmit() {
     failures_ = 0;
     until_ = TimePoint();
--- a/test/jobs/crashing_item_test.cc
+++ b/test/jobs/crashing_item_test.cc
@@ -54,7 +54,7 @@
     apply(ledger);
     scheduler_.Schedule(milliseconds(1), [this] {
       guard_.Update(suspects_);
-      guard_.NoteRevision(revision_);
+      guard_.OnRevision(revision_);
     });
   }
 
@@ -163,7 +163,7 @@
     answer.pieces.clear();
     for (int i = first; i <= last; ++i) answer.pieces.push_back(fmt::format("{}||t{}\n\n", i, i));
     if (last < kCompleteEvents) {
-      answer.kind = Kind::kCutBody;
+      answer.kind = Kind::kTruncatedBody;
       ended_under_crashing += crashing ? 1 : 0;
       End(address, answer.delay + answer.gap * static_cast<int>(answer.pieces.size()));
     }
--- a/test/jobs/item_run_test.cc
+++ b/test/jobs/item_run_test.cc
@@ -58,7 +58,7 @@
 
 TEST_CASE("A broken run is resumed after its last complete event") {
   Fixture fixture;
-  fixture.Run(Stream({"1||one\n\n2||tw"}, Kind::kCutBody));
+  fixture.Run(Stream({"1||one\n\n2||tw"}, Kind::kTruncatedBody));
   CHECK(fixture.end == ItemRunEnd::kBroken);
   CHECK(fixture.progress.text == "one");
   fixture.end.reset();
--- a/test/jobs/job_scheduler_test.cc
+++ b/test/jobs/job_scheduler_test.cc
@@ -171,7 +171,7 @@
   Fixture fixture;
   fixture.Add("e:1", "engines", [](const HttpRequest&) {
     FakeAnswer answer = Text({"1||one\n\n"});
-    answer.kind = Kind::kCutBody;
+    answer.kind = Kind::kTruncatedBody;
     return answer;
   });
   fixture.Lead();
@@ -189,7 +189,7 @@
 
 TEST_CASE("A stalled run is moved sooner where engines are known to be fast") {
   Fixture fixture;
-  fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kSilence}; });
+  fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kNoResponse}; });
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
   fixture.Add("e:2", "engines", [](const HttpRequest&) { return Text({"1||one\n\n"}); });
@@ -222,7 +222,7 @@
 
 TEST_CASE("An item fails when its lifetime has expired, not before") {
   Fixture fixture;
-  fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kSilence}; });
+  fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kNoResponse}; });
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
   fixture.scheduler.RunFor(seconds(29));
@@ -281,7 +281,7 @@
 
 TEST_CASE("Scorers without free slots do not block texts of other scorers") {
   Fixture fixture;
-  fixture.score.kind = Kind::kSilence;
+  fixture.score.kind = Kind::kNoResponse;
   Route other = fixture.reader.table.routes[1];
   other.name = "other";
   other.path_prefix = "/other/";
@@ -306,7 +306,7 @@
 
 TEST_CASE("The end of a job frees the slots of its scorings") {
   Fixture fixture;
-  fixture.score.kind = Kind::kSilence;
+  fixture.score.kind = Kind::kNoResponse;
   fixture.Lead();
   for (const char* id : {"a", "b", "c"}) {
     JobSpec job = fixture.Job(id);
@@ -434,7 +434,7 @@
   Fixture fixture;
   fixture.Add("e:1", "engines", [](const HttpRequest& request) {
     CHECK(request.body == "prompt");
-    return FakeAnswer{Kind::kSilence};
+    return FakeAnswer{Kind::kNoResponse};
   });
   fixture.Submit(fixture.Job("j"));
   fixture.Lead();
@@ -718,7 +718,7 @@
       return FakeAnswer{Kind::kAnswer, 200, {{"version", "2"}}, {"1||new\n\n"}};
     }
     FakeAnswer answer = Text({"1||one\n\n"});
-    answer.kind = Kind::kCutBody;
+    answer.kind = Kind::kTruncatedBody;
     return answer;
   });
   fixture.Lead();
@@ -746,7 +746,7 @@
   fixture.Add("e:1", "engines", [](const HttpRequest&) {
     FakeAnswer answer = Text({"1||one\n\n"});
     answer.headers = {{"version", "2"}};
-    answer.kind = Kind::kCutBody;
+    answer.kind = Kind::kTruncatedBody;
     return answer;
   });
   fixture.Lead();
@@ -775,7 +775,7 @@
 
 TEST_CASE("Loss of leadership ends all runs") {
   Fixture fixture;
-  fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kSilence}; });
+  fixture.Add("e:1", "engines", [](const HttpRequest&) { return FakeAnswer{Kind::kNoResponse}; });
   fixture.Lead();
   fixture.Submit(fixture.Job("j"));
   fixture.scheduler.RunFor(milliseconds(100));
