--- a/emulator/engine_service.cc
+++ b/emulator/engine_service.cc
@@ -125,7 +125,7 @@
   auto generation = std::make_shared<Generation>(*this, id, writer);
   generations_[id] = generation;
   const std::weak_ptr<Generation> weak = generation;
-  writer->OnCallerGone([this, id, weak, alive = std::weak_ptr<char>(alive_)] {
+  writer->OnCallerDisconnected([this, id, weak, alive = std::weak_ptr<char>(alive_)] {
     const std::shared_ptr<Generation> gone = weak.lock();
     if (alive.expired() || gone == nullptr) return;
     engine_.Cancel(gone->generation());
--- a/emulator/model/plain_server_model.cc
+++ b/emulator/model/plain_server_model.cc
@@ -78,7 +78,7 @@
   const uint64_t execution = Execute(request);
   const ExchangeId id = next_exchange_++;
   exchanges_[id] = writer;
-  writer->OnCallerGone([weak = weak_from_this(), id] {
+  writer->OnCallerDisconnected([weak = weak_from_this(), id] {
     if (const auto self = weak.lock()) self->exchanges_.erase(id);
   });
   const Duration delay =
--- a/simulator/network/fabric_call.cc
+++ b/simulator/network/fabric_call.cc
@@ -144,7 +144,7 @@
   End();
 }
 
-void FabricWriter::OnCallerGone(std::function<void()> callback) {
+void FabricWriter::OnCallerDisconnected(std::function<void()> callback) {
   connection_->OnClientGone([self = weak_from_this(), callback = std::move(callback)] {
     const auto writer = self.lock();
     if (!writer || writer->ended_) return;
--- a/simulator/network/fabric_call.h
+++ b/simulator/network/fabric_call.h
@@ -68,7 +68,7 @@
   void Abort() override;
   size_t WritableBytes() const override;
   void OnWritable(std::function<void()> callback) override { on_writable_ = std::move(callback); }
-  void OnCallerGone(std::function<void()> callback) override;
+  void OnCallerDisconnected(std::function<void()> callback) override;
 
  private:
   void Drained(size_t bytes);
--- a/source/cluster/status_routes.cc
+++ b/source/cluster/status_routes.cc
@@ -127,7 +127,7 @@
   watches_[id] = std::move(watch);
   const bool due = ending_ || cluster_.configuration().revision > after;
   stored.timer.Arm(due ? Duration(0) : std::min(wait, kMaxWatch), [this, id] { EndWatch(id); });
-  writer->OnCallerGone(alive_.Guard([this, id] { watches_.erase(id); }));
+  writer->OnCallerDisconnected(alive_.Guard([this, id] { watches_.erase(id); }));
 }
 
 void StatusRoutes::EndWatch(uint64_t id) {
--- a/source/gateway/request_flow.cc
+++ b/source/gateway/request_flow.cc
@@ -41,7 +41,7 @@
 
 void RequestFlow::Start() {
   ++context_.counters.requests;
-  request_.writer->OnCallerGone(alive_.Guard([this] { OnCallerGone(); }));
+  request_.writer->OnCallerDisconnected(alive_.Guard([this] { OnCallerDisconnected(); }));
   if (!CheckLease()) return;
   deadline_timer_.Arm(request_.meta.time_limit, [this] { OnDeadline(); });
   const TrafficGroupSpec& spec = request_.group->spec;
@@ -219,7 +219,7 @@
         std::nullopt});
 }
 
-void RequestFlow::OnCallerGone() {
+void RequestFlow::OnCallerDisconnected() {
   if (ended_) return;
   ++context_.counters.callers_gone;
   // A claim that was not dispatched yet is given back; one whose request may have run stays.
--- a/source/gateway/request_flow.h
+++ b/source/gateway/request_flow.h
@@ -78,7 +78,7 @@
   void RefuseAdmission(const AdmissionRefused& refused);
   void OnClaim(ClaimAnswer answer);
   void OnDeadline();
-  void OnCallerGone();
+  void OnCallerDisconnected();
   void End();
   Outcome ReportedOutcome() const;
 
--- a/source/http/exchange.h
+++ b/source/http/exchange.h
@@ -71,7 +71,7 @@
   /// Called whenever room appears after there was none.
   virtual void OnWritable(std::function<void()> callback) = 0;
   /// Called once when the caller has gone before the answer was finished.
-  virtual void OnCallerGone(std::function<void()> callback) = 0;
+  virtual void OnCallerDisconnected(std::function<void()> callback) = 0;
 };
 
 /// Takes requests from the front.
--- a/source/http/response_writer.cc
+++ b/source/http/response_writer.cc
@@ -117,7 +117,7 @@
   if (state_ != State::kDone) on_writable_ = std::move(callback);
 }
 
-void FramedResponseWriter::OnCallerGone(std::function<void()> callback) {
+void FramedResponseWriter::OnCallerDisconnected(std::function<void()> callback) {
   if (state_ == State::kDone) return;
   on_gone_ = std::move(callback);
   if (gone_) NotifyCallerGone();
--- a/source/http/response_writer.h
+++ b/source/http/response_writer.h
@@ -35,7 +35,7 @@
   void Abort() override;
   size_t WritableBytes() const override { return channel_->Room(); }
   void OnWritable(std::function<void()> callback) override;
-  void OnCallerGone(std::function<void()> callback) override;
+  void OnCallerDisconnected(std::function<void()> callback) override;
 
   /// Called by the connection, on the executor.
   void NotifyWritable();
--- a/source/rollout/trainer_front.cc
+++ b/source/rollout/trainer_front.cc
@@ -90,7 +90,7 @@
       const auto held = known.lock();
       return held == nullptr || held->over;
     });
-    exchange->writer->OnCallerGone([weak = std::weak_ptr<Exchange>(exchange)] {
+    exchange->writer->OnCallerDisconnected([weak = std::weak_ptr<Exchange>(exchange)] {
       if (const auto gone = weak.lock()) gone->over = true;
     });
     Dispatch(request, exchange);
@@ -199,7 +199,7 @@
     // The read lives as long as its exchange is referred to; both share the caller's state.
     read->exchange.writer = exchange->writer;
     exchange->over = true;
-    read->exchange.writer->OnCallerGone([weak = std::weak_ptr<PendingRead>(read)] {
+    read->exchange.writer->OnCallerDisconnected([weak = std::weak_ptr<PendingRead>(read)] {
       if (const auto gone = weak.lock()) gone->exchange.over = true;
     });
     std::erase_if(reads_, [](const auto& known) { return known.expired(); });
--- a/source/server/counting_writer.h
+++ b/source/server/counting_writer.h
@@ -25,8 +25,8 @@
   void OnWritable(std::function<void()> callback) override {
     next_->OnWritable(std::move(callback));
   }
-  void OnCallerGone(std::function<void()> callback) override {
-    next_->OnCallerGone(std::move(callback));
+  void OnCallerDisconnected(std::function<void()> callback) override {
+    next_->OnCallerDisconnected(std::move(callback));
   }
 
  private:
--- a/test/cluster/cluster_fleet.cc
+++ b/test/cluster/cluster_fleet.cc
@@ -72,7 +72,7 @@
   void Abort() override {}
   size_t WritableBytes() const override { return 1 << 20; }
   void OnWritable(std::function<void()>) override {}
-  void OnCallerGone(std::function<void()>) override {}
+  void OnCallerDisconnected(std::function<void()>) override {}
 
  private:
   std::shared_ptr<RecordedAnswer> answer_;
--- a/test/emulator/engine_service_test.cc
+++ b/test/emulator/engine_service_test.cc
@@ -186,7 +186,7 @@
     void Abort() override { observer.OnFailed(CallFailure::kCut, "aborted"); }
     size_t WritableBytes() const override { return 1 << 20; }
     void OnWritable(std::function<void()>) override {}
-    void OnCallerGone(std::function<void()>) override {}
+    void OnCallerDisconnected(std::function<void()>) override {}
     HttpCallObserver& observer;
   };
   RequestHandler& handler_;
--- a/test/emulator/recording_writer.h
+++ b/test/emulator/recording_writer.h
@@ -24,7 +24,9 @@
   void Abort() override { aborted = true; }
   size_t WritableBytes() const override { return room; }
   void OnWritable(std::function<void()> callback) override { on_writable = std::move(callback); }
-  void OnCallerGone(std::function<void()> callback) override { on_gone = std::move(callback); }
+  void OnCallerDisconnected(std::function<void()> callback) override {
+    on_gone = std::move(callback);
+  }
 
   bool ended() const { return finished || aborted; }
   boost::json::object json() const { return boost::json::parse(body).as_object(); }
--- a/test/http/http_server_test.cc
+++ b/test/http/http_server_test.cc
@@ -34,7 +34,7 @@
       return writer->Finish();
     }
     if (request.target == "/wait") {
-      writer->OnCallerGone([this] { gone.set_value(); });
+      writer->OnCallerDisconnected([this] { gone.set_value(); });
       waiting = std::move(writer);
       waits.set_value();
       return;
--- a/test/platform/answer_writer.h
+++ b/test/platform/answer_writer.h
@@ -29,7 +29,7 @@
   void Abort() override {}
   size_t WritableBytes() const override { return 1 << 20; }
   void OnWritable(std::function<void()>) override {}
-  void OnCallerGone(std::function<void()>) override {}
+  void OnCallerDisconnected(std::function<void()>) override {}
 
  private:
   const std::shared_ptr<Answer> answer_;
--- a/test/rollout/trainer_front_test.cc
+++ b/test/rollout/trainer_front_test.cc
@@ -16,7 +16,7 @@
   void Abort() override { aborted = true; }
   size_t WritableBytes() const override { return 1 << 20; }
   void OnWritable(std::function<void()>) override {}
-  void OnCallerGone(std::function<void()> callback) override { gone = std::move(callback); }
+  void OnCallerDisconnected(std::function<void()> callback) override { gone = std::move(callback); }
 
   boost::json::object Json() const { return boost::json::parse(body).as_object(); }
   std::string Header(std::string_view name) const {
--- a/test/server/front_test.cc
+++ b/test/server/front_test.cc
@@ -16,7 +16,7 @@
   void Abort() override { aborted = true; }
   size_t WritableBytes() const override { return 100; }
   void OnWritable(std::function<void()>) override {}
-  void OnCallerGone(std::function<void()>) override {}
+  void OnCallerDisconnected(std::function<void()>) override {}
 
   HttpResponseHead head;
   std::string body;
--- a/test/simulator/http_fabric_test.cc
+++ b/test/simulator/http_fabric_test.cc
@@ -26,7 +26,7 @@
  public:
   void Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) override {
     requests.push_back(std::move(request));
-    writer->OnCallerGone([this] { caller_gone = true; });
+    writer->OnCallerDisconnected([this] { caller_gone = true; });
     writers.push_back(std::move(writer));
   }
 
