--- a/source/gateway/completion_codec.cc
+++ b/source/gateway/completion_codec.cc
@@ -12,7 +12,7 @@
 namespace json = boost::json;
 
 constexpr uint32_t kDefaultMaxTokens = 256;
-constexpr uint32_t kMostTokens = 131072;
+constexpr uint32_t kMaxTokensLimit = 131072;
 
 /// Reads the fields of a request and collects what is wrong with them.
 class Reader {
@@ -31,8 +31,8 @@
   uint32_t MaxTokens() {
     const json::value* value = object_.if_contains("max_tokens");
     if (value == nullptr || value->is_null()) return kDefaultMaxTokens;
-    if (!value->is_int64() || value->as_int64() < 1 || value->as_int64() > kMostTokens) {
-      Fault("max_tokens", fmt::format("a number from 1 to {}", kMostTokens));
+    if (!value->is_int64() || value->as_int64() < 1 || value->as_int64() > kMaxTokensLimit) {
+      Fault("max_tokens", fmt::format("a number from 1 to {}", kMaxTokensLimit));
       return 0;
     }
     return static_cast<uint32_t>(value->as_int64());
@@ -138,8 +138,8 @@
 }
 
 std::string CompletionAnswer(const CompletionRequest& request, const std::string& id,
-                             const CompletionPart& whole, uint32_t tokens) {
-  json::object body = Body(request, id, whole, false);
+                             const CompletionPart& complete, uint32_t tokens) {
+  json::object body = Body(request, id, complete, false);
   const uint32_t prompt_tokens = CountTokens(request.prompt);
   body["usage"] = {{"prompt_tokens", prompt_tokens},
                    {"completion_tokens", tokens},
--- a/source/gateway/completion_codec.h
+++ b/source/gateway/completion_codec.h
@@ -41,6 +41,6 @@
                             const CompletionPart& part);
 /// The whole answer of a request that does not stream. `tokens` counts those generated.
 std::string CompletionAnswer(const CompletionRequest& request, const std::string& id,
-                             const CompletionPart& whole, uint32_t tokens);
+                             const CompletionPart& complete, uint32_t tokens);
 
 }  // namespace millstair
--- a/source/gateway/completion_flow.cc
+++ b/source/gateway/completion_flow.cc
@@ -11,11 +11,11 @@
 
 /// How often a request that no engine can take looks again, and for how long.
 constexpr Duration kWaitInterval = std::chrono::milliseconds(20);
-constexpr Duration kLongestWait = std::chrono::seconds(3);
+constexpr Duration kMaxWait = std::chrono::seconds(3);
 /// Further engines that are looked at before a request is refused for its deadline.
-constexpr int kFurtherLooks = 3;
+constexpr int kMaxAlternatives = 3;
 /// How often a broken generation looks whether the lease is back.
-constexpr Duration kLeaseInterval = std::chrono::milliseconds(100);
+constexpr Duration kLeaseCheckInterval = std::chrono::milliseconds(100);
 
 }  // namespace
 
@@ -36,7 +36,7 @@
     if (!dropped_) flow_.OnFailed(failure, leaving, reason);
   }
 
-  void NoteTokens(uint32_t count) {
+  void RecordTokens(uint32_t count) {
     if (count > 0 && tokens_ == 0) {
       flow_.context_.router.NoteFirstTokens(placement_.id,
                                             flow_.context_.environment.Now() - sent_at_, count);
@@ -88,7 +88,7 @@
 void CompletionFlow::PlaceOrWait() {
   if (!LeaseHeld() && !assembly_.tokens().empty()) {
     // What the caller has got so far is worth waiting for a lease, up to the deadline.
-    retry_timer_.Arm(kLeaseInterval, [this] { PlaceOrWait(); });
+    retry_timer_.Arm(kLeaseCheckInterval, [this] { PlaceOrWait(); });
     return;
   }
   if (!CheckLease()) return;
@@ -102,8 +102,8 @@
   }
   if (placement) {
     waiting_ = false;
-    placement = LookFurther(*std::move(placement));
-    if (!RefusedAsTooLate(*placement)) StartAttempt(*std::move(placement));
+    placement = FindFasterEngine(*std::move(placement));
+    if (!RefuseIfTooLate(*placement)) StartAttempt(*std::move(placement));
     return;
   }
   const TimePoint now = context_.environment.Now();
@@ -112,17 +112,17 @@
     context_.router.NoteLiveQueued(request_.group->key());
   }
   waiting_ = true;
-  if (now - waiting_since_ >= kLongestWait) {
+  if (now - waiting_since_ >= kMaxWait) {
     FailExhausted("no engine of the traffic group can take the request");
     return;
   }
   retry_timer_.Arm(kWaitInterval, [this] { PlaceOrWait(); });
 }
 
-Placement CompletionFlow::LookFurther(Placement placement) {
+Placement CompletionFlow::FindFasterEngine(Placement placement) {
   if (may_have_run()) return placement;
   const std::set<EngineName> excluded = routing_.excluded;
-  for (int i = 0; i < kFurtherLooks && placement.choice.estimate > TimeLeft(); ++i) {
+  for (int i = 0; i < kMaxAlternatives && placement.choice.estimate > TimeLeft(); ++i) {
     routing_.excluded.insert(placement.choice.engine);
     std::optional<Placement> other = context_.router.Place(request_.group->key(), routing_);
     if (!other) break;
@@ -135,7 +135,7 @@
   return placement;
 }
 
-bool CompletionFlow::RefusedAsTooLate(const Placement& placement) {
+bool CompletionFlow::RefuseIfTooLate(const Placement& placement) {
   if (may_have_run() || placement.choice.estimate <= TimeLeft()) return false;
   const Duration excess = placement.choice.estimate - TimeLeft();
   context_.router.End(placement.id, {.end = PlacementEnd::kCancelled});
@@ -146,10 +146,10 @@
 }
 
 void CompletionFlow::StartAttempt(Placement placement) {
-  ++tries_;
+  ++attempt_count_;
   assembly_.BeginAttempt();
   GenerateRequest request;
-  request.request_id = fmt::format("{}-{}", id_, tries_);
+  request.request_id = fmt::format("{}-{}", id_, attempt_count_);
   request.model = completion_.model;
   request.prompt = completion_.prompt;
   request.max_tokens = completion_.max_tokens;
@@ -168,12 +168,12 @@
   if (!accepted.ok()) {
     LogEvent(EventId::kChunkRefused, "request={} engine={} reason=\"{}\"", id_,
              attempt_->engine().value(), std::string(accepted.message()));
-    NoteTryFailed(CallFailure::kCut);
+    RecordAttemptFailure(CallFailure::kCut);
     EndAttempt({.end = PlacementEnd::kMixed, .failure = CallFailure::kCut});
     RetryOrFail(CallFailure::kCut, std::string(accepted.message()));
     return;
   }
-  attempt_->NoteTokens(static_cast<uint32_t>(chunk.tokens.size()));
+  attempt_->RecordTokens(static_cast<uint32_t>(chunk.tokens.size()));
   context_.counters.tokens += chunk.tokens.size();
   if (completion_.stream) SendPart(first_token, chunk);
   if (ended() || !chunk.finished) return;
@@ -182,7 +182,7 @@
     request_.writer->SendBody(kStreamEnd);
     request_.writer->Finish();
   } else {
-    SendWhole();
+    SendComplete();
   }
   Finish(200);
 }
@@ -205,10 +205,10 @@
                           static_cast<uint32_t>(chunk.tokens.size())});
   }
   request_.writer->SendBody(CompletionEvent(completion_, id_, part));
-  HoldBack();
+  ApplyBackpressure();
 }
 
-void CompletionFlow::HoldBack() {
+void CompletionFlow::ApplyBackpressure() {
   if (ended() || attempt_ == nullptr || attempt_->handle() == nullptr) return;
   if (request_.writer->WritableBytes() > 0) return;
   attempt_->handle()->PauseReading();
@@ -217,20 +217,20 @@
   }));
 }
 
-void CompletionFlow::SendWhole() {
-  const CompletionPart whole{assembly_.TextFrom(0), assembly_.spans(), true};
+void CompletionFlow::SendComplete() {
+  const CompletionPart complete{assembly_.TextFrom(0), assembly_.spans(), true};
   const auto tokens = static_cast<uint32_t>(assembly_.tokens().size());
   head_sent_ = true;
   Respond(*request_.writer,
           {200,
            {{"Content-Type", "application/json"},
             {std::string(kOutcomeHeader), std::string(OutcomeName(Outcome::kRan))}}},
-          CompletionAnswer(completion_, id_, whole, tokens));
+          CompletionAnswer(completion_, id_, complete, tokens));
 }
 
 void CompletionFlow::OnFailed(CallFailure failure, bool leaving, const std::string& reason) {
   if (attempt_->tokens() > 0) failure = CallFailure::kCut;
-  NoteTryFailed(failure);
+  RecordAttemptFailure(failure);
   routing_.excluded.insert(attempt_->engine());
   EndAttempt({.end = PlacementEnd::kFailed, .failure = failure, .leaving = leaving});
   if (context_.faults.finish_truncated && !assembly_.tokens().empty()) {
@@ -238,7 +238,7 @@
       request_.writer->SendBody(kStreamEnd);
       request_.writer->Finish();
     } else {
-      SendWhole();
+      SendComplete();
     }
     Finish(200);
     return;
@@ -255,7 +255,7 @@
   FailedTry failed;
   failed.failure = failure;
   failed.repeatable = request_.meta.repeatable;
-  failed.tries = tries_;
+  failed.tries = attempt_count_;
   failed.time_left = TimeLeft();
   const RetryDecision decision = context_.retry.Decide(failed);
   if (!decision.retry) {
--- a/source/gateway/completion_flow.h
+++ b/source/gateway/completion_flow.h
@@ -31,17 +31,17 @@
   void PlaceOrWait();
   void StartAttempt(Placement placement);
   /// A better engine, if the estimate of the one drawn goes beyond the deadline.
-  Placement LookFurther(Placement placement);
+  Placement FindFasterEngine(Placement placement);
   /// The engine's estimate goes beyond the deadline; the request was refused.
-  bool RefusedAsTooLate(const Placement& placement);
+  bool RefuseIfTooLate(const Placement& placement);
   void OnChunk(const GenerateChunk& chunk);
   void OnFailed(CallFailure failure, bool leaving, const std::string& reason);
   /// Ends the attempt under way.
   void EndAttempt(const PlacementOutcome& outcome);
   void RetryOrFail(CallFailure failure, const std::string& reason);
   void SendPart(size_t first_token, const GenerateChunk& chunk);
-  void SendWhole();
-  void HoldBack();
+  void SendComplete();
+  void ApplyBackpressure();
 
   CompletionRequest completion_;
   std::string id_;
--- a/source/gateway/engine_observer.cc
+++ b/source/gateway/engine_observer.cc
@@ -12,11 +12,11 @@
 /// Size of a shared report on the wire, for the bound on what a gateway receives.
 constexpr uint32_t kBytesPerReport = 90;
 /// The second observer shares when the first was silent for this many intervals.
-constexpr int kSilentIntervals = 3;
+constexpr int kTakeoverIntervals = 3;
 constexpr Duration kResyncInterval = std::chrono::seconds(3);
 constexpr Duration kProbeTimeout = std::chrono::seconds(2);
 /// Most cache events of an engine that are shared at once; receivers read beyond by themselves.
-constexpr size_t kMostSharedEvents = 2048;
+constexpr size_t kMaxSharedEvents = 2048;
 
 WeightVersion NewestStaged(const EngineReport& report) {
   WeightVersion newest;
@@ -30,7 +30,7 @@
 }
 
 /// Room for further sequences; engines with more come first in a summary.
-double RoomOf(const EngineReport& report) {
+double FreeSlotsOf(const EngineReport& report) {
   return static_cast<double>(report.max_sequences) - report.running_sequences -
          report.waiting_sequences;
 }
@@ -145,8 +145,9 @@
   router_.NoteReport(engine, *report, observed.taken_at);
   router_.NoteReachable(engine, true);
   if (!listener_) {
-    Tell(engine, {engine, report->incarnation, report->draining, NewestStaged(*report),
-                  report->active_version, report->shards == ShardState::kConsistent});
+    ReportToControlNodes(engine,
+                         {engine, report->incarnation, report->draining, NewestStaged(*report),
+                          report->active_version, report->shards == ShardState::kConsistent});
   }
   const auto slot = router_.SlotOf(engine);
   if (slot) {
@@ -189,8 +190,9 @@
   if (view != nullptr && view->said_leaving && !observed.plain_leaving) {
     // Learned from an answer to a request.
     observed.plain_leaving = true;
-    observed.said_leaving_at = now;
-    Tell(engine, {engine, Incarnation(), true, WeightVersion(), WeightVersion(), true});
+    observed.leaving_reported_at = now;
+    ReportToControlNodes(engine,
+                         {engine, Incarnation(), true, WeightVersion(), WeightVersion(), true});
   }
   if (observed.probe != nullptr || now - observed.probed_at < options_.probe) return;
   observed.probed_at = now;
@@ -208,10 +210,10 @@
   router_.NoteReachable(engine, readiness != Readiness::kUnreachable);
   if (readiness == Readiness::kUnreachable) return;
   bool leaving = readiness == Readiness::kLeaving;
-  if (readiness == Readiness::kSilent && observed.plain_leaving) {
-    leaving = now - observed.said_leaving_at < options_.leaving_hold;
+  if (readiness == Readiness::kNoReadinessPage && observed.plain_leaving) {
+    leaving = now - observed.leaving_reported_at < options_.leaving_hold;
   }
-  if (leaving && !observed.plain_leaving) observed.said_leaving_at = now;
+  if (leaving && !observed.plain_leaving) observed.leaving_reported_at = now;
   const bool changed = leaving != observed.plain_leaving;
   observed.plain_leaving = leaving;
   observed.report.draining = leaving;
@@ -219,17 +221,20 @@
   observed.has_report = true;
   observed.fresh = observed.fresh || changed || leaving;
   router_.NoteLeaving(engine, leaving);
-  Tell(engine, {engine, Incarnation(), leaving, WeightVersion(), WeightVersion(), true});
+  ReportToControlNodes(engine,
+                       {engine, Incarnation(), leaving, WeightVersion(), WeightVersion(), true});
 }
 
-void EngineObserver::Tell(const EngineName& engine, const EngineObservation& observation) {
+void EngineObserver::ReportToControlNodes(const EngineName& engine,
+                                          const EngineObservation& observation) {
   Observed& observed = observed_[engine];
   const TimePoint now = environment_.Now();
-  const bool again = now - observed.told_at >= options_.report_again;
-  if (observed.was_told && !again && SameObservation(observed.told, observation)) return;
-  observed.was_told = true;
-  observed.told = observation;
-  observed.told_at = now;
+  const bool again = now - observed.reported_at >= options_.report_refresh_interval;
+  if (observed.was_reported && !again && SameObservation(observed.last_reported, observation))
+    return;
+  observed.was_reported = true;
+  observed.last_reported = observation;
+  observed.reported_at = now;
   configuration_.Report(observation);
 }
 
@@ -246,7 +251,7 @@
 
 void EngineObserver::Share() {
   const TimePoint now = environment_.Now();
-  const Duration silent = kSilentIntervals * ShareInterval();
+  const Duration takeover_after = kTakeoverIntervals * ShareInterval();
   shared_at_ = now;
   EngineObservationsMessage message;
   for (auto& [engine, observed] : observed_) {
@@ -255,7 +260,7 @@
     const std::vector<NodeId>& observers = router_.observers().Observers(engine);
     if (observers.empty() || !observed.fresh) continue;
     const bool first = observers.front() == self_.node;
-    if (!first && now - observed.heard_at < silent) continue;
+    if (!first && now - observed.peer_shared_at < takeover_after) continue;
     observed.fresh = false;
     ObservedEngineState state = StateOf(engine, observed);
     // Readings follow one another, so they are shared as one.
@@ -273,7 +278,7 @@
       events.events.insert(events.events.end(), part.events.events.begin(),
                            part.events.events.end());
     }
-    if (state.cache && state.cache->events.events.size() > kMostSharedEvents) {
+    if (state.cache && state.cache->events.events.size() > kMaxSharedEvents) {
       state.cache->events.events.clear();
       state.cache->events.gap = true;
     }
@@ -313,9 +318,9 @@
   std::partial_sort(message.engines.begin(),
                     message.engines.begin() + static_cast<std::ptrdiff_t>(kept),
                     message.engines.end(), [](const auto& a, const auto& b) {
-                      const double a_room = RoomOf(a.report);
-                      const double b_room = RoomOf(b.report);
-                      return a_room != b_room ? a_room > b_room : a.engine < b.engine;
+                      const double a_free = FreeSlotsOf(a.report);
+                      const double b_free = FreeSlotsOf(b.report);
+                      return a_free != b_free ? a_free > b_free : a.engine < b.engine;
                     });
   message.engines.resize(kept);
   if (message.engines.empty()) return;
@@ -350,7 +355,7 @@
 void EngineObserver::Apply(const ObservedEngineState& engine) {
   const TimePoint now = environment_.Now();
   if (router_.observers().HomeZone(engine.engine) == self_.zone) {
-    observed_[engine.engine].heard_at = now;
+    observed_[engine.engine].peer_shared_at = now;
   }
   if (engine.plain) {
     if (!Observes(engine.engine)) router_.NoteLeaving(engine.engine, engine.report.draining);
--- a/source/gateway/engine_observer.h
+++ b/source/gateway/engine_observer.h
@@ -37,7 +37,7 @@
   uint32_t summary_engines = 16;
   Duration summary_interval = std::chrono::milliseconds(500);
   /// An unchanged observation is told to the control nodes again after this long.
-  Duration report_again = std::chrono::seconds(5);
+  Duration report_refresh_interval = std::chrono::seconds(5);
   /// A back end that said that it is leaving, and has no readiness page, gets work again after
   /// this.
   Duration leaving_hold = std::chrono::seconds(30);
@@ -88,16 +88,16 @@
     /// Cache events read since the last sharing.
     std::vector<SharedCache> cache;
     /// When another gateway last shared a report of it.
-    TimePoint heard_at;
+    TimePoint peer_shared_at;
     /// Last observation told to the control nodes.
-    EngineObservation told;
-    TimePoint told_at;
-    bool was_told = false;
+    EngineObservation last_reported;
+    TimePoint reported_at;
+    bool was_reported = false;
     /// Last reading of all blocks.
     TimePoint resync_at;
     std::unique_ptr<ReadinessProbe> probe;
     TimePoint probed_at;
-    TimePoint said_leaving_at;
+    TimePoint leaving_reported_at;
     bool plain_leaving = false;
   };
 
@@ -109,7 +109,7 @@
   void ReadCache(const EngineName& engine, const std::string& address, bool resync);
   void Probe(const EngineName& engine, const EngineSpec& spec);
   void OnProbed(const EngineName& engine, Readiness readiness);
-  void Tell(const EngineName& engine, const EngineObservation& observation);
+  void ReportToControlNodes(const EngineName& engine, const EngineObservation& observation);
   void Share();
   void SendSummary();
   void Send(const NodeId& to, const EngineObservationsMessage& message);
--- a/source/gateway/gateway_context.h
+++ b/source/gateway/gateway_context.h
@@ -27,8 +27,8 @@
   uint64_t refused_not_run = 0;
   uint64_t failed_unknown = 0;
   uint64_t failed_ran = 0;
-  uint64_t cut_answers = 0;
-  uint64_t callers_gone = 0;
+  uint64_t aborted_answers = 0;
+  uint64_t callers_disconnected = 0;
   uint64_t retries = 0;
   uint64_t resumes = 0;
   uint64_t hedges = 0;
--- a/source/gateway/gateway_node.cc
+++ b/source/gateway/gateway_node.cc
@@ -144,7 +144,7 @@
     drain_timer_.Arm(options_.timing.drain_limit, [this] {
       LogEvent(EventId::kAnswersCut, "node={} running={}", options_.self.node.value(),
                live_.running());
-      live_.CutAll();
+      live_.AbortAll();
       CheckDrained();
     });
     worker_->Drain(alive_.Guard([this] {
@@ -235,8 +235,8 @@
   count("refused_not_run", "Answers that say not-run.", live.refused_not_run);
   count("failed_unknown", "Answers that say unknown.", live.failed_unknown);
   count("failed_ran", "Problem answers that say ran.", live.failed_ran);
-  count("cut_answers", "Answers that broke off after they had begun.", live.cut_answers);
-  count("callers_gone", "Callers that left before their answer.", live.callers_gone);
+  count("cut_answers", "Answers that broke off after they had begun.", live.aborted_answers);
+  count("callers_gone", "Callers that left before their answer.", live.callers_disconnected);
   count("retries", "Further tries of live requests.", live.retries);
   count("resumes", "Generations that went on on another engine.", live.resumes);
   count("hedges", "Second tries at a slow answer.", live.hedges);
--- a/source/gateway/live_service.cc
+++ b/source/gateway/live_service.cc
@@ -111,10 +111,10 @@
   if (flows_.empty() && on_idle_) on_idle_();
 }
 
-void LiveService::CutAll() {
+void LiveService::AbortAll() {
   std::vector<RequestFlow*> running;
   for (const auto& [number, flow] : flows_) running.push_back(flow.get());
-  for (RequestFlow* flow : running) flow->Cut();
+  for (RequestFlow* flow : running) flow->Abort();
 }
 
 }  // namespace millstair
--- a/source/gateway/live_service.h
+++ b/source/gateway/live_service.h
@@ -25,7 +25,7 @@
   /// Refuses new requests from now on.
   void BeginDrain() { draining_ = true; }
   /// Cuts what still runs.
-  void CutAll();
+  void AbortAll();
   size_t running() const { return flows_.size(); }
   /// Called whenever the last flow has ended.
   void OnIdle(std::function<void()> callback) { on_idle_ = std::move(callback); }
--- a/source/gateway/observation_codec.cc
+++ b/source/gateway/observation_codec.cc
@@ -62,12 +62,12 @@
 
 /// False if a field is out of its bounds.
 bool ReadEngine(const millstair_ObservedEngine& wire, ObservedEngineState& engine) {
-  constexpr uint64_t kLongest = 1ULL << 50;
+  constexpr uint64_t kMaxDurationUs = 1ULL << 50;
   if (wire.shards < static_cast<uint32_t>(ShardState::kConsistent) ||
       wire.shards > static_cast<uint32_t>(ShardState::kMixed)) {
     return false;
   }
-  if (wire.age_us > kLongest || wire.step_time_us > kLongest) return false;
+  if (wire.age_us > kMaxDurationUs || wire.step_time_us > kMaxDurationUs) return false;
   EngineReport& report = engine.report;
   engine.engine = EngineName(ToString(wire.engine));
   report.incarnation = Incarnation(wire.incarnation);
--- a/source/gateway/once_claim.cc
+++ b/source/gateway/once_claim.cc
@@ -107,12 +107,12 @@
 }
 
 std::string RequestDigest(const HttpRequest& request) {
-  std::string whole = request.method;
-  whole += '\n';
-  whole += request.target;
-  whole += '\n';
-  whole += request.body;
-  const XXH128_hash_t hash = XXH3_128bits(whole.data(), whole.size());
+  std::string content = request.method;
+  content += '\n';
+  content += request.target;
+  content += '\n';
+  content += request.body;
+  const XXH128_hash_t hash = XXH3_128bits(content.data(), content.size());
   return fmt::format("{:016x}{:016x}", hash.high64, hash.low64);
 }
 
--- a/source/gateway/plain_flow.cc
+++ b/source/gateway/plain_flow.cc
@@ -10,7 +10,7 @@
 
 /// How often a request that no back end can take looks again, and for how long.
 constexpr Duration kWaitInterval = std::chrono::milliseconds(25);
-constexpr Duration kLongestWait = std::chrono::seconds(2);
+constexpr Duration kMaxWait = std::chrono::seconds(2);
 constexpr int kUnavailable = 503;
 constexpr char kVia[] = "1.1 millstair";
 
@@ -31,7 +31,7 @@
   return forwarded;
 }
 
-bool SaysLeaving(const HttpResponseHead& head) {
+bool ReportsDraining(const HttpResponseHead& head) {
   return FindHeader(head.headers, kDrainingHeader) == std::optional<std::string_view>("true");
 }
 
@@ -39,7 +39,7 @@
 bool IsRefusal(const HttpResponseHead& head) {
   if (head.status != kUnavailable) return false;
   const auto outcome = FindHeader(head.headers, kOutcomeHeader);
-  return SaysLeaving(head) || (outcome && *outcome == OutcomeName(Outcome::kNotRun));
+  return ReportsDraining(head) || (outcome && *outcome == OutcomeName(Outcome::kNotRun));
 }
 
 }  // namespace
@@ -102,12 +102,12 @@
 
 void PlainFlow::Dispatch() {
   context_.retry_budget.NoteFirstTry();
-  TryOrWait();
+  AttemptOrWait();
 }
 
-void PlainFlow::TryOrWait() {
+void PlainFlow::AttemptOrWait() {
   if (!CheckLease()) return;
-  if (SendTry(true)) {
+  if (SendAttempt(true)) {
     waiting_ = false;
     ArmHedge();
     return;
@@ -115,26 +115,26 @@
   const TimePoint now = context_.environment.Now();
   if (!waiting_) waiting_since_ = now;
   waiting_ = true;
-  tried_.clear();
-  if (now - waiting_since_ >= kLongestWait) {
+  tried_back_ends_.clear();
+  if (now - waiting_since_ >= kMaxWait) {
     FailExhausted("no back end of the traffic group can take the request");
     return;
   }
-  retry_timer_.Arm(kWaitInterval, [this] { TryOrWait(); });
+  retry_timer_.Arm(kWaitInterval, [this] { AttemptOrWait(); });
 }
 
-bool PlainFlow::SendTry(bool again) {
+bool PlainFlow::SendAttempt(bool again) {
   RoutingRequest routing;
   routing.priority = request_.meta.priority;
-  routing.excluded = tried_;
+  routing.excluded = tried_back_ends_;
   std::optional<Placement> placement = context_.router.Place(request_.group->key(), routing);
-  if (!placement && again && !tried_.empty()) {
+  if (!placement && again && !tried_back_ends_.empty()) {
     routing.excluded.clear();
     placement = context_.router.Place(request_.group->key(), routing);
   }
   if (!placement) return false;
-  ++tries_;
-  tried_.insert(placement->choice.engine);
+  ++attempt_count_;
+  tried_back_ends_.insert(placement->choice.engine);
   calls_.push_back(std::make_unique<BackEndCall>(*this, *std::move(placement)));
   calls_.back()->Start(ForBackEnd(request_.http));
   return true;
@@ -146,14 +146,14 @@
   hedge_timer_.Arm(after, [this] {
     if (ended() || head_sent_ || calls_.size() != 1) return;
     if (!LeaseHeld() || !context_.retry_budget.Spend()) return;
-    if (SendTry(false)) ++context_.counters.hedges;
+    if (SendAttempt(false)) ++context_.counters.hedges;
   });
 }
 
 void PlainFlow::OnHead(BackEndCall& call, const HttpResponseHead& head) {
   if (head_sent_) return;
   if (IsRefusal(head)) {
-    OnFailed(call, CallFailure::kRefused, SaysLeaving(head), "it refused the request");
+    OnFailed(call, CallFailure::kRefused, ReportsDraining(head), "it refused the request");
     return;
   }
   call.answering = true;
@@ -185,7 +185,7 @@
                          const std::string& reason) {
   const bool answering = call.answering;
   call.Drop(PlacementEnd::kFailed, failure, leaving);
-  NoteTryFailed(failure);
+  RecordAttemptFailure(failure);
   const auto ended = std::find_if(calls_.begin(), calls_.end(),
                                   [&call](const auto& entry) { return entry.get() == &call; });
   ended_calls_.push_back(std::move(*ended));
@@ -212,7 +212,7 @@
   }
   failed.repeatable = request_.meta.repeatable;
   failed.answer_started = head_sent_;
-  failed.tries = tries_;
+  failed.tries = attempt_count_;
   failed.time_left = TimeLeft();
   const RetryDecision decision = context_.retry.Decide(failed);
   if (!decision.retry) {
@@ -220,7 +220,7 @@
     return;
   }
   ++context_.counters.retries;
-  retry_timer_.Arm(decision.backoff, [this] { TryOrWait(); });
+  retry_timer_.Arm(decision.backoff, [this] { AttemptOrWait(); });
 }
 
 void PlainFlow::DropOthers(const BackEndCall& winner) {
--- a/source/gateway/plain_flow.h
+++ b/source/gateway/plain_flow.h
@@ -27,8 +27,8 @@
 
   /// Sends one try; false if no back end may take it now. A back end that was tried already is
   /// taken again only if `again`.
-  bool SendTry(bool again);
-  void TryOrWait();
+  bool SendAttempt(bool again);
+  void AttemptOrWait();
   void ArmHedge();
   void OnHead(BackEndCall& call, const HttpResponseHead& head);
   void OnBody(BackEndCall& call, std::string bytes);
@@ -41,7 +41,7 @@
   std::vector<std::unique_ptr<BackEndCall>> calls_;
   /// Ended calls, kept until the flow goes, since their callbacks may still be on the stack.
   std::vector<std::unique_ptr<BackEndCall>> ended_calls_;
-  std::set<EngineName> tried_;
+  std::set<EngineName> tried_back_ends_;
   ScopedTimer retry_timer_;
   ScopedTimer hedge_timer_;
   TimePoint waiting_since_;
--- a/source/gateway/readiness_probe.h
+++ b/source/gateway/readiness_probe.h
@@ -14,9 +14,9 @@
 
 enum class Readiness {
   kReady,
-  kLeaving,      ///< 503: it is up and takes no new work
-  kSilent,       ///< it is up and has no readiness page
-  kUnreachable,  ///< no answer
+  kLeaving,          ///< 503: it is up and takes no new work
+  kNoReadinessPage,  ///< it is up and has no readiness page
+  kUnreachable,      ///< no answer
 };
 
 inline constexpr char kReadinessPath[] = "/readyz";
@@ -34,7 +34,7 @@
 
   void OnHead(const HttpResponseHead& head) override {
     constexpr int kUnavailable = 503;
-    result_ = Readiness::kSilent;
+    result_ = Readiness::kNoReadinessPage;
     if (head.status == kUnavailable) result_ = Readiness::kLeaving;
     if (head.status >= 200 && head.status < 300) result_ = Readiness::kReady;
   }
@@ -56,7 +56,7 @@
   }
 
   std::function<void(Readiness)> done_;
-  Readiness result_ = Readiness::kSilent;
+  Readiness result_ = Readiness::kNoReadinessPage;
   ScopedTimer timer_;
   std::unique_ptr<CallHandle> handle_;
 };
--- a/source/gateway/request_flow.cc
+++ b/source/gateway/request_flow.cc
@@ -65,7 +65,7 @@
   if (admission_->admitted()) OnAdmitted();
 }
 
-void RequestFlow::Cut() {
+void RequestFlow::Abort() {
   if (ended_) return;
   Fail({kUnavailable, "stopping", "the gateway stops before the request could be finished",
         ReportedOutcome(), kLeaseRetryAfter});
@@ -138,7 +138,7 @@
   return std::max(Duration(0), deadline_ - context_.environment.Now());
 }
 
-void RequestFlow::NoteTryFailed(CallFailure failure) {
+void RequestFlow::RecordAttemptFailure(CallFailure failure) {
   outcome_ = Combine(outcome_, OutcomeOf(failure));
 }
 
@@ -185,7 +185,7 @@
   if (ended_) return;
   DropCalls();
   if (head_sent_) {
-    ++context_.counters.cut_answers;
+    ++context_.counters.aborted_answers;
     request_.writer->Abort();
     End();
     return;
@@ -221,7 +221,7 @@
 
 void RequestFlow::OnCallerDisconnected() {
   if (ended_) return;
-  ++context_.counters.callers_gone;
+  ++context_.counters.callers_disconnected;
   // A claim that was not dispatched yet is given back; one whose request may have run stays.
   if (claim_ != nullptr && claim_->granted() && !may_have_run()) claim_->Release([](bool) {});
   DropCalls();
--- a/source/gateway/request_flow.h
+++ b/source/gateway/request_flow.h
@@ -36,7 +36,7 @@
 
   void Start();
   /// Ends the request because the gateway stops: what can't be finished any more is cut.
-  void Cut();
+  void Abort();
   bool ended() const { return ended_; }
 
  protected:
@@ -60,7 +60,7 @@
   /// The answer has been sent whole.
   void Finish(int status);
   /// A try ended with `failure`.
-  void NoteTryFailed(CallFailure failure);
+  void RecordAttemptFailure(CallFailure failure);
   /// No try can be made any more; says what is known of the request.
   void FailExhausted(const std::string& detail);
   /// Forgets a claim whose request truly did not run, then answers.
@@ -71,7 +71,7 @@
   FlowRequest request_;
   AliveFlag alive_;
   bool head_sent_ = false;
-  int tries_ = 0;
+  int attempt_count_ = 0;
 
  private:
   void OnAdmitted();
--- a/source/gateway/request_meta.cc
+++ b/source/gateway/request_meta.cc
@@ -9,8 +9,8 @@
 namespace millstair {
 namespace {
 
-constexpr int64_t kLongestDeadlineMs = 24LL * 60 * 60 * 1000;
-constexpr size_t kLongestKey = 256;
+constexpr int64_t kMaxDeadlineMs = 24LL * 60 * 60 * 1000;
+constexpr size_t kMaxKeyBytes = 256;
 
 absl::Status BadHeader(std::string_view header, std::string_view expected) {
   return absl::InvalidArgumentError(fmt::format("{}: expected {}", header, expected));
@@ -45,7 +45,7 @@
   const auto priority = ReadNumber(request.headers, kPriorityHeader, 1, 3);
   if (!priority.ok()) return priority.status();
   meta.priority = static_cast<RequestPriority>(priority->value_or(group.priority));
-  const auto deadline = ReadNumber(request.headers, kDeadlineHeader, 1, kLongestDeadlineMs);
+  const auto deadline = ReadNumber(request.headers, kDeadlineHeader, 1, kMaxDeadlineMs);
   if (!deadline.ok()) return deadline.status();
   meta.time_limit = group.deadline;
   if (*deadline) meta.time_limit = std::chrono::milliseconds(**deadline);
@@ -53,8 +53,8 @@
   if (!repeatable.ok()) return repeatable.status();
   meta.repeatable = *repeatable;
   meta.idempotency_key = std::string(FindHeader(request.headers, kIdempotencyHeader).value_or(""));
-  if (meta.idempotency_key.size() > kLongestKey) {
-    return BadHeader(kIdempotencyHeader, fmt::format("at most {} bytes", kLongestKey));
+  if (meta.idempotency_key.size() > kMaxKeyBytes) {
+    return BadHeader(kIdempotencyHeader, fmt::format("at most {} bytes", kMaxKeyBytes));
   }
   if (!meta.repeatable && meta.idempotency_key.empty()) {
     return BadHeader(kIdempotencyHeader, "a key, since the request is not repeatable");
--- a/source/gateway/traffic_matcher.cc
+++ b/source/gateway/traffic_matcher.cc
@@ -15,10 +15,10 @@
 
 bool HostMatches(const std::vector<std::string>& hosts, std::string_view host) {
   if (hosts.empty()) return true;
-  const std::string whole(host);
+  const std::string host_and_port(host);
   const std::string name(HostName(host));
   return std::any_of(hosts.begin(), hosts.end(), [&](const std::string& wanted) {
-    return absl::EqualsIgnoreCase(wanted, whole) || absl::EqualsIgnoreCase(wanted, name);
+    return absl::EqualsIgnoreCase(wanted, host_and_port) || absl::EqualsIgnoreCase(wanted, name);
   });
 }
 
--- a/test/gateway/completion_flow_test.cc
+++ b/test/gateway/completion_flow_test.cc
@@ -38,10 +38,10 @@
   GatewayFixture f;
   f.AddEngine("a");
   f.Begin();
-  const auto whole = f.Complete(kPrompt, 100, false);
-  REQUIRE(f.Await(*whole));
-  CHECK(whole->status() == 200);
-  const auto answer = boost::json::parse(whole->body);
+  const auto response = f.Complete(kPrompt, 100, false);
+  REQUIRE(f.Await(*response));
+  CHECK(response->status() == 200);
+  const auto answer = boost::json::parse(response->body);
   CHECK(Text(answer.at("choices").at(0).at("text")) == Expected(kPrompt, 100, WeightVersion(1)));
   const auto& spans = answer.at("millstair").at("spans").as_array();
   REQUIRE(spans.size() == 1);
@@ -88,10 +88,10 @@
   f.engines["a"]->Crash();
   f.engine_fabric.Refresh("a:1");
   REQUIRE(f.Await(*call));
-  const bool whole = call->StreamText() == Expected(prompt, 200, WeightVersion(1));
-  CHECK_FALSE(whole);
+  const bool complete = call->StreamText() == Expected(prompt, 200, WeightVersion(1));
+  CHECK_FALSE(complete);
   // The broken variant is noticed by just this.
-  CHECK((call->finished && !whole) == broken);
+  CHECK((call->finished && !complete) == broken);
 }
 
 TEST_CASE("the engine's work is cancelled when the caller leaves") {
@@ -105,7 +105,7 @@
   f.Run(milliseconds(500));
   CHECK(f.engines["a"]->Idle());
   CHECK(f.live->running() == 0);
-  CHECK(f.context->counters.callers_gone == 1);
+  CHECK(f.context->counters.callers_disconnected == 1);
 }
 
 TEST_CASE("work that can't make its deadline is refused at once, as not run") {
--- a/test/gateway/engine_observer_test.cc
+++ b/test/gateway/engine_observer_test.cc
@@ -48,7 +48,7 @@
   std::map<std::string, int> resyncs;
 };
 
-class NoHttp : public HttpCaller {
+class UnreachableHttp : public HttpCaller {
  public:
   std::unique_ptr<CallHandle> Start(const std::string&, HttpRequest, HttpCallObserver&) override {
     return nullptr;
@@ -76,7 +76,7 @@
   FakeConfigurationClient configuration;
   EngineRouter router;
   EngineObserver observer;
-  bool deaf = false;
+  bool drops_messages = false;
 };
 
 class Gateways {
@@ -113,7 +113,7 @@
   VirtualScheduler scheduler{1};
   ConfigurationBuilder builder;
   FakeEngines engines;
-  NoHttp http;
+  UnreachableHttp http;
   std::map<std::string, std::unique_ptr<GatewayUnderTest>> nodes;
   int messages = 0;
 };
@@ -144,7 +144,7 @@
   ++gateways_.messages;
   gateways_.scheduler.Schedule(milliseconds(1), [this, to, message] {
     const auto found = gateways_.nodes.find(to.value());
-    if (found == gateways_.nodes.end() || found->second->deaf) return;
+    if (found == gateways_.nodes.end() || found->second->drops_messages) return;
     found->second->observer.Receive(self_, message);
   });
 }
@@ -214,14 +214,14 @@
     const NodeId node{std::string(name)};
     if (node != observers[0] && node != observers[1]) third = name;
   }
-  g.nodes[third]->deaf = true;
+  g.nodes[third]->drops_messages = true;
   events.events.push_back({3, true, 13});
   events.newest = 3;
   g.engines.events["a:1"] = events;
   g.engines.reports["a:1"].newest_cache_event = 3;
   g.scheduler.RunFor(seconds(2));
   CHECK(held(third) == 2);
-  g.nodes[third]->deaf = false;
+  g.nodes[third]->drops_messages = false;
   events.events.push_back({4, true, 14});
   events.newest = 4;
   g.engines.events["a:1"] = events;
@@ -244,10 +244,10 @@
   g.engines.reports["a:1"] = draining;
   g.scheduler.RunFor(milliseconds(400));
   REQUIRE(reports.size() > before);
-  const auto told = std::find_if(reports.begin(), reports.end(), [](const auto& report) {
+  const auto reported = std::find_if(reports.begin(), reports.end(), [](const auto& report) {
     return report.engine == EngineName("a") && report.leaving;
   });
-  CHECK(told != reports.end());
+  CHECK(reported != reports.end());
   CHECK_FALSE(g.nodes["g1"]->router.MayTakeWork(EngineName("a")));
 }
 
--- a/test/gateway/gateway_fixture.cc
+++ b/test/gateway/gateway_fixture.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr char kGatewayAddress[] = "gateway:80";
-constexpr Duration kPatience = std::chrono::minutes(1);
+constexpr Duration kAwaitTimeout = std::chrono::minutes(1);
 
 NodeRecord SelfRecord() {
   NodeRecord self;
@@ -122,7 +122,7 @@
 }
 
 bool GatewayFixture::Await(const Call& call) {
-  return scheduler.RunUntilTrue([&call] { return call.ended(); }, kPatience);
+  return scheduler.RunUntilTrue([&call] { return call.ended(); }, kAwaitTimeout);
 }
 
 uint64_t GatewayFixture::Executions(const std::string& key) const {
--- a/test/gateway/plain_flow_test.cc
+++ b/test/gateway/plain_flow_test.cc
@@ -210,11 +210,11 @@
     CHECK(call->status() == 200);
   }
   CHECK(f.servers["p"]->arrived_while_draining() == 0);
-  bool told = false;
+  bool reported = false;
   for (const EngineObservation& report : f.configuration.reports) {
-    told = told || (report.engine == EngineName("p") && report.leaving);
+    reported = reported || (report.engine == EngineName("p") && report.leaving);
   }
-  CHECK(told);
+  CHECK(reported);
   f.servers["p"]->Undrain();
   f.Run(seconds(2));
   for (int i = 0; i < 20; ++i) REQUIRE(f.Await(*f.Send(Page("/after/" + std::to_string(i)))));
