--- a/source/gateway/completion_codec.cc
+++ b/source/gateway/completion_codec.cc
@@ -14,7 +14,7 @@
 constexpr uint32_t kDefaultMaxTokens = 256;
 constexpr uint32_t kMaxTokensLimit = 131072;
 
-/// Reads the fields of a request and collects what is wrong with them.
+/// Reads the fields of a request and collects the errors found in them.
 class Reader {
  public:
   explicit Reader(const json::object& object) : object_(object) {}
--- a/source/gateway/completion_codec.h
+++ b/source/gateway/completion_codec.h
@@ -1,4 +1,4 @@
-/// The OpenAI-style JSON of completions: requests in, events and whole answers out.
+/// OpenAI-compatible JSON of completions: parses requests, formats stream events and responses.
 #pragma once
 
 #include <string>
@@ -11,13 +11,13 @@
 
 namespace millstair {
 
-/// A completion as asked for by a caller.
+/// A completion request as sent by a caller.
 struct CompletionRequest {
   ModelName model;
   std::string prompt;
   uint32_t max_tokens = 0;
   bool stream = false;
-  /// Asked for through /v1/chat/completions.
+  /// Received on /v1/chat/completions.
   bool chat = false;
 };
 
@@ -26,10 +26,10 @@
 /// Last event of a stream.
 inline constexpr char kStreamEnd[] = "data: [DONE]\n\n";
 
-/// Parses the body. InvalidArgument names every field at fault.
+/// Parses the body. InvalidArgument names every invalid field.
 absl::StatusOr<CompletionRequest> ParseCompletion(std::string_view body, bool chat);
 
-/// A run of tokens as sent to the caller.
+/// Consecutive tokens as sent to the caller.
 struct CompletionPart {
   std::string text;
   std::vector<VersionSpan> spans;
@@ -39,7 +39,7 @@
 /// One server-sent event.
 std::string CompletionEvent(const CompletionRequest& request, const std::string& id,
                             const CompletionPart& part);
-/// The whole answer of a request that does not stream. `tokens` counts those generated.
+/// Response body of a request that does not stream. `tokens` is the number of generated tokens.
 std::string CompletionAnswer(const CompletionRequest& request, const std::string& id,
                              const CompletionPart& complete, uint32_t tokens);
 
--- a/source/gateway/completion_flow.cc
+++ b/source/gateway/completion_flow.cc
@@ -9,12 +9,12 @@
 namespace millstair {
 namespace {
 
-/// How often a request that no engine can take looks again, and for how long.
+/// Interval and limit of the wait for an engine that can accept the request.
 constexpr Duration kWaitInterval = std::chrono::milliseconds(20);
 constexpr Duration kMaxWait = std::chrono::seconds(3);
-/// Further engines that are looked at before a request is refused for its deadline.
+/// Other engines that are considered before a request is refused for its deadline.
 constexpr int kMaxAlternatives = 3;
-/// How often a broken generation looks whether the lease is back.
+/// Interval at which an interrupted generation checks for a valid lease.
 constexpr Duration kLeaseCheckInterval = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -87,7 +87,7 @@
 
 void CompletionFlow::PlaceOrWait() {
   if (!LeaseHeld() && !assembly_.tokens().empty()) {
-    // What the caller has got so far is worth waiting for a lease, up to the deadline.
+    // An interrupted generation waits for a lease until its deadline instead of failing.
     retry_timer_.Arm(kLeaseCheckInterval, [this] { PlaceOrWait(); });
     return;
   }
--- a/source/gateway/completion_flow.h
+++ b/source/gateway/completion_flow.h
@@ -1,5 +1,5 @@
-/// One completion: streamed as server-sent events or answered whole. A generation that breaks off
-/// goes on at the token reached on another engine.
+/// One completion: streamed as server-sent events or sent as one response. A generation that fails
+/// midway resumes on another engine after the last received token.
 #pragma once
 
 #include <memory>
@@ -30,13 +30,13 @@
 
   void PlaceOrWait();
   void StartAttempt(Placement placement);
-  /// A better engine, if the estimate of the one drawn goes beyond the deadline.
+  /// Returns a placement with a lower estimate if the one chosen would miss the deadline.
   Placement FindFasterEngine(Placement placement);
-  /// The engine's estimate goes beyond the deadline; the request was refused.
+  /// Refuses the request if the engine's estimate exceeds the deadline; true if refused.
   bool RefuseIfTooLate(const Placement& placement);
   void OnChunk(const GenerateChunk& chunk);
   void OnFailed(CallFailure failure, bool leaving, const std::string& reason);
-  /// Ends the attempt under way.
+  /// Ends the current attempt.
   void EndAttempt(const PlacementOutcome& outcome);
   void RetryOrFail(CallFailure failure, const std::string& reason);
   void SendPart(size_t first_token, const GenerateChunk& chunk);
@@ -48,7 +48,7 @@
   RoutingRequest routing_;
   GenerationAssembly assembly_;
   std::unique_ptr<Attempt> attempt_;
-  /// Ended attempts, kept until the flow goes, since their callbacks may still be on the stack.
+  /// Ended attempts, destroyed with the flow, since their callbacks may still be on the stack.
   std::vector<std::unique_ptr<Attempt>> ended_attempts_;
   ScopedTimer retry_timer_;
   TimePoint waiting_since_;
--- a/source/gateway/engine_observer.cc
+++ b/source/gateway/engine_observer.cc
@@ -9,13 +9,13 @@
 namespace millstair {
 namespace {
 
-/// Size of a shared report on the wire, for the bound on what a gateway receives.
+/// Approximate size of an encoded report; determines the sharing interval.
 constexpr uint32_t kBytesPerReport = 90;
-/// The second observer shares when the first was silent for this many intervals.
+/// The second observer shares after it received nothing from the first for this many intervals.
 constexpr int kTakeoverIntervals = 3;
 constexpr Duration kResyncInterval = std::chrono::seconds(3);
 constexpr Duration kProbeTimeout = std::chrono::seconds(2);
-/// Most cache events of an engine that are shared at once; receivers read beyond by themselves.
+/// Maximum cache events of an engine in one message; beyond it a gap is sent and receivers resync.
 constexpr size_t kMaxSharedEvents = 2048;
 
 WeightVersion NewestStaged(const EngineReport& report) {
@@ -29,7 +29,7 @@
          a.active == b.active && a.consistent == b.consistent;
 }
 
-/// Room for further sequences; engines with more come first in a summary.
+/// Free slots for sequences; ranks the engines of a summary.
 double FreeSlotsOf(const EngineReport& report) {
   return static_cast<double>(report.max_sequences) - report.running_sequences -
          report.waiting_sequences;
@@ -60,7 +60,7 @@
 
 bool EngineObserver::Observes(const EngineName& engine) const {
   const std::vector<NodeId>& observers = router_.observers().Observers(engine);
-  // Before the cluster knows any gateway, this one looks for itself.
+  // Until the configuration lists a gateway, this one polls every engine itself.
   if (observers.empty()) return true;
   return std::find(observers.begin(), observers.end(), self_.node) != observers.end();
 }
@@ -99,7 +99,7 @@
 
 void EngineObserver::TickEngine(const EngineName& engine, const EngineSpec& spec, bool observes) {
   if (!observes) {
-    // Shared cache events that do not add up are made good by one reading of our own.
+    // A gap in the shared cache events is closed by reading all blocks from the engine.
     if (spec.type != EngineType::kModel) return;
     const bool home = router_.observers().HomeZone(engine) == self_.zone;
     const auto slot = router_.SlotOf(engine);
@@ -178,7 +178,7 @@
         found->second.reading_cache = false;
         if (!events.ok()) return;
         router_.NoteCacheEvents(engine, after, resync, *events);
-        // A whole reading is not shared: those who miss something read for themselves.
+        // Full reads are not shared: a gateway that missed events resyncs by itself.
         if (!resync && Observes(engine)) found->second.cache.push_back({after, resync, *events});
       }));
 }
@@ -188,7 +188,7 @@
   const TimePoint now = environment_.Now();
   const EngineView* view = router_.FindEngine(engine);
   if (view != nullptr && view->said_leaving && !observed.plain_leaving) {
-    // Learned from an answer to a request.
+    // Reported by the back end in a response to a request.
     observed.plain_leaving = true;
     observed.leaving_reported_at = now;
     ReportToControlNodes(engine,
@@ -263,7 +263,7 @@
     if (!first && now - observed.peer_shared_at < takeover_after) continue;
     observed.fresh = false;
     ObservedEngineState state = StateOf(engine, observed);
-    // Readings follow one another, so they are shared as one.
+    // Consecutive reads are merged into one.
     for (SharedCache& part : cache) {
       if (!state.cache) {
         state.cache = std::move(part);
--- a/source/gateway/engine_observer.h
+++ b/source/gateway/engine_observer.h
@@ -1,11 +1,11 @@
-/// Watches the back ends that this gateway observes, tells its router, the control nodes and the
-/// other gateways.
+/// Polls the back ends that this gateway observes and reports their state to its router, the
+/// control nodes and the other gateways.
 ///
-/// Each engine has two observers in its home zone by rendezvous hash. Both poll; the first shares
-/// with the gateways of the zone, the second does while it hears nothing from the first. One
-/// gateway of the zone sends the reports of the engines with most room to one gateway of each other
-/// zone, which passes them on there. How often reports are shared follows from how many engines the
-/// zone has, so that what a gateway receives stays within a bound.
+/// Each engine has two observers in its home zone, chosen by rendezvous hashing. Both poll; the
+/// first shares its reports with the gateways of the zone, and the second takes over while it
+/// receives none from the first. One gateway of the zone sends the reports of the engines with the
+/// most free slots to one gateway of each other zone, which relays them there. The sharing interval
+/// grows with the number of engines in the zone, which bounds the bytes that a gateway receives.
 #pragma once
 
 #include <functional>
@@ -29,21 +29,21 @@
 
 struct ObserverOptions {
   Duration poll = std::chrono::milliseconds(250);
-  /// Plain back ends are asked for their readiness this often.
+  /// Interval of the readiness probes of plain back ends.
   Duration probe = std::chrono::seconds(1);
-  /// Bound on the bytes a second of shared reports that reach one gateway of the zone.
+  /// Upper bound on the shared reports that one gateway of the zone receives.
   uint32_t shared_bytes_per_second = 2500;
-  /// Reports of a zone that other zones get.
+  /// Maximum number of engines whose reports are sent to other zones.
   uint32_t summary_engines = 16;
   Duration summary_interval = std::chrono::milliseconds(500);
-  /// An unchanged observation is told to the control nodes again after this long.
+  /// An unchanged observation is reported to the control nodes again after this time.
   Duration report_refresh_interval = std::chrono::seconds(5);
-  /// A back end that said that it is leaving, and has no readiness page, gets work again after
-  /// this.
+  /// A back end without a readiness page that reported that it is draining receives requests again
+  /// after this time.
   Duration leaving_hold = std::chrono::seconds(30);
 };
 
-/// Figures for /metrics.
+/// Counters for /metrics.
 struct ObserverCounters {
   uint64_t polls = 0;
   uint64_t poll_failures = 0;
@@ -56,7 +56,7 @@
 /// Lives on the node's serial executor.
 class EngineObserver {
  public:
-  /// Hears of each report of a model engine that this gateway polled.
+  /// Called with each report that this gateway polled from a model engine.
   using ReportListener = std::function<void(const EngineName&, const EngineReport&)>;
 
   EngineObserver(Environment& environment, PeerTransport& transport, EngineClient& engines,
@@ -65,35 +65,35 @@
 
   void Start();
   void Stop();
-  /// With a listener, it is the listener that tells the control nodes of model engines.
+  /// If set, the listener reports model engines to the control nodes in place of this class.
   void OnReport(ReportListener listener) { listener_ = std::move(listener); }
-  /// Messages of kind kEngineReport.
+  /// Handles messages of kind kEngineReport.
   void Receive(const NodeId& from, const PeerMessage& message);
-  /// Back ends that this gateway polls: 0 for those it is the first observer of, else 1.
+  /// Back ends that this gateway polls, with its rank among their observers: 0 if first, else 1.
   std::map<EngineName, uint32_t> ObservedRanks() const;
-  /// This gateway polls `engine`.
+  /// True if this gateway polls `engine`.
   bool Observes(const EngineName& engine) const;
   const ObserverCounters& counters() const { return counters_; }
 
  private:
-  /// What is kept of one engine.
+  /// State of one engine.
   struct Observed {
     bool polling = false;
     bool reading_cache = false;
-    /// Newest own report and when its figures were taken.
+    /// Newest report that this gateway polled, and when the engine sampled it.
     EngineReport report;
     TimePoint taken_at;
     bool has_report = false;
     bool fresh = false;
-    /// Cache events read since the last sharing.
+    /// Cache events read since they were last shared.
     std::vector<SharedCache> cache;
-    /// When another gateway last shared a report of it.
+    /// When another gateway last shared a report of this engine.
     TimePoint peer_shared_at;
-    /// Last observation told to the control nodes.
+    /// Last observation reported to the control nodes.
     EngineObservation last_reported;
     TimePoint reported_at;
     bool was_reported = false;
-    /// Last reading of all blocks.
+    /// Last full read of the engine's cache blocks.
     TimePoint resync_at;
     std::unique_ptr<ReadinessProbe> probe;
     TimePoint probed_at;
--- a/source/gateway/gateway_context.h
+++ b/source/gateway/gateway_context.h
@@ -1,4 +1,4 @@
-/// What the flows of a gateway share. Owned by LiveService; lives on the node's serial executor.
+/// State shared by the request flows of a gateway. Lives on the node's serial executor.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 namespace millstair {
 
-/// Figures for /metrics.
+/// Counters for /metrics.
 struct GatewayCounters {
   uint64_t requests = 0;
   uint64_t answered = 0;
@@ -67,16 +67,16 @@
   RetryBudget retry_budget;
   RetryPolicy retry;
   GatewayCounters counters;
-  /// Slots of requests under way, per traffic group.
+  /// Admission controllers by traffic group.
   std::map<std::string, std::unique_ptr<AdmissionController>> admission;
-  /// Keys of non-repeatable requests that this gateway works on.
+  /// Idempotency keys of the non-repeatable requests in progress on this gateway.
   std::set<std::string> once_keys;
-  /// The gateway goes away: nothing more is sent, as when the process is killed.
+  /// The gateway is being destroyed: nothing more is sent, as when the process is killed.
   bool closing = false;
-  /// Makes request ids and claims unique within this incarnation.
+  /// Makes request ids unique within this incarnation.
   uint64_t next_number = 1;
 
-  /// A request id that no other request has.
+  /// Returns a cluster-wide unique request id.
   std::string NewRequestId() {
     return self.node.value() + "-" + std::to_string(self.incarnation.value()) + "-" +
            std::to_string(next_number++);
--- a/source/gateway/gateway_faults.h
+++ b/source/gateway/gateway_faults.h
@@ -1,5 +1,5 @@
-/// Faults of a gateway that tests and the simulator switch on to prove that their checks notice
-/// them. All are off in the product.
+/// Faults that tests and the simulator inject into a gateway to verify that their checks detect
+/// them. All are off in production.
 #pragma once
 
 namespace millstair {
@@ -7,15 +7,15 @@
 struct GatewayFaults {
   /// Dispatches a non-repeatable request without the once-only claim.
   bool skip_claim = false;
-  /// Says "not-run" of a request whose bytes went to a back end.
+  /// Reports "not-run" for a request that was sent to a back end.
   bool not_run_after_send = false;
-  /// Repeats a non-repeatable request whose outcome is unknown.
+  /// Retries a non-repeatable request whose outcome is unknown.
   bool repeat_possibly_run = false;
-  /// Sends work to back ends that are leaving.
+  /// Routes requests to back ends that are draining.
   bool work_to_leaving = false;
-  /// Finishes an answer that broke off as if it were complete.
+  /// Finishes a truncated response as if it were complete.
   bool finish_truncated = false;
-  /// Gives out new work without a configuration lease.
+  /// Dispatches requests without a configuration lease.
   bool ignore_lease = false;
 };
 
--- a/source/gateway/gateway_node.cc
+++ b/source/gateway/gateway_node.cc
@@ -155,7 +155,7 @@
       trainers_drained_ = true;
       CheckDrained();
     }));
-    // Not from within the caller's own call.
+    // Deferred so that `done` is never called from within Drain.
     environment_.Schedule(Duration(0), alive_.Guard([this] { CheckDrained(); }));
   }
 
--- a/source/gateway/gateway_node.h
+++ b/source/gateway/gateway_node.h
@@ -1,4 +1,4 @@
-/// The gateway role of a node: live traffic, the trainers' front, rollout work, engine observation.
+/// The gateway role of a node: live traffic, the trainer service, rollout work, engine observation.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,7 @@
 struct GatewayTiming {
   Duration report_poll = std::chrono::milliseconds(250);
   Duration work_poll = std::chrono::milliseconds(200);
-  /// Live requests that still run this long after a drain began are cut.
+  /// Live requests that still run this long after the start of a drain are aborted.
   Duration drain_limit = std::chrono::seconds(120);
 };
 
@@ -32,12 +32,12 @@
   ConfigurationTiming configuration_timing;
   GatewayTiming timing;
   RoutingPolicy routing_policy = RoutingPolicy::kEstimate;
-  /// Turns off tail handling (early issue of long samples, moves, re-issue); for the bench.
+  /// Tail handling: early issue of long samples, moves, re-issue. Benchmarks turn it off.
   bool tail_handling = true;
-  /// Faults for tests and the simulator; all off in the product.
+  /// Injected by tests and the simulator; all off in production.
   GatewayFaults faults;
   StreamFaults stream_faults;
-  /// Takes the gateway's counts for /metrics; null publishes none. Must outlive the node.
+  /// Receives the gateway's metrics; null publishes none. Must outlive the node.
   StatsRegistry* stats = nullptr;
 };
 
@@ -47,7 +47,7 @@
   virtual void Start() = 0;
   /// False while draining, without a configuration, or without a lease.
   virtual bool Ready() const = 0;
-  /// Takes no new work, finishes or hands over what runs, then calls `done`.
+  /// Refuses new work, finishes or hands over running work, then calls `done`.
   virtual void Drain(std::function<void()> done) = 0;
   virtual const Configuration& configuration() const = 0;
 };
--- a/source/gateway/gateway_stats.h
+++ b/source/gateway/gateway_stats.h
@@ -1,4 +1,4 @@
-/// Publishes a gateway's counts for /metrics.
+/// Publishes a gateway's metrics.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,16 @@
 
 namespace millstair {
 
-/// Copies counts, which decision code keeps as plain numbers, into a registry. Lives on the node's
-/// serial executor; the registry may be read from any thread.
+/// Copies counters, which the gateway's classes keep as plain numbers, into a registry. Lives on
+/// the node's serial executor; the registry may be read from any thread.
 class GatewayStats {
  public:
   explicit GatewayStats(StatsRegistry& registry) : registry_(registry) {}
 
-  /// A count that only grows; `read` gives its present value. "millstair_gateway_" goes before.
+  /// Adds a monotonic counter read by `read`. `name` gets the prefix "millstair_gateway_".
   void AddCounter(const std::string& name, const std::string& help, std::function<uint64_t()> read);
   void AddGauge(const std::string& name, const std::string& help, std::function<double()> read);
-  /// Takes over the present values.
+  /// Copies the current values into the registry.
   void Publish();
 
  private:
--- a/source/gateway/generation_assembly.cc
+++ b/source/gateway/generation_assembly.cc
@@ -17,7 +17,7 @@
     return absl::DataLossError("the chunk does not follow the tokens received");
   }
   if (incarnation_known_ && chunk.engine_incarnation != incarnation_) {
-    return absl::DataLossError("the chunk comes from another life of the engine");
+    return absl::DataLossError("the chunk comes from another incarnation of the engine");
   }
   if (!chunk.tokens.empty() && !WeightsPublished(chunk, model)) {
     return absl::FailedPreconditionError("the chunk comes from weights that were not published");
--- a/source/gateway/generation_assembly.h
+++ b/source/gateway/generation_assembly.h
@@ -1,5 +1,5 @@
-/// Puts the chunks of one generation together, over all engines that worked on it, and refuses
-/// what does not fit: a gap, a repeat, another engine's chunk, weights that were never published.
+/// Assembles the chunks of one generation across all engines that produced them. Rejects gaps,
+/// duplicates, chunks of another engine incarnation and weights that were never published.
 #pragma once
 
 #include <string>
@@ -13,17 +13,17 @@
 
 class GenerationAssembly {
  public:
-  /// A further engine goes on behind the tokens so far.
+  /// Another engine resumes after the tokens received so far.
   void BeginAttempt() { incarnation_known_ = false; }
 
-  /// Takes over `chunk`. DataLoss if it does not go on where the tokens end or comes from another
-  /// life of the engine; FailedPrecondition if its weights are not those published for `model`.
-  /// Nothing changes on an error.
+  /// Appends `chunk`. DataLoss if it does not start after the last token or comes from another
+  /// incarnation of the engine; FailedPrecondition if its weights are not those published for
+  /// `model`. An error leaves the assembly unchanged.
   absl::Status Accept(const GenerateChunk& chunk, const ModelStatus* model);
 
   const std::vector<std::string>& tokens() const { return tokens_; }
   const std::vector<VersionSpan>& spans() const { return spans_; }
-  /// Text of the tokens from `first` on, with the space that parts it from what came before.
+  /// Text of the tokens from `first` on, with the space that separates it from the text before.
   std::string TextFrom(size_t first) const;
 
  private:
@@ -33,8 +33,8 @@
   Incarnation incarnation_;
 };
 
-/// Whether `chunk`'s weights may be shown: their digest is the published one. Versions that the
-/// configuration no longer lists are believed, later ones than the newest are not.
+/// Whether the weights of `chunk` were published: its version is listed with the same digest.
+/// Unlisted versions are accepted if older than the newest published one, rejected if newer.
 bool WeightsPublished(const GenerateChunk& chunk, const ModelStatus* model);
 
 }  // namespace millstair
--- a/source/gateway/hop_headers.h
+++ b/source/gateway/hop_headers.h
@@ -1,11 +1,11 @@
-/// Headers that concern one connection only and are not passed on (RFC 9110, 7.6.1).
+/// Hop-by-hop headers, which a proxy does not forward (RFC 9110, 7.6.1).
 #pragma once
 
 #include "http/exchange.h"
 
 namespace millstair {
 
-/// `headers` without hop-by-hop ones and those that Connection names.
+/// Returns `headers` without hop-by-hop headers and those listed in Connection.
 HttpHeaders WithoutHopHeaders(const HttpHeaders& headers);
 
 }  // namespace millstair
--- a/source/gateway/live_service.cc
+++ b/source/gateway/live_service.cc
@@ -10,7 +10,7 @@
 namespace millstair {
 namespace {
 
-/// When to come back to a gateway that stops; another one answers by then.
+/// Retry-After of a draining gateway; callers reach another gateway by then.
 constexpr Duration kDrainRetryAfter = std::chrono::seconds(1);
 
 std::string_view HostOf(const HttpRequest& request) {
@@ -47,7 +47,7 @@
 void LiveService::HandleCompletion(HttpRequest request, std::shared_ptr<ResponseWriter> writer,
                                    bool chat) {
   if (request.method != "POST") {
-    RespondNotRun(*writer, 405, "method", "completions are asked for by POST");
+    RespondNotRun(*writer, 405, "method", "completions require POST");
     return;
   }
   absl::StatusOr<CompletionRequest> completion = ParseCompletion(request.body, chat);
--- a/source/gateway/live_service.h
+++ b/source/gateway/live_service.h
@@ -1,4 +1,4 @@
-/// Live traffic of a gateway: finds the traffic group of each request and runs its flow.
+/// Live traffic of a gateway: matches each request to its traffic group and runs its flow.
 #pragma once
 
 #include <cstdint>
@@ -22,9 +22,9 @@
 
   void Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) override;
 
-  /// Refuses new requests from now on.
+  /// Refuses all new requests.
   void BeginDrain() { draining_ = true; }
-  /// Cuts what still runs.
+  /// Aborts all running requests.
   void AbortAll();
   size_t running() const { return flows_.size(); }
   /// Called whenever the last flow has ended.
@@ -33,7 +33,7 @@
  private:
   void HandleCompletion(HttpRequest request, std::shared_ptr<ResponseWriter> writer, bool chat);
   void HandlePlain(HttpRequest request, std::shared_ptr<ResponseWriter> writer);
-  /// Fills in the headers' wishes; false if the request was refused for them.
+  /// Reads the request's metadata headers; false if the request was refused because of them.
   bool ReadMeta(FlowRequest& request);
   uint64_t NextFlow() { return next_flow_++; }
   std::function<void()> EndedCallback(uint64_t flow);
--- a/source/gateway/observation_codec.cc
+++ b/source/gateway/observation_codec.cc
@@ -60,7 +60,7 @@
   return cache;
 }
 
-/// False if a field is out of its bounds.
+/// False if a field is out of range.
 bool ReadEngine(const millstair_ObservedEngine& wire, ObservedEngineState& engine) {
   constexpr uint64_t kMaxDurationUs = 1ULL << 50;
   if (wire.shards < static_cast<uint32_t>(ShardState::kConsistent) ||
--- a/source/gateway/observation_codec.h
+++ b/source/gateway/observation_codec.h
@@ -1,4 +1,4 @@
-/// Engine observations between gateways on the wire.
+/// Wire format of the engine observations that gateways share.
 #pragma once
 
 #include <optional>
@@ -12,7 +12,7 @@
 
 namespace millstair {
 
-/// Cache events read after event `after`.
+/// Cache events that follow event `after`.
 struct SharedCache {
   uint64_t after = 0;
   bool resync = false;
@@ -21,15 +21,15 @@
 
 struct ObservedEngineState {
   EngineName engine;
-  /// Figures for routing; digests, staged versions, fences and roles are not shared.
+  /// Routing data only; digests, staged versions, fences and roles are not shared.
   EngineReport report;
-  /// A plain back end: only `report.draining` means something.
+  /// A plain back end: only `report.draining` is valid.
   bool plain = false;
   std::optional<SharedCache> cache;
 };
 
 struct EngineObservationsMessage {
-  /// The receiver passes them on to the other gateways of its zone.
+  /// The receiver relays the message to the other gateways of its zone.
   bool relay = false;
   std::vector<ObservedEngineState> engines;
 };
--- a/source/gateway/once_claim.cc
+++ b/source/gateway/once_claim.cc
@@ -9,7 +9,7 @@
 namespace millstair {
 namespace {
 
-/// How long settling a claim is tried.
+/// Timeout of the command that settles a claim.
 constexpr Duration kSettleTimeout = std::chrono::seconds(60);
 
 const GroupId& ClusterGroup() {
@@ -48,7 +48,7 @@
       attempt_(context.environment.Random()() | 1) {}
 
 OnceClaim::~OnceClaim() {
-  // Given up before the answer came: nothing was sent, so the claim is given back.
+  // Destroyed before the reply arrived: nothing was sent, so the claim is released.
   if (pending_ && !context_.closing) Settle(true, 0, [](bool) {});
   if (owns_key_) context_.once_keys.erase(key_);
 }
@@ -77,7 +77,7 @@
         granted_ = answer == ClaimAnswer::kGranted;
         if (granted_) ++context_.counters.claims_taken;
         if (!granted_) ++context_.counters.claims_refused;
-        // The claim may have been committed without our knowing; nothing was sent, so give it back.
+        // The claim may have been committed; nothing was sent, so it is released.
         if (answer == ClaimAnswer::kUnavailable) Settle(true, 0, [](bool) {});
         done(answer);
       }));
--- a/source/gateway/once_claim.h
+++ b/source/gateway/once_claim.h
@@ -1,6 +1,6 @@
-/// The once-only claim of a non-repeatable request: taken in the cluster's log before the request
-/// is sent, settled when its outcome is known. A claim that is never settled stays in doubt, and a
-/// resend anywhere is told so.
+/// The once-only claim of a non-repeatable request: committed to the cluster log before the request
+/// is sent, settled when its outcome is known. A claim that is never settled keeps an unknown
+/// outcome, which any gateway reports for a request that reuses the key.
 #pragma once
 
 #include <functional>
@@ -14,17 +14,17 @@
 
 enum class ClaimAnswer {
   kGranted,
-  kHeld,         ///< another request with this key is under way or in doubt
-  kDone,         ///< the request of this key ran
-  kTooOld,       ///< the key is older than keys are remembered
-  kMismatch,     ///< another request used this key
-  kUnavailable,  ///< the control nodes gave no answer; nothing was sent to a back end
+  kHeld,         ///< a request with this key is in progress, or its outcome is unknown
+  kDone,         ///< the request with this key ran
+  kTooOld,       ///< the key is older than the retention time of keys
+  kMismatch,     ///< a request with another digest used this key
+  kUnavailable,  ///< the control nodes did not reply; nothing was sent to a back end
 };
 
 /// Lives on the node's serial executor.
 class OnceClaim {
  public:
-  /// `digest` tells requests apart that use the same key.
+  /// `digest` distinguishes requests that use the same key.
   OnceClaim(GatewayContext& context, std::string key, std::string digest,
             std::optional<WallTime> issued);
   ~OnceClaim();
@@ -32,10 +32,11 @@
   OnceClaim& operator=(const OnceClaim&) = delete;
 
   void Take(Duration timeout, std::function<void(ClaimAnswer)> done);
-  /// The request ran; `status` is the back end's answer. Goes on by itself.
+  /// The request ran with response status `status`. Completes in the background, also after the
+  /// claim is destroyed.
   void SettleDone(int status);
-  /// The request truly did not run. `released` is called once the log has it, or when that can't
-  /// be told (the key then stays in doubt).
+  /// The request did not run. `released` is called with true once the release is committed, and
+  /// with false if that could not be confirmed (the outcome of the key then stays unknown).
   void Release(std::function<void(bool)> released);
   bool granted() const { return granted_; }
 
@@ -46,8 +47,8 @@
   std::string key_;
   std::string digest_;
   std::optional<WallTime> issued_;
-  /// Differs for each claim, so that a resend of this claim is told from another request with the
-  /// same key through the same gateway.
+  /// Random per claim; distinguishes a repeated submission of this claim from another request with
+  /// the same key on the same gateway.
   uint64_t attempt_;
   bool owns_key_ = false;
   bool pending_ = false;
--- a/source/gateway/plain_flow.cc
+++ b/source/gateway/plain_flow.cc
@@ -8,7 +8,7 @@
 namespace millstair {
 namespace {
 
-/// How often a request that no back end can take looks again, and for how long.
+/// Interval and limit of the wait for a back end that can accept the request.
 constexpr Duration kWaitInterval = std::chrono::milliseconds(25);
 constexpr Duration kMaxWait = std::chrono::seconds(2);
 constexpr int kUnavailable = 503;
@@ -35,7 +35,7 @@
   return FindHeader(head.headers, kDrainingHeader) == std::optional<std::string_view>("true");
 }
 
-/// The back end says that it did not start executing.
+/// True if the back end reports that it did not start executing.
 bool IsRefusal(const HttpResponseHead& head) {
   if (head.status != kUnavailable) return false;
   const auto outcome = FindHeader(head.headers, kOutcomeHeader);
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-/// One try at one back end.
+/// One attempt at one back end.
 class PlainFlow::BackEndCall : public HttpCallObserver {
  public:
   BackEndCall(PlainFlow& flow, Placement placement)
@@ -67,7 +67,7 @@
     if (!dropped_) flow_.OnFailed(*this, failure, false, reason);
   }
 
-  /// Cancels the call and counts it as ended.
+  /// Cancels the call and reports its outcome to the router.
   void Drop(PlacementEnd end, CallFailure failure, bool leaving) {
     if (dropped_) return;
     dropped_ = true;
@@ -153,7 +153,8 @@
 void PlainFlow::OnHead(BackEndCall& call, const HttpResponseHead& head) {
   if (head_sent_) return;
   if (IsRefusal(head)) {
-    OnFailed(call, CallFailure::kRefused, ReportsDraining(head), "it refused the request");
+    OnFailed(call, CallFailure::kRefused, ReportsDraining(head),
+             "the back end refused the request");
     return;
   }
   call.answering = true;
@@ -199,14 +200,14 @@
     Fail({502, "cut", reason, Outcome::kRan, std::nullopt});
     return;
   }
-  // The other try of a hedged request goes on.
+  // The other attempt of a hedged request continues.
   if (calls_.empty()) RetryOrFail(failure, reason);
 }
 
 void PlainFlow::RetryOrFail(CallFailure failure, const std::string& reason) {
   FailedTry failed;
   failed.failure = failure;
-  // A hedge or an earlier try may have run, whatever became of this one.
+  // A hedge or an earlier attempt may have run, whatever the outcome of this one.
   if (may_have_run() && OutcomeOf(failure) == Outcome::kNotRun && !request_.meta.repeatable) {
     failed.failure = CallFailure::kUnknown;
   }
--- a/source/gateway/plain_flow.h
+++ b/source/gateway/plain_flow.h
@@ -1,5 +1,5 @@
-/// Proxies one request to plain HTTP back ends: retries what did not run or may run again, hedges
-/// what may run twice, and never shows a cut answer as complete.
+/// Proxies one request to plain HTTP back ends: retries it if it did not run or is repeatable,
+/// hedges repeatable requests, and never presents a truncated response as complete.
 #pragma once
 
 #include <memory>
@@ -25,8 +25,8 @@
  private:
   class BackEndCall;
 
-  /// Sends one try; false if no back end may take it now. A back end that was tried already is
-  /// taken again only if `again`.
+  /// Starts one attempt; false if no back end can accept it now. Back ends that were tried before
+  /// are considered only if `again`.
   bool SendAttempt(bool again);
   void AttemptOrWait();
   void ArmHedge();
@@ -37,9 +37,9 @@
   void DropOthers(const BackEndCall& winner);
   void RetryOrFail(CallFailure failure, const std::string& reason);
 
-  /// Calls under way; more than one only while hedging.
+  /// Calls in progress; more than one only while hedging.
   std::vector<std::unique_ptr<BackEndCall>> calls_;
-  /// Ended calls, kept until the flow goes, since their callbacks may still be on the stack.
+  /// Ended calls, destroyed with the flow, since their callbacks may still be on the stack.
   std::vector<std::unique_ptr<BackEndCall>> ended_calls_;
   std::set<EngineName> tried_back_ends_;
   ScopedTimer retry_timer_;
--- a/source/gateway/readiness_probe.h
+++ b/source/gateway/readiness_probe.h
@@ -1,4 +1,4 @@
-/// Asks a plain back end whether it is ready: GET /readyz, as it would answer a load balancer.
+/// Probes the readiness of a plain back end with GET /readyz, as a load balancer does.
 #pragma once
 
 #include <functional>
@@ -14,14 +14,14 @@
 
 enum class Readiness {
   kReady,
-  kLeaving,          ///< 503: it is up and takes no new work
+  kLeaving,          ///< it is up and accepts no new requests (503 or a refused call)
   kNoReadinessPage,  ///< it is up and has no readiness page
-  kUnreachable,      ///< no answer
+  kUnreachable,      ///< no response
 };
 
 inline constexpr char kReadinessPath[] = "/readyz";
 
-/// One question; `done` is called once, from a fresh event, unless the probe is dropped first.
+/// One probe. `done` is called once, from a separate event, unless the probe is destroyed first.
 class ReadinessProbe : public HttpCallObserver {
  public:
   ReadinessProbe(Environment& environment, HttpCaller& http, const std::string& address,
@@ -45,7 +45,7 @@
   }
 
  private:
-  /// The call may still be on the stack.
+  /// Deferred, since the call may still be on the stack.
   void ConcludeSoon(Readiness readiness) {
     timer_.Arm(Duration(0), [this, readiness] { Conclude(readiness); });
   }
--- a/source/gateway/request_flow.cc
+++ b/source/gateway/request_flow.cc
@@ -8,9 +8,9 @@
 namespace millstair {
 namespace {
 
-/// When to come back while the gateway has no lease.
+/// Retry-After while the gateway has no lease.
 constexpr Duration kLeaseRetryAfter = std::chrono::seconds(1);
-/// Longest wait for a once-only claim.
+/// Maximum wait for a once-only claim.
 constexpr Duration kClaimTimeout = std::chrono::seconds(5);
 constexpr int kUnprocessable = 422;
 constexpr int kConflict = 409;
@@ -67,12 +67,12 @@
 
 void RequestFlow::Abort() {
   if (ended_) return;
-  Fail({kUnavailable, "stopping", "the gateway stops before the request could be finished",
+  Fail({kUnavailable, "stopping", "the gateway stopped before the request was finished",
         ReportedOutcome(), kLeaseRetryAfter});
 }
 
 void RequestFlow::OnAdmitted() {
-  // Time has gone by in the queue.
+  // The lease may have expired while the request was queued.
   if (!CheckLease()) return;
   if (request_.meta.repeatable) {
     Dispatch();
@@ -93,14 +93,14 @@
       return;
     case ClaimAnswer::kHeld:
       Fail({kConflict, "key-in-doubt",
-            "a request with this key is under way, or its outcome is not known", Outcome::kUnknown,
+            "a request with this key is in progress, or its outcome is unknown", Outcome::kUnknown,
             std::nullopt});
       return;
     case ClaimAnswer::kDone:
       Fail({kConflict, "key-used", "the request with this key ran", Outcome::kRan, std::nullopt});
       return;
     case ClaimAnswer::kTooOld:
-      Fail({kConflict, "key-too-old", "the key is older than keys are remembered",
+      Fail({kConflict, "key-too-old", "the key is older than the retention time of keys",
             Outcome::kUnknown, std::nullopt});
       return;
     case ClaimAnswer::kMismatch:
@@ -128,8 +128,8 @@
   if (LeaseHeld()) return true;
   ++context_.counters.refused_without_lease;
   const Problem problem{kUnavailable, "no-lease",
-                        "the gateway's configuration is not confirmed as fresh", ReportedOutcome(),
-                        kLeaseRetryAfter};
+                        "the gateway's configuration is not confirmed to be current",
+                        ReportedOutcome(), kLeaseRetryAfter};
   ReleaseClaimAndFail(problem);
   return false;
 }
@@ -172,11 +172,11 @@
     return;
   }
   DropCalls();
-  // The caller may send the request again as soon as it has the answer, so the key is free first.
+  // The caller may resend the request once it has the response, so the key is released first.
   claim_->Release(alive_.Guard([this, problem](bool released) {
     if (ended_) return;
     Problem answer = problem;
-    if (!released) answer.detail += "; the key could not be given back and stays in doubt";
+    if (!released) answer.detail += "; the idempotency key could not be released and stays claimed";
     Fail(answer);
   }));
 }
@@ -215,14 +215,14 @@
                  kLeaseRetryAfter);
     return;
   }
-  Fail({kGatewayTimeout, "deadline", "the deadline passed before the answer came", outcome,
+  Fail({kGatewayTimeout, "deadline", "the deadline passed before the back end responded", outcome,
         std::nullopt});
 }
 
 void RequestFlow::OnCallerDisconnected() {
   if (ended_) return;
   ++context_.counters.callers_disconnected;
-  // A claim that was not dispatched yet is given back; one whose request may have run stays.
+  // The claim is released if the request was not dispatched, and stays if it may have run.
   if (claim_ != nullptr && claim_->granted() && !may_have_run()) claim_->Release([](bool) {});
   DropCalls();
   End();
--- a/source/gateway/request_flow.h
+++ b/source/gateway/request_flow.h
@@ -1,5 +1,5 @@
-/// One live request from its arrival to its answer: admission, lease, deadline, the caller that
-/// goes away. What is done with the back ends is up to the derived flows.
+/// One live request from arrival to response: admission, lease, deadline, disconnect of the
+/// caller. Derived flows send the request to back ends.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 
 namespace millstair {
 
-/// What a flow works on.
+/// Input of a flow.
 struct FlowRequest {
   HttpRequest http;
   RequestMeta meta;
@@ -24,46 +24,46 @@
   std::shared_ptr<ResponseWriter> writer;
 };
 
-/// Lives on the node's serial executor. After it has ended it does nothing more and its owner
-/// deletes it from a fresh event.
+/// Lives on the node's serial executor. An ended flow does nothing more; its owner deletes it from
+/// a separate event.
 class RequestFlow {
  public:
-  /// `ended` is called once, at the end; it must not delete the flow at once.
+  /// `ended` is called once, at the end; it must not delete the flow synchronously.
   RequestFlow(GatewayContext& context, FlowRequest request, std::function<void()> ended);
   virtual ~RequestFlow() = default;
   RequestFlow(const RequestFlow&) = delete;
   RequestFlow& operator=(const RequestFlow&) = delete;
 
   void Start();
-  /// Ends the request because the gateway stops: what can't be finished any more is cut.
+  /// Ends the request because the gateway stops.
   void Abort();
   bool ended() const { return ended_; }
 
  protected:
-  /// A slot is held, and the claim if one is needed: send the request.
+  /// Sends the request. Called with the admission slot held, and the claim if one is needed.
   virtual void Dispatch() = 0;
-  /// Drops all calls under way.
+  /// Cancels all calls in progress.
   virtual void DropCalls() = 0;
-  /// What is known of tries that have not ended yet.
+  /// Outcome known so far of the attempts in progress.
   virtual Outcome OutcomeUnderWay() const = 0;
 
   Duration TimeLeft() const;
   TimePoint deadline() const { return deadline_; }
-  /// The gateway may send work of this group now.
+  /// True if the gateway may dispatch requests of this group now.
   bool LeaseHeld() const;
-  /// The same; if not, the request was answered.
+  /// As LeaseHeld, but refuses the request if there is no lease.
   bool CheckLease();
-  /// Answers by `problem`, or cuts the answer if it has begun, and ends.
+  /// Sends `problem`, or aborts the response if it has begun, and ends.
   void Fail(Problem problem);
-  /// 503 not-run with the time to come back.
+  /// Responds 503 with Retry-After.
   void RefuseNotRun(const std::string& title, const std::string& detail, Duration retry_after);
-  /// The answer has been sent whole.
+  /// Ends after the complete response has been sent.
   void Finish(int status);
-  /// A try ended with `failure`.
+  /// Adds a failed attempt to the outcome of the request.
   void RecordAttemptFailure(CallFailure failure);
-  /// No try can be made any more; says what is known of the request.
+  /// Fails with the known outcome, since no further attempt is possible.
   void FailExhausted(const std::string& detail);
-  /// Forgets a claim whose request truly did not run, then answers.
+  /// Releases the claim if the request did not run, then sends `problem`.
   void ReleaseClaimAndFail(const Problem& problem);
   bool may_have_run() const;
 
@@ -87,7 +87,7 @@
   ScopedTimer deadline_timer_;
   std::unique_ptr<Admission> admission_;
   std::unique_ptr<OnceClaim> claim_;
-  /// Over all tries that have ended.
+  /// Combined outcome of all ended attempts.
   Outcome outcome_ = Outcome::kNotRun;
   bool ended_ = false;
 };
--- a/source/gateway/request_meta.h
+++ b/source/gateway/request_meta.h
@@ -1,4 +1,4 @@
-/// What a caller's headers say about how its request is to be treated.
+/// Request metadata that a caller sets by headers.
 #pragma once
 
 #include <optional>
@@ -16,12 +16,12 @@
 inline constexpr char kDeadlineHeader[] = "Millstair-Deadline-Ms";
 inline constexpr char kRepeatableHeader[] = "Millstair-Repeatable";
 inline constexpr char kIdempotencyHeader[] = "Idempotency-Key";
-/// Milliseconds since the Unix epoch at which the caller made its idempotency key.
+/// When the caller created its idempotency key, in milliseconds since the Unix epoch.
 inline constexpr char kKeyIssuedHeader[] = "Millstair-Key-Issued-Ms";
 
 struct RequestMeta {
   RequestPriority priority = RequestPriority::kLive;
-  /// Time that the request may take in all.
+  /// Total time limit of the request.
   Duration time_limit{0};
   bool repeatable = true;
   std::string idempotency_key;
@@ -29,11 +29,11 @@
 };
 
 /// Headers override the group's defaults, except that a group's repeatable=false stays.
-/// InvalidArgument names the header that cannot be read, or a key that is missing.
+/// InvalidArgument names the header that is invalid, or missing in the case of the key.
 absl::StatusOr<RequestMeta> ReadRequestMeta(const HttpRequest& request,
                                             const TrafficGroupSpec& group);
 
-/// Path of `target` without the query.
+/// Path of the request target without the query.
 std::string_view PathOf(const HttpRequest& request);
 
 }  // namespace millstair
--- a/source/gateway/traffic_matcher.cc
+++ b/source/gateway/traffic_matcher.cc
@@ -22,7 +22,7 @@
   });
 }
 
-/// Whole path segments: "/book" matches "/book" and "/book/1", not "/booking".
+/// Matches complete path segments: "/book" matches "/book" and "/book/1", not "/booking".
 bool PathMatches(std::string_view prefix, std::string_view path) {
   if (!path.starts_with(prefix)) return false;
   if (prefix.empty() || prefix.back() == '/' || path.size() == prefix.size()) return true;
--- a/source/gateway/traffic_matcher.h
+++ b/source/gateway/traffic_matcher.h
@@ -1,4 +1,4 @@
-/// Finds the traffic group of a request by host, path and model.
+/// Matches requests to traffic groups by host, path and model.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,7 @@
 
 namespace millstair {
 
-/// A traffic group as of the configuration in which a request was matched.
+/// A traffic group, as of the configuration that a request was matched against.
 struct MatchedGroup {
   std::string name;
   TrafficGroupSpec spec;
@@ -23,13 +23,13 @@
 /// Lives on the node's serial executor.
 class TrafficMatcher {
  public:
-  /// Takes over the groups; cheap if the revision is the one held.
+  /// Rebuilds the groups unless the revision is unchanged.
   void Update(const Configuration& configuration);
 
-  /// Group for a request that is proxied to plain back ends; null if none matches.
+  /// Group of a request to plain back ends; null if none matches.
   std::shared_ptr<const MatchedGroup> MatchPlain(std::string_view host,
                                                  std::string_view path) const;
-  /// Group for a completion by `model`; null if none matches.
+  /// Group of a completion by `model`; null if none matches.
   std::shared_ptr<const MatchedGroup> MatchModel(std::string_view host, std::string_view path,
                                                  const ModelName& model) const;
 
@@ -39,7 +39,8 @@
 
   bool filled_ = false;
   Revision revision_;
-  /// Longest path prefix first; of equal ones those with hosts, then by name.
+  /// Sorted by descending path prefix length; at equal length, groups with hosts first, then by
+  /// name.
   std::vector<std::shared_ptr<const MatchedGroup>> groups_;
 };
 
--- a/test/gateway/completion_flow_test.cc
+++ b/test/gateway/completion_flow_test.cc
@@ -1,4 +1,4 @@
-// Completions through a gateway: whole answers, resumes, cancels, deadlines.
+// Completions through a gateway: complete responses, resumes, cancellation, deadlines.
 #include <boost/json.hpp>
 #include <catch2/catch.hpp>
 
@@ -15,7 +15,7 @@
 
 std::string Text(const boost::json::value& value) { return std::string(value.as_string()); }
 
-/// What weights of `version` generate.
+/// Text that weights of `version` generate.
 std::string Expected(const std::string& prompt, uint32_t max_tokens, WeightVersion version) {
   std::string text;
   const uint32_t length = GenerationLength(prompt, max_tokens);
@@ -26,7 +26,7 @@
   return text;
 }
 
-/// A prompt whose generation is at least `tokens` long.
+/// Returns a prompt whose generation has at least `tokens` tokens.
 std::string LongPrompt(uint32_t max_tokens, uint32_t tokens) {
   for (int i = 0;; ++i) {
     const std::string prompt = "long prompt number " + std::to_string(i);
@@ -34,7 +34,7 @@
   }
 }
 
-TEST_CASE("a completion is answered whole, with the versions that produced it") {
+TEST_CASE("a completion is complete and names the weight versions that produced it") {
   GatewayFixture f;
   f.AddEngine("a");
   f.Begin();
@@ -55,7 +55,7 @@
   CHECK(stream->StreamDone());
 }
 
-TEST_CASE("a stream goes on at the token reached when its engine crashes") {
+TEST_CASE("a stream resumes after the last received token when its engine crashes") {
   GatewayFixture f;
   f.AddEngine("a");
   f.AddEngine("b");
@@ -70,12 +70,12 @@
   CHECK(call->finished);
   CHECK(call->StreamText() == Expected(prompt, 200, WeightVersion(1)));
   CHECK(f.context->counters.resumes == 1);
-  // The rest only: the other engine did not generate what was there already.
+  // The second engine generated only the remaining tokens.
   const std::string second = first == "a" ? "b" : "a";
   CHECK(f.engines[second]->counts().tokens < GenerationLength(prompt, 200));
 }
 
-TEST_CASE("an answer that broke off is never shown as complete") {
+TEST_CASE("a truncated response is never presented as complete") {
   const bool broken = GENERATE(false, true);
   GatewayFaults faults;
   faults.finish_truncated = broken;
@@ -90,11 +90,11 @@
   REQUIRE(f.Await(*call));
   const bool complete = call->StreamText() == Expected(prompt, 200, WeightVersion(1));
   CHECK_FALSE(complete);
-  // The broken variant is noticed by just this.
+  // This check detects the broken variant.
   CHECK((call->finished && !complete) == broken);
 }
 
-TEST_CASE("the engine's work is cancelled when the caller leaves") {
+TEST_CASE("the generation is cancelled when the caller disconnects") {
   GatewayFixture f;
   f.AddEngine("a");
   f.Begin();
@@ -108,7 +108,7 @@
   CHECK(f.context->counters.callers_disconnected == 1);
 }
 
-TEST_CASE("work that can't make its deadline is refused at once, as not run") {
+TEST_CASE("a request that can't meet its deadline is refused immediately as not run") {
   GatewayFixture f;
   f.AddEngine("a");
   f.Begin();
@@ -122,12 +122,12 @@
   CHECK(f.Arrivals("a") == 0);
 }
 
-TEST_CASE("a request whose deadline passes is answered at once, with what is known of it") {
+TEST_CASE("a request whose deadline passes gets its known outcome immediately") {
   GatewayFixture f;
   f.AddEngine("a");
   f.Begin();
   const std::string prompt = LongPrompt(100, 90);
-  // Expected to fit, but this one is longer than most.
+  // The estimate fits the deadline, but this generation is longer than the average.
   const auto call = f.Complete(prompt, 100, false, {{"Millstair-Deadline-Ms", "1000"}});
   const Duration sent = f.scheduler.Now();
   REQUIRE(f.Await(*call));
@@ -138,7 +138,7 @@
   CHECK(f.engines["a"]->Idle());
 }
 
-TEST_CASE("a draining engine gets no new work, and its running streams end whole") {
+TEST_CASE("a draining engine gets no new requests, and its running streams complete") {
   const bool broken = GENERATE(false, true);
   GatewayFaults faults;
   faults.work_to_leaving = broken;
@@ -163,7 +163,7 @@
   CHECK((f.Arrivals("a") > before) == broken);
 }
 
-TEST_CASE("a gateway without a lease sends nothing, unless the group allows it") {
+TEST_CASE("a gateway without a lease dispatches nothing unless the group allows it") {
   GatewayFaults faults;
   faults.ignore_lease = GENERATE(false, true);
   GatewayFixture f(faults);
@@ -186,7 +186,7 @@
   CHECK(isolated->status() == 200);
 }
 
-TEST_CASE("bad requests are told what is wrong with them") {
+TEST_CASE("the response to an invalid request names each invalid field") {
   GatewayFixture f;
   f.AddEngine("a");
   f.Begin();
@@ -202,7 +202,7 @@
   CHECK(unknown->status() == 404);
 }
 
-TEST_CASE("tokens of weights that were never published are not shown") {
+TEST_CASE("tokens of weights that were never published do not reach the caller") {
   GatewayFixture f;
   EngineModelOptions options;
   f.AddEngine("a", options);
@@ -213,7 +213,7 @@
   model.published.push_back({WeightVersion(2), WeightDigest("digest-2"), "w/2"});
   f.builder.mutable_configuration().models[model.model] = model;
   f.Begin();
-  // Engine a swaps on half of its shards only, without the gateway having heard of it.
+  // Engine a activates version 2 on half of its shards, unknown to the gateway.
   EngineOrder order{OrderKind::kStage,        Revision(1), model.model, WeightVersion(2),
                     WeightDigest("digest-2"), "w/2",       "",          ""};
   f.engines["a"]->ApplyOrder(order, [](const absl::Status&) {});
--- a/test/gateway/engine_observer_test.cc
+++ b/test/gateway/engine_observer_test.cc
@@ -1,4 +1,4 @@
-// Observation of engines and its sharing between gateways.
+// Polling of engines and sharing of the reports between gateways.
 #include "gateway/engine_observer.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Engines that answer with a settable report.
+/// Engines that return configurable reports and cache events.
 class FakeEngines : public EngineClient {
  public:
   std::unique_ptr<CallHandle> Generate(const std::string&, GenerateRequest,
@@ -57,7 +57,7 @@
 
 class Gateways;
 
-/// Delivers to the other gateways of a test, at once but not within the call.
+/// Delivers messages to the other gateways of a test after 1 ms.
 class LinkedTransport : public PeerTransport {
  public:
   LinkedTransport(Gateways& gateways, NodeId self) : gateways_(gateways), self_(std::move(self)) {}
@@ -149,7 +149,7 @@
   });
 }
 
-TEST_CASE("gateways of the zone learn from the observers, other zones by summary") {
+TEST_CASE("gateways of the zone get reports from the observers, other zones by summary") {
   Gateways g;
   for (const char* name : {"g1", "g2", "g3", "g4"}) g.Add(name, "z1");
   g.Add("h1", "z2");
@@ -162,7 +162,7 @@
     CHECK(g.Knows(name, "b"));
     CHECK(g.Knows(name, "far"));
   }
-  // Two observers poll four times a second each, whatever the number of gateways.
+  // Two observers poll four times per second each, regardless of the number of gateways.
   CHECK(g.engines.polls["a:1"] < 4 * 4 * 2 + 8);
   g.engines.reports["a:1"] = ReportWith(20);
   g.scheduler.RunFor(seconds(2));
@@ -188,7 +188,7 @@
   CHECK(g.Running(third, "a") == 9);
 }
 
-TEST_CASE("cache events are shared, and whoever missed some reads all blocks anew") {
+TEST_CASE("cache events are shared, and a gateway that missed some reads all blocks again") {
   Gateways g;
   for (const char* name : {"g1", "g2", "g3"}) g.Add(name, "z1");
   EngineReport report = ReportWith(4);
@@ -207,7 +207,7 @@
   };
   for (const char* name : {"g1", "g2", "g3"}) CHECK(held(name) == 2);
 
-  // The gateway that does not observe the engine hears nothing for a while.
+  // The gateway that does not observe the engine loses all messages for a while.
   const auto& observers = g.nodes["g1"]->router.observers().Observers(EngineName("a"));
   std::string third;
   for (const char* name : {"g1", "g2", "g3"}) {
@@ -231,7 +231,7 @@
   CHECK(g.engines.resyncs["a:1"] >= 1);
 }
 
-TEST_CASE("control nodes hear of changes at once and of what stays now and then") {
+TEST_CASE("changes are reported to the control nodes immediately, unchanged state periodically") {
   Gateways g;
   g.Add("g1", "z1");
   g.Start();
@@ -251,7 +251,7 @@
   CHECK_FALSE(g.nodes["g1"]->router.MayTakeWork(EngineName("a")));
 }
 
-TEST_CASE("a message that can't be read is counted and changes nothing") {
+TEST_CASE("a malformed message is counted and changes nothing") {
   Gateways g;
   g.Add("g1", "z1");
   g.Start();
@@ -270,7 +270,7 @@
   CHECK(g.nodes["g1"]->router.FindEngine(EngineName("nowhere")) == nullptr);
 }
 
-TEST_CASE("observations survive the wire") {
+TEST_CASE("observations survive encoding and decoding") {
   EngineObservationsMessage message;
   message.relay = true;
   ObservedEngineState state;
--- a/test/gateway/gateway_fixture.h
+++ b/test/gateway/gateway_fixture.h
@@ -1,5 +1,5 @@
-/// A gateway's live service on the simulated network, with models of the back ends and a cluster
-/// state machine in place of the control nodes.
+/// Runs a gateway's live service on the simulated network, with models of the back ends and a
+/// cluster state machine in place of the control nodes.
 #pragma once
 
 #include <map>
@@ -48,7 +48,7 @@
   ClusterStateMachine machine;
   Duration delay = std::chrono::milliseconds(2);
   bool reachable = true;
-  /// Commands are applied, but their answers are lost.
+  /// False: commands are applied, but their replies are lost.
   bool answers = true;
 
  private:
@@ -67,7 +67,7 @@
   std::vector<Sent> sent;
 };
 
-/// A caller's view of one exchange.
+/// Records one exchange as seen by the caller.
 class Call : public HttpCallObserver {
  public:
   void OnHead(const HttpResponseHead& response) override { head = response; }
@@ -81,7 +81,7 @@
     return head ? std::string(FindHeader(head->headers, name).value_or("")) : "";
   }
   std::string outcome() const { return Header(kOutcomeHeader); }
-  /// Text of all events of a stream put together.
+  /// Concatenated text of all events of a stream.
   std::string StreamText() const;
   bool StreamDone() const { return body.find("data: [DONE]\n\n") != std::string::npos; }
 
@@ -97,12 +97,12 @@
   explicit GatewayFixture(GatewayFaults faults = {});
   ~GatewayFixture();
 
-  /// A model engine of version 1 in zone z1; `name` is also its place.
+  /// Adds a model engine with weight version 1 on host `name` in zone z1, at address "`name`:1".
   EngineModel& AddEngine(const std::string& name, EngineModelOptions options = {});
   PlainServerModel& AddServer(const std::string& name, PlainServerOptions options = {});
   /// Changes the traffic group `name` ("live" or "pages").
   void ChangeGroup(const std::string& name, const std::function<void(TrafficGroupSpec&)>& change);
-  /// Puts the configuration in force and lets the observer look once.
+  /// Applies the configuration and runs the observer for one second.
   void Begin();
   void Configure() { configuration.Set(builder.Build()); }
 
@@ -113,9 +113,9 @@
   /// Runs until `call` has ended; false if it did not within a minute.
   bool Await(const Call& call);
   void Run(Duration span) { scheduler.RunFor(span); }
-  /// Executions that the servers counted for `key`.
+  /// Executions of requests with `key` over all servers.
   uint64_t Executions(const std::string& key) const;
-  /// Generations that arrived at engine `name`.
+  /// Number of generations that engine `name` received.
   int Arrivals(const std::string& name) const;
 
   VirtualScheduler scheduler{1};
--- a/test/gateway/plain_flow_test.cc
+++ b/test/gateway/plain_flow_test.cc
@@ -1,4 +1,4 @@
-// Requests to plain back ends: own answers, retries, the truth of "not run", once-only.
+// Requests to plain back ends: proxying, retries, reported outcomes, once-only execution.
 #include <boost/json.hpp>
 #include <catch2/catch.hpp>
 
@@ -29,7 +29,7 @@
   CHECK(Text(answer.at("request")) == "/gallery/7?size=2");
 }
 
-TEST_CASE("refusals and lost servers are retried elsewhere") {
+TEST_CASE("refused requests and unreachable servers are retried on another server") {
   GatewayFixture f;
   PlainServerOptions refusing;
   refusing.refusal = 1.0;
@@ -46,7 +46,7 @@
   }
 }
 
-TEST_CASE("with no server left, a request is answered as not run and told when to come back") {
+TEST_CASE("without a usable server, the response says not-run with Retry-After") {
   GatewayFixture f;
   PlainServerOptions refusing;
   refusing.refusal = 1.0;
@@ -60,7 +60,7 @@
   CHECK(f.servers["p"]->executions().empty());
 }
 
-TEST_CASE("what may have run is never called not run") {
+TEST_CASE("a request that may have run is never reported as not run") {
   GatewayFaults faults;
   faults.not_run_after_send = GENERATE(false, true);
   GatewayFixture f(faults);
@@ -76,7 +76,7 @@
   if (!faults.not_run_after_send) CHECK(call->outcome() == "unknown");
 }
 
-TEST_CASE("a cut answer is cut for the caller too") {
+TEST_CASE("a truncated response is also truncated for the caller") {
   GatewayFaults faults;
   faults.finish_truncated = GENERATE(false, true);
   GatewayFixture f(faults);
@@ -90,7 +90,7 @@
   CHECK(call->finished == faults.finish_truncated);
 }
 
-TEST_CASE("a non-repeatable request runs once, and a resend is told that it ran") {
+TEST_CASE("a non-repeatable request runs once, and a resend gets outcome ran") {
   GatewayFixture f;
   f.AddServer("p");
   f.Begin();
@@ -116,14 +116,13 @@
   CHECK(reused->status() == 422);
 }
 
-TEST_CASE("the same key at once runs once; without the claim it runs twice") {
+TEST_CASE("concurrent requests with one key run once; without the claim they run twice") {
   GatewayFaults faults;
   faults.skip_claim = GENERATE(false, true);
   GatewayFixture f(faults);
   f.AddServer("p");
   f.AddServer("q");
   f.Begin();
-  // Another gateway would not know of our keys, so the local table is no help.
   const auto first = f.Book("k1");
   f.Run(milliseconds(50));
   const auto second = f.Book("k1");
@@ -132,7 +131,7 @@
   CHECK((f.Executions("k1") == 2) == faults.skip_claim);
 }
 
-TEST_CASE("a booking whose answer is lost is not sent again; a resend is told unknown") {
+TEST_CASE("a booking whose response is lost is not retried; a resend gets outcome unknown") {
   GatewayFaults faults;
   faults.repeat_possibly_run = GENERATE(false, true);
   GatewayFixture f(faults);
@@ -161,7 +160,7 @@
   CHECK(f.Executions("k1") == 1);
 }
 
-TEST_CASE("a refused booking gives its key back") {
+TEST_CASE("a refused booking releases its key") {
   GatewayFixture f;
   PlainServerOptions refusing;
   refusing.refusal = 1.0;
@@ -179,7 +178,7 @@
   CHECK(f.Executions("k1") == 1);
 }
 
-TEST_CASE("without an answer from the control nodes a booking does not run") {
+TEST_CASE("a booking does not run without a reply from the control nodes") {
   GatewayFixture f;
   f.AddServer("p");
   f.Begin();
@@ -189,7 +188,7 @@
   CHECK(call->status() == 503);
   CHECK(call->outcome() == "not-run");
   CHECK(f.Executions("k1") == 0);
-  // The claim, committed unseen, is given back.
+  // The claim was committed although its reply was lost; it is released.
   f.control.answers = true;
   f.Run(seconds(1));
   const auto again = f.Book("k1");
@@ -197,7 +196,7 @@
   CHECK(again->status() == 200);
 }
 
-TEST_CASE("a server that says it drains gets nothing more, and comes back when ready") {
+TEST_CASE("a draining server gets no requests until it is ready again") {
   GatewayFixture f;
   f.AddServer("p");
   f.AddServer("q");
@@ -221,7 +220,7 @@
   CHECK(f.servers["p"]->executions().size() > 2);
 }
 
-TEST_CASE("a hedge answers in place of a slow server, for repeatable requests only") {
+TEST_CASE("a slow server is hedged for repeatable requests only") {
   GatewayFixture f;
   PlainServerOptions slow;
   slow.delay_min = seconds(3);
@@ -245,7 +244,7 @@
   }
 }
 
-TEST_CASE("a full queue refuses at once") {
+TEST_CASE("a full queue refuses immediately") {
   GatewayFixture f;
   PlainServerOptions slow;
   slow.delay_min = seconds(1);
@@ -275,7 +274,7 @@
   CHECK(answered == 3);
 }
 
-TEST_CASE("a drain lets running requests end and refuses new ones") {
+TEST_CASE("a drain lets running requests finish and refuses new ones") {
   GatewayFixture f;
   PlainServerOptions slow;
   slow.delay_min = seconds(1);
