--- a/source/http/beast_http_caller.cc
+++ b/source/http/beast_http_caller.cc
@@ -109,7 +109,7 @@
   void Pause() { paused_ = true; }
   void Resume() {
     paused_ = false;
-    if (std::exchange(acknowledgement_owed_, false)) Acknowledge();
+    if (std::exchange(acknowledgement_pending_, false)) Acknowledge();
   }
 
  private:
@@ -133,7 +133,7 @@
     if (parser.get().keep_alive() && buffer.size() == 0) {
       pool_->Put(address_, std::move(*socket_));
     }
-    Tell([](HttpCallObserver& observer) { observer.OnFinished(); });
+    NotifyObserver([](HttpCallObserver& observer) { observer.OnFinished(); });
   }
 
   /// Writes the request on a kept connection, or on a new one if not a byte went out there.
@@ -163,7 +163,7 @@
     }
     if (cancelled_) co_return false;
     socket_.emplace(pool_->io());
-    Watch(pool_->options().connect_timeout);
+    ArmWatchdog(pool_->options().connect_timeout);
     const auto [error] = co_await socket_->async_connect(*endpoint, kUseTuple);
     watchdog_.cancel();
     if (error || cancelled_ || !socket_->is_open()) {
@@ -179,7 +179,7 @@
 
   /// Bytes handed to the kernel; fewer than all mean that the connection broke.
   asio::awaitable<size_t> Write(const std::string& bytes) {
-    Watch(pool_->options().write_timeout);
+    ArmWatchdog(pool_->options().write_timeout);
     const auto [error, count] =
         co_await asio::async_write(*socket_, asio::buffer(bytes), kUseTuple);
     watchdog_.cancel();
@@ -187,7 +187,7 @@
   }
 
   asio::awaitable<bool> ReadHead(boost::beast::flat_buffer& buffer, ResponseParser& parser) {
-    Watch(pool_->options().read_timeout);
+    ArmWatchdog(pool_->options().read_timeout);
     const auto [error, count] =
         co_await http::async_read_header(*socket_, buffer, parser, kUseTuple);
     watchdog_.cancel();
@@ -205,17 +205,18 @@
       co_return false;
     }
     if (call_id_.empty()) {
-      Tell([head = HeadOf(parser)](HttpCallObserver& observer) { observer.OnHead(head); });
+      NotifyObserver(
+          [head = HeadOf(parser)](HttpCallObserver& observer) { observer.OnHead(head); });
       co_return true;
     }
-    const auto named =
+    const auto echoed_id =
         parser.get().find(boost::beast::string_view(kCallIdHeader.data(), kCallIdHeader.size()));
-    if (named != parser.get().end() && named->value() != call_id_) {
+    if (echoed_id != parser.get().end() && echoed_id->value() != call_id_) {
       pool_->stats().foreign_answers.Add();
       Fail(CallFailure::kUnknown, "the answer belongs to another call");
       co_return false;
     }
-    Tell([head = HeadOf(parser)](HttpCallObserver& observer) { observer.OnHead(head); });
+    NotifyObserver([head = HeadOf(parser)](HttpCallObserver& observer) { observer.OnHead(head); });
     co_return true;
   }
 
@@ -224,7 +225,7 @@
     while (!parser.is_done()) {
       parser.get().body().data = piece.data();
       parser.get().body().size = piece.size();
-      Watch(pool_->options().read_timeout);
+      ArmWatchdog(pool_->options().read_timeout);
       const auto [error, read] =
           co_await http::async_read_some(*socket_, buffer, parser, kUseTuple);
       watchdog_.cancel();
@@ -246,7 +247,7 @@
       if (self->observer_ == nullptr) return;
       self->observer_->OnBody(std::move(bytes));
       if (self->paused_) {
-        self->acknowledgement_owed_ = true;
+        self->acknowledgement_pending_ = true;
       } else {
         self->Acknowledge();
       }
@@ -257,7 +258,7 @@
     }
   }
 
-  void Watch(Duration timeout) {
+  void ArmWatchdog(Duration timeout) {
     watchdog_.expires_after(timeout);
     watchdog_.async_wait([weak = weak_from_this()](const boost::system::error_code& error) {
       const auto self = weak.lock();
@@ -277,7 +278,7 @@
     if (failure == CallFailure::kNotSent) stats.failed_not_sent.Add();
     if (failure == CallFailure::kUnknown) stats.failed_unknown.Add();
     if (failure == CallFailure::kCut) stats.failed_cut.Add();
-    Tell([failure, reason = std::move(reason)](HttpCallObserver& observer) {
+    NotifyObserver([failure, reason = std::move(reason)](HttpCallObserver& observer) {
       observer.OnFailed(failure, reason);
     });
   }
@@ -285,7 +286,7 @@
   // --- on the executor -----------------------------------------------------------------------
 
   template <class Event>
-  void Tell(Event event) {
+  void NotifyObserver(Event event) {
     executor_->Post([self = shared_from_this(), event = std::move(event)] {
       if (self->observer_ != nullptr) event(*self->observer_);
     });
@@ -313,7 +314,7 @@
   /// Of the executor; null once the handle was dropped.
   HttpCallObserver* observer_;
   bool paused_ = false;
-  bool acknowledgement_owed_ = false;
+  bool acknowledgement_pending_ = false;
 };
 
 class Handle : public CallHandle {
--- a/source/http/bounded_call.cc
+++ b/source/http/bounded_call.cc
@@ -5,16 +5,16 @@
 namespace millstair {
 
 BoundedCall::BoundedCall(Environment& environment, Duration limit, Callback done)
-    : environment_(environment), longest_(limit), done_(std::move(done)), limit_(environment) {}
+    : environment_(environment), timeout_(limit), done_(std::move(done)), timer_(environment) {}
 
 void BoundedCall::Start(HttpCaller& http, const std::string& address, HttpRequest request) {
-  limit_.Arm(longest_, [this] { End(0); });
+  timer_.Arm(timeout_, [this] { End(0); });
   handle_ = http.Start(address, std::move(request), *this);
 }
 
 void BoundedCall::End(int status) {
   if (!done_) return;
-  limit_.Cancel();
+  timer_.Cancel();
   handle_.reset();
   // The call may be dropped by its callback, and the caller's own frame may still be in use.
   environment_.Schedule(Duration(0), [done = std::exchange(done_, nullptr), status,
--- a/source/http/bounded_call.h
+++ b/source/http/bounded_call.h
@@ -31,9 +31,9 @@
   void End(int status);
 
   Environment& environment_;
-  const Duration longest_;
+  const Duration timeout_;
   Callback done_;
-  ScopedTimer limit_;
+  ScopedTimer timer_;
   std::unique_ptr<CallHandle> handle_;
   int status_ = 0;
   std::string body_;
--- a/source/http/connection_pool.cc
+++ b/source/http/connection_pool.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// True if the peer has neither closed the connection nor sent anything on it.
-bool IsQuiet(boost::asio::ip::tcp::socket& socket) {
+bool IsReusable(boost::asio::ip::tcp::socket& socket) {
   char byte = 0;
   const ssize_t count = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
@@ -53,7 +53,7 @@
   while (!connections.empty()) {
     Socket socket = std::move(connections.back().socket);
     connections.pop_back();
-    if (IsQuiet(socket)) {
+    if (IsReusable(socket)) {
       stats_.connections_reused.Add();
       return socket;
     }
--- a/source/http/exchange.h
+++ b/source/http/exchange.h
@@ -66,7 +66,7 @@
   virtual void Finish() = 0;
   /// Ends the answer so that the caller sees it was cut (connection reset, no last chunk).
   virtual void Abort() = 0;
-  /// Room left in the send buffer.
+  /// FreeBytes left in the send buffer.
   virtual size_t WritableBytes() const = 0;
   /// Called whenever room appears after there was none.
   virtual void OnWritable(std::function<void()> callback) = 0;
--- a/source/http/header_rules.cc
+++ b/source/http/header_rules.cc
@@ -27,7 +27,7 @@
 }
 
 /// True if the comma-separated `list` names `name`.
-bool ListNames(std::string_view list, std::string_view name) {
+bool ListContains(std::string_view list, std::string_view name) {
   while (!list.empty()) {
     const size_t comma = std::min(list.find(','), list.size());
     if (EqualsIgnoringCase(Trim(list.substr(0, comma)), name)) return true;
@@ -41,7 +41,7 @@
     if (EqualsIgnoringCase(hop, name)) return true;
   }
   return std::any_of(headers.begin(), headers.end(), [name](const HttpHeader& header) {
-    return EqualsIgnoringCase(header.name, "Connection") && ListNames(header.value, name);
+    return EqualsIgnoringCase(header.name, "Connection") && ListContains(header.value, name);
   });
 }
 
--- a/source/http/http_engine_client.cc
+++ b/source/http/http_engine_client.cc
@@ -18,7 +18,7 @@
   return {"POST", std::move(target), {{"Content-Type", "application/json"}}, std::move(body)};
 }
 
-bool SaysNotRun(const HttpResponseHead& head) {
+bool ReportsNotRun(const HttpResponseHead& head) {
   return FindHeader(head.headers, kOutcomeHeader) == OutcomeName(Outcome::kNotRun);
 }
 
@@ -60,7 +60,7 @@
     if (last_chunk_.has_value()) return observer_->OnChunk(*last_chunk_);
     if (head_.status == kOk) return Fail(CallFailure::kCut, "the stream ended early");
     const std::string reason = fmt::format("the engine answered {}", head_.status);
-    Fail(SaysNotRun(head_) ? CallFailure::kRefused : CallFailure::kUnknown, reason);
+    Fail(ReportsNotRun(head_) ? CallFailure::kRefused : CallFailure::kUnknown, reason);
   }
 
   void OnFailed(CallFailure failure, const std::string& reason) override {
--- a/source/http/http_server.cc
+++ b/source/http/http_server.cc
@@ -17,14 +17,14 @@
 
 using Tcp = boost::asio::ip::tcp;
 
-constexpr std::chrono::milliseconds kAcceptPause{100};
+constexpr std::chrono::milliseconds kAcceptRetryDelay{100};
 
 void AcceptNext(const std::shared_ptr<HttpServerContext>& context);
 
 /// Goes on after a failure such as a lack of descriptors, without taking a whole processor.
 void AcceptLater(const std::shared_ptr<HttpServerContext>& context) {
-  const auto timer =
-      std::make_shared<boost::asio::steady_timer>(context->acceptor->get_executor(), kAcceptPause);
+  const auto timer = std::make_shared<boost::asio::steady_timer>(context->acceptor->get_executor(),
+                                                                 kAcceptRetryDelay);
   timer->async_wait([context, timer](const boost::system::error_code&) { AcceptNext(context); });
 }
 
@@ -56,7 +56,7 @@
       &stats.NewCounter({"millstair_http_requests_total", "Requests taken by the HTTP front."});
   context.connections =
       &stats.NewCounter({"millstair_http_connections_total", "Connections accepted."});
-  context.callers_gone = &stats.NewCounter(
+  context.callers_disconnected = &stats.NewCounter(
       {"millstair_http_callers_gone_total", "Callers that left before their answer was whole."});
   context.open_connections =
       &stats.NewGauge({"millstair_http_open_connections", "Connections open now."});
@@ -99,7 +99,7 @@
 
 void HttpServer::BeginDrain() { context_->draining = true; }
 
-void HttpServer::SetTurnAway(bool turn_away) { context_->turns_away = turn_away; }
+void HttpServer::SetCloseAfterResponse(bool close) { context_->closes_after_response = close; }
 
 size_t HttpServer::running() const { return context_->running; }
 
--- a/source/http/http_server.h
+++ b/source/http/http_server.h
@@ -56,7 +56,7 @@
   /// are still served.
   void BeginDrain();
   /// While set each answer closes its connection too, so that callers who keep theirs go elsewhere.
-  void SetTurnAway(bool turn_away);
+  void SetCloseAfterResponse(bool close);
   /// Requests whose answer has not been sent to its end.
   size_t running() const;
   /// Closes the listener and all connections; running requests are cut.
--- a/source/http/response_channel.h
+++ b/source/http/response_channel.h
@@ -56,11 +56,11 @@
     wake_();
   }
 
-  /// Room for the writer; remembers that it was told of none.
-  size_t Room() {
+  /// FreeBytes for the writer; remembers that it was told of none.
+  size_t FreeBytes() {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (unsent_ < capacity_) return capacity_ - unsent_;
-    starved_ = true;
+    writer_waiting_ = true;
     return 0;
   }
 
@@ -76,9 +76,9 @@
   bool Sent(size_t count) {
     const std::lock_guard<std::mutex> lock(mutex_);
     unsent_ -= count;
-    const bool tell = starved_ && unsent_ < capacity_;
-    if (tell) starved_ = false;
-    return tell;
+    const bool notify = writer_waiting_ && unsent_ < capacity_;
+    if (notify) writer_waiting_ = false;
+    return notify;
   }
 
  private:
@@ -87,7 +87,7 @@
   std::mutex mutex_;
   ChannelContent content_;
   size_t unsent_ = 0;
-  bool starved_ = false;
+  bool writer_waiting_ = false;
 };
 
 }  // namespace millstair
--- a/source/http/response_writer.cc
+++ b/source/http/response_writer.cc
@@ -42,7 +42,7 @@
   const std::optional<std::string_view> length = FindHeader(head.headers, "Content-Length");
   if (framing_.head_request || HasNoBody(head.status)) {
     body_kind_ = BodyKind::kNone;
-  } else if (length.has_value() && ParseLength(*length, &missing_bytes_)) {
+  } else if (length.has_value() && ParseLength(*length, &remaining_bytes_)) {
     body_kind_ = BodyKind::kLength;
   } else if (framing_.http_1_1) {
     body_kind_ = BodyKind::kChunked;
@@ -76,8 +76,8 @@
     case BodyKind::kNone:
       return;
     case BodyKind::kLength:
-      if (bytes.size() > missing_bytes_) return Abort();
-      missing_bytes_ -= bytes.size();
+      if (bytes.size() > remaining_bytes_) return Abort();
+      remaining_bytes_ -= bytes.size();
       channel_->Append(bytes);
       return;
     case BodyKind::kChunked:
@@ -94,7 +94,7 @@
     if (state_ == State::kNew) Abort();
     return;
   }
-  if (body_kind_ == BodyKind::kLength && missing_bytes_ > 0) return Abort();
+  if (body_kind_ == BodyKind::kLength && remaining_bytes_ > 0) return Abort();
   if (body_kind_ == BodyKind::kChunked) channel_->Append(kLastChunk);
   channel_->Finish(framing_.keep_alive);
   Close();
@@ -110,7 +110,7 @@
   state_ = State::kDone;
   // The callbacks may own this writer: they go only after the members were cleared.
   const auto writable = std::exchange(on_writable_, nullptr);
-  const auto gone = std::exchange(on_gone_, nullptr);
+  const auto gone = std::exchange(on_disconnected_, nullptr);
 }
 
 void FramedResponseWriter::OnWritable(std::function<void()> callback) {
@@ -119,8 +119,8 @@
 
 void FramedResponseWriter::OnCallerDisconnected(std::function<void()> callback) {
   if (state_ == State::kDone) return;
-  on_gone_ = std::move(callback);
-  if (gone_) NotifyCallerGone();
+  on_disconnected_ = std::move(callback);
+  if (disconnected_) NotifyCallerDisconnected();
 }
 
 void FramedResponseWriter::NotifyWritable() {
@@ -129,11 +129,11 @@
   callback();
 }
 
-void FramedResponseWriter::NotifyCallerGone() {
+void FramedResponseWriter::NotifyCallerDisconnected() {
   if (state_ == State::kDone) return;
-  gone_ = true;
-  if (!on_gone_) return;
-  const std::function<void()> callback = std::exchange(on_gone_, nullptr);
+  disconnected_ = true;
+  if (!on_disconnected_) return;
+  const std::function<void()> callback = std::exchange(on_disconnected_, nullptr);
   callback();
 }
 
--- a/source/http/response_writer.h
+++ b/source/http/response_writer.h
@@ -33,13 +33,13 @@
   void SendBody(std::string bytes) override;
   void Finish() override;
   void Abort() override;
-  size_t WritableBytes() const override { return channel_->Room(); }
+  size_t WritableBytes() const override { return channel_->FreeBytes(); }
   void OnWritable(std::function<void()> callback) override;
   void OnCallerDisconnected(std::function<void()> callback) override;
 
   /// Called by the connection, on the executor.
   void NotifyWritable();
-  void NotifyCallerGone();
+  void NotifyCallerDisconnected();
 
  private:
   enum class BodyKind { kNone, kLength, kChunked, kUntilClose };
@@ -53,10 +53,10 @@
   ResponseFraming framing_;
   State state_ = State::kNew;
   BodyKind body_kind_ = BodyKind::kNone;
-  uint64_t missing_bytes_ = 0;
-  bool gone_ = false;
+  uint64_t remaining_bytes_ = 0;
+  bool disconnected_ = false;
   std::function<void()> on_writable_;
-  std::function<void()> on_gone_;
+  std::function<void()> on_disconnected_;
 };
 
 /// Reason phrase of a status, "Unknown" for none of the registered.
--- a/source/http/server_connection.cc
+++ b/source/http/server_connection.cc
@@ -52,8 +52,8 @@
       : context_(std::move(context)),
         strand_(asio::make_strand(socket.get_executor())),
         socket_(std::move(socket)),
-        news_(strand_),
-        room_(strand_),
+        serve_wake_timer_(strand_),
+        read_wake_timer_(strand_),
         watchdog_(strand_) {}
 
   ~ServerConnection() {
@@ -71,7 +71,7 @@
         strand_, [self = shared_from_this()] { return self->ServeAll(); }, asio::detached);
   }
 
-  void CloseSoon() {
+  void PostClose() {
     asio::post(strand_, [self = shared_from_this()] { self->Close(); });
   }
 
@@ -83,31 +83,31 @@
     std::array<char, kReadBytes> bytes;
     while (!closed_) {
       if (received_.size() >= ReadLimit()) {
-        room_.expires_at(SteadyTime::max());
-        co_await room_.async_wait(kUseTuple);
+        read_wake_timer_.expires_at(SteadyTime::max());
+        co_await read_wake_timer_.async_wait(kUseTuple);
         continue;
       }
       const auto [error, count] = co_await socket_.async_read_some(asio::buffer(bytes), kUseTuple);
       if (error) break;
       received_.append(bytes.data(), count);
-      news_.cancel();
+      serve_wake_timer_.cancel();
     }
     client_ended_ = true;
-    news_.cancel();
+    serve_wake_timer_.cancel();
   }
 
   size_t ReadLimit() const { return std::max(kReadAheadBytes, context_->options.max_header_bytes); }
 
   /// Waits for bytes, the client's end, or the writer. False if `deadline` passed first.
-  asio::awaitable<bool> WaitForNews(SteadyTime deadline) {
-    news_.expires_at(deadline);
-    const auto [error] = co_await news_.async_wait(kUseTuple);
+  asio::awaitable<bool> WaitForWake(SteadyTime deadline) {
+    serve_wake_timer_.expires_at(deadline);
+    const auto [error] = co_await serve_wake_timer_.async_wait(kUseTuple);
     co_return error == asio::error::operation_aborted;
   }
 
   void Consume(size_t count) {
     received_.erase(0, count);
-    room_.cancel();
+    read_wake_timer_.cancel();
   }
 
   // --- serving -------------------------------------------------------------------------------
@@ -162,7 +162,7 @@
         co_return std::nullopt;
       }
       if (client_ended_ || closed_) co_return std::nullopt;
-      if (!co_await WaitForNews(deadline)) {
+      if (!co_await WaitForWake(deadline)) {
         if (begun) co_await Refuse(408, "header-timeout");
         co_return std::nullopt;
       }
@@ -190,7 +190,7 @@
         co_return false;
       }
       if (client_ended_ || closed_) co_return false;
-      if (!co_await WaitForNews(deadline)) {
+      if (!co_await WaitForWake(deadline)) {
         co_await Refuse(408, "body-timeout");
         co_return false;
       }
@@ -227,12 +227,13 @@
     const auto channel = std::make_shared<ResponseChannel>(context_->options.send_buffer_bytes,
                                                            [weak = weak_from_this()] {
                                                              if (const auto self = weak.lock())
-                                                               self->NotifyNews();
+                                                               self->WakeServing();
                                                            });
     ResponseFraming framing;
     framing.head_request = request.method == "HEAD";
     framing.http_1_1 = parser.get().version() == 11;
-    framing.keep_alive = parser.get().keep_alive() && !context_->draining && !context_->turns_away;
+    framing.keep_alive =
+        parser.get().keep_alive() && !context_->draining && !context_->closes_after_response;
     framing.call_id = FindHeader(request.headers, kCallIdHeader).value_or("");
     request.headers = WithoutHeader(std::move(request.headers), kCallIdHeader);
     auto writer = std::make_shared<FramedResponseWriter>(channel, framing);
@@ -257,13 +258,13 @@
         co_return false;
       }
       if (closed_ || (client_ended_ && !content.finished)) {
-        ReportCallerGone(writer);
+        ReportCallerDisconnected(writer);
         co_return false;
       }
       if (!content.bytes.empty()) {
         const size_t count = content.bytes.size();
         if (!co_await Write(std::move(content.bytes))) {
-          ReportCallerGone(writer);
+          ReportCallerDisconnected(writer);
           co_return false;
         }
         if (channel.Sent(count)) {
@@ -274,23 +275,23 @@
         continue;
       }
       if (content.finished) co_return content.keep_alive;
-      co_await WaitForNews(SteadyTime::max());
+      co_await WaitForWake(SteadyTime::max());
     }
   }
 
-  void ReportCallerGone(const std::weak_ptr<FramedResponseWriter>& writer) {
-    context_->callers_gone->Add();
+  void ReportCallerDisconnected(const std::weak_ptr<FramedResponseWriter>& writer) {
+    context_->callers_disconnected->Add();
     context_->executor->Post([writer] {
-      if (const auto alive = writer.lock()) alive->NotifyCallerGone();
+      if (const auto alive = writer.lock()) alive->NotifyCallerDisconnected();
     });
   }
 
   /// Called by the writer, on its thread. Many wakes between two runs of the strand are one.
-  void NotifyNews() {
-    if (news_posted_.exchange(true)) return;
+  void WakeServing() {
+    if (wake_posted_.exchange(true)) return;
     asio::post(strand_, [self = shared_from_this()] {
-      self->news_posted_ = false;
-      self->news_.cancel();
+      self->wake_posted_ = false;
+      self->serve_wake_timer_.cancel();
     });
   }
 
@@ -318,7 +319,7 @@
     const SteadyTime deadline = std::chrono::steady_clock::now() + kLingerTime;
     while (!client_ended_ && !closed_) {
       Consume(received_.size());
-      if (!co_await WaitForNews(deadline)) break;
+      if (!co_await WaitForWake(deadline)) break;
     }
   }
 
@@ -350,8 +351,8 @@
     closed_ = true;
     boost::system::error_code ignored;
     socket_.close(ignored);
-    news_.cancel();
-    room_.cancel();
+    serve_wake_timer_.cancel();
+    read_wake_timer_.cancel();
     watchdog_.cancel();
   }
 
@@ -359,14 +360,14 @@
   asio::strand<asio::any_io_executor> strand_;
   Tcp::socket socket_;
   /// Cancelled to wake the serving coroutine.
-  asio::steady_timer news_;
+  asio::steady_timer serve_wake_timer_;
   /// Cancelled to wake the reading coroutine.
-  asio::steady_timer room_;
+  asio::steady_timer read_wake_timer_;
   asio::steady_timer watchdog_;
   std::string received_;
   bool client_ended_ = false;
   bool closed_ = false;
-  std::atomic<bool> news_posted_{false};
+  std::atomic<bool> wake_posted_{false};
 };
 
 void StartServerConnection(Tcp::socket socket, std::shared_ptr<HttpServerContext> context) {
@@ -391,7 +392,7 @@
       if (auto alive = connection->weak_from_this().lock()) open.push_back(std::move(alive));
     }
   }
-  for (const auto& connection : open) connection->CloseSoon();
+  for (const auto& connection : open) connection->PostClose();
 }
 
 std::string_view ReasonPhrase(int status) {
--- a/source/http/server_connection.h
+++ b/source/http/server_connection.h
@@ -27,10 +27,10 @@
   StatsRegistry* stats = nullptr;
   Counter* requests = nullptr;
   Counter* connections = nullptr;
-  Counter* callers_gone = nullptr;
+  Counter* callers_disconnected = nullptr;
   Gauge* open_connections = nullptr;
   std::atomic<bool> draining{false};
-  std::atomic<bool> turns_away{false};
+  std::atomic<bool> closes_after_response{false};
   std::atomic<size_t> running{0};
 
   std::unique_ptr<boost::asio::ip::tcp::acceptor> acceptor;
--- a/source/server/server_node.cc
+++ b/source/server/server_node.cc
@@ -151,7 +151,7 @@
   if (ingress_ != nullptr) {
     service_ = platform::MakeEdgeCalls(*ingress_);
     ingress_->OnCutOff([this](bool cut_off) {
-      if (service_http_ != nullptr) service_http_->SetTurnAway(cut_off);
+      if (service_http_ != nullptr) service_http_->SetCloseAfterResponse(cut_off);
     });
   }
   if (control_ != nullptr && ingress_ == nullptr) service_ = platform::MakeControlCalls(*control_);
--- a/test/http/http_server_test.cc
+++ b/test/http/http_server_test.cc
@@ -281,13 +281,13 @@
 TEST_CASE(
     "A server that turns callers away serves them, closes, and keeps connections again later") {
   Front front;
-  front.server->SetTurnAway(true);
+  front.server->SetCloseAfterResponse(true);
   RawClient client(front.address());
   client.Send(Get("/first"));
   const std::string answer = client.ReadAll();
   CHECK(answer.find("GET /first") != std::string::npos);
   CHECK(answer.find("Connection: close") != std::string::npos);
-  front.server->SetTurnAway(false);
+  front.server->SetCloseAfterResponse(false);
   RawClient next(front.address());
   next.Send(Get("/second") + Get("/third"));
   CHECK(next.ReadUntil("GET /third"));
