--- a/bench/demo/fleet_file.cc
+++ b/bench/demo/fleet_file.cc
@@ -77,7 +77,7 @@
   FleetFile fleet;
   const std::vector<YAML::Node> documents = LoadYamlDocuments(file, text, findings);
   if (documents.size() != 1) {
-    findings.Add(Place{file}, fmt::format("one document is due, not {}", documents.size()));
+    findings.Add(Location{file}, fmt::format("one document is due, not {}", documents.size()));
     return fleet;
   }
   YamlFields fields(file, documents.front(), "the fleet", findings);
--- a/bench/load/trace.cc
+++ b/bench/load/trace.cc
@@ -40,7 +40,7 @@
     return 0;
   }
 
-  void Fault(const std::string& message) { findings_.Add(Place{file_, line_, 0}, message); }
+  void Fault(const std::string& message) { findings_.Add(Location{file_, line_, 0}, message); }
 
  private:
   const std::string& file_;
@@ -80,7 +80,7 @@
   std::vector<TraceCall> calls;
   const std::vector<std::string> lines = absl::StrSplit(text, '\n');
   if (lines.front() != kHeading) {
-    findings.Add(Place{file, 1, 1}, fmt::format("the heading must be '{}'", kHeading));
+    findings.Add(Location{file, 1, 1}, fmt::format("the heading must be '{}'", kHeading));
     return calls;
   }
   for (size_t i = 1; i < lines.size(); ++i) {
--- a/source/common/findings.cc
+++ b/source/common/findings.cc
@@ -6,19 +6,19 @@
 
 namespace millstair {
 
-std::string Place::ToString() const {
+std::string Location::ToString() const {
   if (line == 0) return file;
   if (column == 0) return fmt::format("{}:{}", file, line);
   return fmt::format("{}:{}:{}", file, line, column);
 }
 
 std::string Finding::ToString() const {
-  const std::string where = place.ToString();
+  const std::string where = location.ToString();
   return where.empty() ? message : fmt::format("{}: {}", where, message);
 }
 
-void Findings::Add(Place place, std::string message) {
-  items_.push_back(Finding{std::move(place), std::move(message)});
+void Findings::Add(Location location, std::string message) {
+  items_.push_back(Finding{std::move(location), std::move(message)});
 }
 
 void Findings::Append(const Findings& other) {
--- a/source/common/findings.h
+++ b/source/common/findings.h
@@ -1,4 +1,4 @@
-/// Findings: faults in input, each with its place, collected and reported together.
+/// Findings: faults in input, each with its location, collected and reported together.
 #pragma once
 
 #include <string>
@@ -9,18 +9,18 @@
 namespace millstair {
 
 /// Where in the input a finding lies. Lines and columns count from 1; 0 is unknown.
-struct Place {
+struct Location {
   std::string file;
   int line = 0;
   int column = 0;
 
   /// "file:line:column", leaving out what is unknown.
   std::string ToString() const;
-  friend bool operator==(const Place&, const Place&) = default;
+  friend bool operator==(const Location&, const Location&) = default;
 };
 
 struct Finding {
-  Place place;
+  Location location;
   std::string message;
 
   /// "file:line:column: message".
@@ -30,7 +30,7 @@
 /// A list of findings. Empty means that the input is sound.
 class Findings {
  public:
-  void Add(Place place, std::string message);
+  void Add(Location location, std::string message);
   void Append(const Findings& other);
 
   bool empty() const { return items_.empty(); }
--- a/source/ctl/resource_files.cc
+++ b/source/ctl/resource_files.cc
@@ -28,8 +28,8 @@
       files.push_back(entry.path().string());
     }
   }
-  if (error) findings.Add(Place{path}, error.message());
-  if (files.empty()) findings.Add(Place{path}, "the folder holds no YAML or JSON file");
+  if (error) findings.Add(Location{path}, error.message());
+  if (files.empty()) findings.Add(Location{path}, "the folder holds no YAML or JSON file");
   std::sort(files.begin(), files.end());
   return files;
 }
@@ -39,11 +39,11 @@
   const uintmax_t size = fs::file_size(file, error);
   std::ifstream stream(file, std::ios::binary);
   if (error || !stream) {
-    findings.Add(Place{file}, "the file can't be read");
+    findings.Add(Location{file}, "the file can't be read");
     return;
   }
   if (size > kMaxFileBytes) {
-    findings.Add(Place{file}, "the file is larger than 16 MB");
+    findings.Add(Location{file}, "the file is larger than 16 MB");
     return;
   }
   const std::string text(std::istreambuf_iterator<char>(stream), {});
--- a/source/resources/resource_reader.cc
+++ b/source/resources/resource_reader.cc
@@ -182,7 +182,7 @@
 }
 
 void ReportDuplicates(const std::vector<ParsedResource>& resources, Findings& findings) {
-  std::map<ResourceKey, Place> first;
+  std::map<ResourceKey, Location> first;
   for (const ParsedResource& parsed : resources) {
     const auto [entry, added] = first.try_emplace(parsed.resource.key(), parsed.place);
     if (added) continue;
@@ -196,9 +196,10 @@
 void AppendInOrder(const Findings& found, Findings& findings) {
   std::vector<Finding> ordered = found.items();
   std::stable_sort(ordered.begin(), ordered.end(), [](const Finding& a, const Finding& b) {
-    return std::tie(a.place.line, a.place.column) < std::tie(b.place.line, b.place.column);
+    return std::tie(a.location.line, a.location.column) <
+           std::tie(b.location.line, b.location.column);
   });
-  for (Finding& finding : ordered) findings.Add(finding.place, std::move(finding.message));
+  for (Finding& finding : ordered) findings.Add(finding.location, std::move(finding.message));
 }
 
 }  // namespace
--- a/source/resources/resource_references.cc
+++ b/source/resources/resource_references.cc
@@ -93,7 +93,7 @@
 }  // namespace
 
 void CheckDuplicates(const std::vector<ParsedResource>& resources, Findings& findings) {
-  std::map<ResourceKey, Place> first;
+  std::map<ResourceKey, Location> first;
   for (const ParsedResource& parsed : resources) {
     const auto [entry, added] = first.try_emplace(parsed.resource.key(), parsed.place);
     if (added || entry->second.file == parsed.place.file) continue;
--- a/source/resources/yaml_documents.cc
+++ b/source/resources/yaml_documents.cc
@@ -47,9 +47,9 @@
     CheckProgress(text);
     return YAML::LoadAll(text);
   } catch (const YAML::Exception& error) {
-    const Place place = error.mark.is_null()
-                            ? Place{file, 0, 0}
-                            : Place{file, error.mark.line + 1, error.mark.column + 1};
+    const Location place = error.mark.is_null()
+                               ? Location{file, 0, 0}
+                               : Location{file, error.mark.line + 1, error.mark.column + 1};
     findings.Add(place, error.msg);
   }
   return {};
--- a/source/resources/yaml_fields.cc
+++ b/source/resources/yaml_fields.cc
@@ -10,10 +10,10 @@
 
 namespace millstair {
 
-Place PlaceOf(const std::string& file, const YAML::Node& node) {
+Location PlaceOf(const std::string& file, const YAML::Node& node) {
   const YAML::Mark mark = node.Mark();
-  if (mark.is_null()) return Place{file, 0, 0};
-  return Place{file, mark.line + 1, mark.column + 1};
+  if (mark.is_null()) return Location{file, 0, 0};
+  return Location{file, mark.line + 1, mark.column + 1};
 }
 
 YamlFields::YamlFields(std::string file, const YAML::Node& node, std::string what,
--- a/source/resources/yaml_fields.h
+++ b/source/resources/yaml_fields.h
@@ -17,7 +17,7 @@
 namespace millstair {
 
 /// Place of `node` in `file`.
-Place PlaceOf(const std::string& file, const YAML::Node& node);
+Location PlaceOf(const std::string& file, const YAML::Node& node);
 
 /// Whether a key must be there.
 enum class Presence { kOptional, kRequired };
--- a/source/rollout/trainer_requests.cc
+++ b/source/rollout/trainer_requests.cc
@@ -44,7 +44,7 @@
   return value;
 }
 
-Place At(std::string where) { return Place{std::move(where), 0, 0}; }
+Location At(std::string where) { return Location{std::move(where), 0, 0}; }
 
 /// The body as an object; null, with a finding, if it is none.
 const boost::json::object* ParseObject(const std::string& body, boost::json::value& storage,
--- a/source/settings/raw_settings.cc
+++ b/source/settings/raw_settings.cc
@@ -35,7 +35,7 @@
   }
 
  private:
-  Place PlaceOf(const YAML::Node& node) const {
+  Location PlaceOf(const YAML::Node& node) const {
     const YAML::Mark mark = node.Mark();
     return {file_, mark.line + 1, mark.column + 1};
   }
@@ -120,7 +120,7 @@
 };
 
 /// "c1/127.0.0.1:7000/zone-a" of a flag.
-RawSetting::Node NodeOfFlag(absl::string_view text, const Place& place, Findings& findings) {
+RawSetting::Node NodeOfFlag(absl::string_view text, const Location& place, Findings& findings) {
   const std::vector<std::string> parts = absl::StrSplit(text, '/');
   RawSetting::Node node;
   node.place = place;
@@ -155,7 +155,7 @@
 
 void ApplyOverrides(const SettingOverrides& overrides, RawSettings& raw, Findings& findings) {
   for (const auto& [key, value] : overrides) {
-    const Place place{"--" + FlagName(key), 0, 0};
+    const Location place{"--" + FlagName(key), 0, 0};
     const SettingKey* schema = FindSettingKey(key);
     if (schema == nullptr) {
       findings.Add(place, fmt::format("unknown key \"{}\"", key));
--- a/source/settings/raw_settings.h
+++ b/source/settings/raw_settings.h
@@ -12,16 +12,16 @@
 
 struct RawText {
   std::string text;
-  Place place;
+  Location place;
 };
 
 /// One of `text`, `list` and `nodes` is filled, by the kind of the key.
 struct RawSetting {
-  Place place;
+  Location place;
   RawText text;
   std::vector<RawText> list;
   struct Node {
-    Place place;
+    Location place;
     RawText node;
     RawText address;
     RawText zone;
--- a/source/settings/settings.cc
+++ b/source/settings/settings.cc
@@ -239,9 +239,9 @@
 
   // --- what has to fit together --------------------------------------------------------------
 
-  Place PlaceOf(const std::string& key) const {
+  Location PlaceOf(const std::string& key) const {
     const auto found = raw_.find(key);
-    return found == raw_.end() ? Place{file_, 0, 0} : found->second.place;
+    return found == raw_.end() ? Location{file_, 0, 0} : found->second.place;
   }
 
   void CheckTogether() {
--- a/test/bench/demo_test.cc
+++ b/test/bench/demo_test.cc
@@ -50,8 +50,8 @@
                  "engines: []\nplain_servers: []\ntraffic: [{kind: dance, path: /p}]\n",
                  findings);
   REQUIRE(findings.items().size() == 2);
-  REQUIRE(findings.items()[0].place.line == 4);
-  REQUIRE(findings.items()[1].place.line == 8);
+  REQUIRE(findings.items()[0].location.line == 4);
+  REQUIRE(findings.items()[1].location.line == 8);
 }
 
 TEST_CASE("metrics are found by their whole name") {
--- a/test/common/findings_test.cc
+++ b/test/common/findings_test.cc
@@ -8,8 +8,8 @@
 TEST_CASE("findings are reported together with their places") {
   Findings findings;
   REQUIRE(findings.ToStatus().ok());
-  findings.Add(Place{"a.yaml", 3, 7}, "unknown key 'zon'");
-  findings.Add(Place{"a.yaml", 9, 0}, "duplicate name");
+  findings.Add(Location{"a.yaml", 3, 7}, "unknown key 'zon'");
+  findings.Add(Location{"a.yaml", 9, 0}, "duplicate name");
   const absl::Status status = findings.ToStatus();
   REQUIRE(absl::IsInvalidArgument(status));
   REQUIRE(status.message() == "a.yaml:3:7: unknown key 'zon'\na.yaml:9: duplicate name\n");
