--- a/source/common/event_log.cc
+++ b/source/common/event_log.cc
@@ -48,7 +48,7 @@
   return written > 0;
 }
 
-/// Decides which lines are written. The budget refills with time; its last part is kept for
+/// Decides which lines are written. The budget refills with time; its last part is reserved for
 /// warnings and errors, so that a flood of successes never hides a failure.
 class LineBudget {
  public:
@@ -57,18 +57,18 @@
   bool Take(EventLevel level, SteadyTime now) {
     const double seconds = std::chrono::duration<double>(now - refilled_).count();
     refilled_ = now;
-    lines_ = std::min(kMostLines, lines_ + seconds * kLinesPerSecond);
-    const double kept = level >= EventLevel::kWarning ? 0 : kKeptForFailures;
-    if (lines_ - kept < 1) return false;
+    lines_ = std::min(kMaxLines, lines_ + seconds * kLinesPerSecond);
+    const double reserved = level >= EventLevel::kWarning ? 0 : kReservedForFailures;
+    if (lines_ - reserved < 1) return false;
     lines_ -= 1;
     return true;
   }
 
  private:
   static constexpr double kLinesPerSecond = 400;
-  static constexpr double kMostLines = 2000;
-  static constexpr double kKeptForFailures = 500;
-  double lines_ = kMostLines;
+  static constexpr double kMaxLines = 2000;
+  static constexpr double kReservedForFailures = 500;
+  double lines_ = kMaxLines;
   SteadyTime refilled_ = std::chrono::steady_clock::now();
 };
 
--- a/source/common/virtual_environment.cc
+++ b/source/common/virtual_environment.cc
@@ -41,11 +41,11 @@
   }
   std::sort(owned.begin(), owned.end());
   for (const uint64_t sequence : owned) Cancel(TimerId(sequence));
-  held_.erase(owner);
+  deferred_.erase(owner);
 }
 
-void VirtualScheduler::Release(const VirtualEnvironment* owner) {
-  const auto held = held_.extract(owner);
+void VirtualScheduler::ReleaseDeferred(const VirtualEnvironment* owner) {
+  const auto held = deferred_.extract(owner);
   if (held.empty()) return;
   for (const uint64_t sequence : held.mapped()) {
     heap_.push_back({now_, next_sequence_++, sequence});
@@ -77,7 +77,7 @@
   now_ = due.time;
   const VirtualEnvironment* const owner = pending_.at(due.sequence).owner;
   if (owner != nullptr && owner->suspended()) {
-    held_[owner].push_back(due.sequence);
+    deferred_[owner].push_back(due.sequence);
     return true;
   }
   auto node = pending_.extract(due.sequence);
@@ -143,7 +143,7 @@
 
 void VirtualEnvironment::Wake() {
   suspended_ = false;
-  scheduler_.Release(this);
+  scheduler_.ReleaseDeferred(this);
 }
 
 void VirtualEnvironment::SetRate(double rate) {
--- a/source/common/virtual_environment.h
+++ b/source/common/virtual_environment.h
@@ -76,7 +76,7 @@
                       std::function<void()> callback);
   void DropAllOf(const VirtualEnvironment* owner);
   /// Events of `owner` that came due while it was suspended are due now.
-  void Release(const VirtualEnvironment* owner);
+  void ReleaseDeferred(const VirtualEnvironment* owner);
   /// Removes cancelled entries from the top; false if nothing is left.
   bool SkipCancelled();
 
@@ -86,7 +86,7 @@
   uint64_t events_run_ = 0;
   std::vector<Due> heap_;
   /// Events that came due while their owner was suspended, in order.
-  absl::flat_hash_map<const VirtualEnvironment*, std::vector<uint64_t>> held_;
+  absl::flat_hash_map<const VirtualEnvironment*, std::vector<uint64_t>> deferred_;
   absl::flat_hash_map<uint64_t, Pending> pending_;
 };
 
--- a/source/engine/engine_codec.cc
+++ b/source/engine/engine_codec.cc
@@ -17,7 +17,7 @@
   return array;
 }
 
-/// The decoded message, or what was wrong with it.
+/// The decoded message, or message_name was wrong with it.
 template <class Message>
 absl::StatusOr<Message> Result(const JsonReader& reader, Message message) {
   if (absl::Status status = reader.status(); !status.ok()) return status;
--- a/source/engine/engine_types.h
+++ b/source/engine/engine_types.h
@@ -80,7 +80,7 @@
   kChangeRole = 6,
 };
 
-/// Orders carry a fence: the engine refuses one that is smaller than the largest it has seen.
+/// Orders carry a fence: the engine refuses one that is smaller than the max it has seen.
 /// The fence is the cluster revision that made the order wanted, so it needs no other agreement.
 struct EngineOrder {
   OrderKind kind = OrderKind::kStage;
--- a/source/engine/json_reader.cc
+++ b/source/engine/json_reader.cc
@@ -32,7 +32,8 @@
 
 std::string HashToHex(uint64_t hash) { return fmt::format("{:016x}", hash); }
 
-JsonReader::JsonReader(std::string_view what, std::string_view json) : what_(what) {
+JsonReader::JsonReader(std::string_view message_name, std::string_view json)
+    : message_name_(message_name) {
   boost::json::parse_options options;
   options.max_depth = kMaxDepth;
   boost::system::error_code error;
@@ -52,7 +53,7 @@
 
 absl::Status JsonReader::status() const {
   if (faults_.empty()) return absl::OkStatus();
-  return absl::InvalidArgumentError(fmt::format("{}: {}", what_, faults_));
+  return absl::InvalidArgumentError(fmt::format("{}: {}", message_name_, faults_));
 }
 
 const boost::json::value* JsonReader::Member(std::string_view name) {
@@ -121,12 +122,12 @@
   if (object_ != nullptr && object_->contains(name)) Read(name, field);
 }
 
-void JsonReader::ReadNumber(std::string_view name, uint64_t largest, uint64_t& field) {
+void JsonReader::ReadNumber(std::string_view name, uint64_t max, uint64_t& field) {
   const boost::json::value* member = Member(name);
   if (member == nullptr) return;
   uint64_t number = 0;
-  if (!UnsignedFromJson(*member, number) || number > largest) {
-    return Fail(name, fmt::format("must be an integer from 0 to {}", largest));
+  if (!UnsignedFromJson(*member, number) || number > max) {
+    return Fail(name, fmt::format("must be an integer from 0 to {}", max));
   }
   field = number;
 }
--- a/source/engine/json_reader.h
+++ b/source/engine/json_reader.h
@@ -1,4 +1,4 @@
-/// Reads members of a JSON object into typed fields and collects what is wrong with them.
+/// Reads members of a JSON object into typed fields and collects message_name is wrong with them.
 #pragma once
 
 #include <cstdint>
@@ -25,8 +25,8 @@
 /// Members are required unless the method says "Optional". A faulty one leaves its field alone.
 class JsonReader {
  public:
-  /// Parses `json`, which must be an object. `what` begins each message.
-  JsonReader(std::string_view what, std::string_view json);
+  /// Parses `json`, which must be an object. `message_name` begins each message.
+  JsonReader(std::string_view message_name, std::string_view json);
 
   void Read(std::string_view name, std::string& field);
   void Read(std::string_view name, bool& field);
@@ -83,10 +83,10 @@
 
  private:
   const boost::json::value* Member(std::string_view name);
-  void ReadNumber(std::string_view name, uint64_t largest, uint64_t& field);
+  void ReadNumber(std::string_view name, uint64_t max, uint64_t& field);
   void ReadNumbers(std::string_view name, std::vector<uint64_t>& field);
 
-  std::string what_;
+  std::string message_name_;
   boost::json::value parsed_;
   const boost::json::object* object_ = nullptr;
   std::string faults_;
--- a/source/engine/prefix_blocks.cc
+++ b/source/engine/prefix_blocks.cc
@@ -11,13 +11,13 @@
 }
 
 bool PrefixHasher::Add(std::string_view token) {
-  open_block_.append(token);
-  open_block_.push_back(' ');
+  partial_block_.append(token);
+  partial_block_.push_back(' ');
   ++tokens_;
   if (tokens_ % kPrefixBlockTokens != 0) return false;
   const BlockHash previous = blocks_.empty() ? 0 : blocks_.back();
-  blocks_.push_back(XXH3_64bits_withSeed(open_block_.data(), open_block_.size(), previous));
-  open_block_.clear();
+  blocks_.push_back(XXH3_64bits_withSeed(partial_block_.data(), partial_block_.size(), previous));
+  partial_block_.clear();
   return true;
 }
 
--- a/source/engine/prefix_blocks.h
+++ b/source/engine/prefix_blocks.h
@@ -47,7 +47,7 @@
  private:
   std::vector<BlockHash> blocks_;
   /// Words of the open block, each followed by a space.
-  std::string open_block_;
+  std::string partial_block_;
   uint32_t tokens_ = 0;
 };
 
--- a/source/transport/frame_compression.cc
+++ b/source/transport/frame_compression.cc
@@ -8,14 +8,14 @@
 namespace {
 
 /// Smaller writes are sent as they are: heartbeats and acknowledgements, which gain some ten bytes.
-constexpr size_t kLeastBytes = 256;
+constexpr size_t kMinBytes = 256;
 /// The fastest of the library's usual levels: the texts' letters gain from their uneven use alone,
 /// which each level finds.
 constexpr int kLevel = 1;
 /// Window of 64 KiB: bounds the working memory of both sides; most writes are smaller.
 constexpr int kWindowLog = 16;
 /// Compressed frames have to be smaller by this part at least.
-constexpr size_t kLeastSavedPart = 16;
+constexpr size_t kMinSavedDivisor = 16;
 
 }  // namespace
 
@@ -31,7 +31,7 @@
 }
 
 std::optional<std::string> FrameCompression::Compress(std::string_view frames) {
-  if (frames.size() < kLeastBytes) return std::nullopt;
+  if (frames.size() < kMinBytes) return std::nullopt;
   if (compressor_ == nullptr) {
     compressor_.reset(ZSTD_createCCtx());
     ZSTD_CCtx_setParameter(compressor_.get(), ZSTD_c_compressionLevel, kLevel);
@@ -40,7 +40,7 @@
   std::string payload(ZSTD_compressBound(frames.size()), '\0');
   const size_t size = ZSTD_compress2(compressor_.get(), payload.data(), payload.size(),
                                      frames.data(), frames.size());
-  if (ZSTD_isError(size) != 0 || size + frames.size() / kLeastSavedPart >= frames.size()) {
+  if (ZSTD_isError(size) != 0 || size + frames.size() / kMinSavedDivisor >= frames.size()) {
     return std::nullopt;
   }
   payload.resize(size);
--- a/source/transport/peer_hub.cc
+++ b/source/transport/peer_hub.cc
@@ -31,9 +31,9 @@
 /// Connections beyond these are closed at once.
 constexpr size_t kMaxConnections = 8192;
 /// Wait after a failed accept (out of descriptors).
-constexpr std::chrono::milliseconds kAcceptPause{100};
+constexpr std::chrono::milliseconds kAcceptRetryDelay{100};
 /// A peer that is down is tried several times a second; one line in this long tells as much.
-constexpr std::chrono::seconds kDropTold{10};
+constexpr std::chrono::seconds kDropLogInterval{10};
 
 /// Finds out soon when the peer's machine has gone silently.
 void SetSocketOptions(PeerHub::Tcp::socket& socket, Duration timeout) {
@@ -126,19 +126,19 @@
 void PeerHub::Enqueue(const NodeId& to, std::string frame) {
   if (stopped_) return;
   Peer& peer = PeerOf(to);
-  if (!peer.connection && peer.address.empty()) return NoteDropped(to, peer, "unknown-node", 1);
+  if (!peer.connection && peer.address.empty()) return RecordDropped(to, peer, "unknown-node", 1);
   if (peer.queue.size() >= options_.max_queue_messages ||
       peer.queue_bytes + frame.size() > options_.max_queue_bytes) {
-    return NoteDropped(to, peer, "queue-full", 1);
+    return RecordDropped(to, peer, "queue-full", 1);
   }
   if (queued_bytes_ + frame.size() > options_.max_queued_bytes) {
-    return NoteDropped(to, peer, "queues-full", 1);
+    return RecordDropped(to, peer, "queues-full", 1);
   }
   queued_bytes_ += frame.size();
   peer.queue_bytes += frame.size();
   peer.queue.push_back(std::move(frame));
   if (peer.connection) {
-    peer.connection->news.cancel();
+    peer.connection->write_wake_timer.cancel();
   } else if (!peer.dialling) {
     peer.dialling = true;
     asio::co_spawn(
@@ -146,19 +146,20 @@
   }
 }
 
-void PeerHub::NoteDropped(const NodeId& node, Peer& peer, const std::string& reason, size_t count) {
+void PeerHub::RecordDropped(const NodeId& node, Peer& peer, const std::string& reason,
+                            size_t count) {
   stats_.CountDropped(reason, count);
   peer.dropped += count;
   const SteadyTime now = std::chrono::steady_clock::now();
-  if (peer.drop_told && now - *peer.drop_told < kDropTold) return;
+  if (peer.drop_logged_at && now - *peer.drop_logged_at < kDropLogInterval) return;
   LogEvent(EventId::kPeerMessagesDropped, "node={} address={} reason={} count={}", node,
            peer.address, reason, peer.dropped);
-  peer.drop_told = now;
+  peer.drop_logged_at = now;
   peer.dropped = 0;
 }
 
 void PeerHub::DropQueue(const NodeId& node, Peer& peer, const std::string& reason) {
-  if (!peer.queue.empty()) NoteDropped(node, peer, reason, peer.queue.size());
+  if (!peer.queue.empty()) RecordDropped(node, peer, reason, peer.queue.size());
   peer.queue.clear();
   queued_bytes_ -= peer.queue_bytes;
   peer.queue_bytes = 0;
@@ -183,7 +184,7 @@
     auto [error, socket] = co_await acceptor_.async_accept(kUseTuple);
     if (error || connections_.size() >= kMaxConnections) {
       if (stopped_ || !acceptor_.is_open()) co_return;
-      pause.expires_after(kAcceptPause);
+      pause.expires_after(kAcceptRetryDelay);
       co_await pause.async_wait(kUseTuple);
       continue;
     }
@@ -197,8 +198,8 @@
 asio::awaitable<void> PeerHub::ServeAccepted(ConnectionPointer connection) {
   const auto self = shared_from_this();
   SetSocketOptions(connection->socket, options_.write_timeout);
-  const bool greeted = co_await ReadHello(connection) && co_await SendHello(connection);
-  if (!greeted || stopped_) {
+  const bool hello_accepted = co_await ReadHello(connection) && co_await SendHello(connection);
+  if (!hello_accepted || stopped_) {
     Forget(connection);
     co_return;
   }
@@ -228,7 +229,7 @@
 }
 
 Duration PeerHub::NextBackoff(Peer& peer) {
-  const Duration full = std::clamp(peer.backoff * 2, options_.first_backoff, options_.last_backoff);
+  const Duration full = std::clamp(peer.backoff * 2, options_.min_backoff, options_.max_backoff);
   return DrawDuration(random_, full / 2, full);
 }
 
@@ -332,7 +333,7 @@
   if (!older) return;
   if (!Crossed(*connection, *older)) return older->Close();
   older->retiring = older->dialled;
-  older->news.cancel();
+  older->write_wake_timer.cancel();
 }
 
 void PeerHub::Retire(const ConnectionPointer& connection) {
@@ -417,8 +418,8 @@
   while (!connection->closed && peer.connection == connection) {
     const std::string batch = TakeBatch(peer);
     if (batch.empty()) {
-      connection->news.expires_at(SteadyTime::max());
-      co_await connection->news.async_wait(kUseTuple);
+      connection->write_wake_timer.expires_at(SteadyTime::max());
+      co_await connection->write_wake_timer.async_wait(kUseTuple);
       continue;
     }
     const auto compressed =
--- a/source/transport/peer_hub.h
+++ b/source/transport/peer_hub.h
@@ -30,7 +30,7 @@
       : socket(std::move(connected)),
         dialled(dialled_by_us),
         reader(kMaxHelloBytes),
-        news(socket.get_executor()),
+        write_wake_timer(socket.get_executor()),
         delivered_timer(socket.get_executor()),
         watchdog(socket.get_executor()) {}
 
@@ -38,7 +38,7 @@
     closed = true;
     boost::system::error_code ignored;
     socket.close(ignored);
-    news.cancel();
+    write_wake_timer.cancel();
     delivered_timer.cancel();
     watchdog.cancel();
   }
@@ -51,7 +51,7 @@
   bool takes_compressed = false;
   FrameReader reader;
   /// Cancelled to wake the writing coroutine.
-  boost::asio::steady_timer news;
+  boost::asio::steady_timer write_wake_timer;
   /// Cancelled once the executor has taken the frames read.
   boost::asio::steady_timer delivered_timer;
   boost::asio::steady_timer watchdog;
@@ -98,14 +98,14 @@
     boost::asio::steady_timer backoff_timer;
     /// Messages dropped since the last line about it, and when that was.
     size_t dropped = 0;
-    std::optional<SteadyTime> drop_told;
+    std::optional<SteadyTime> drop_logged_at;
   };
 
   Peer& PeerOf(const NodeId& node);
   void Enqueue(const NodeId& to, std::string frame);
   void DropQueue(const NodeId& node, Peer& peer, const std::string& reason);
   /// Counts messages that were not sent, and logs it once in a while for each peer.
-  void NoteDropped(const NodeId& node, Peer& peer, const std::string& reason, size_t count);
+  void RecordDropped(const NodeId& node, Peer& peer, const std::string& reason, size_t count);
   /// Bytes of the first messages in the queue, joined; empty if there are none.
   std::string TakeBatch(Peer& peer);
   /// Adds the frames of a compressed one; false if it is damaged or holds other than messages.
--- a/source/transport/tcp_peer_transport.h
+++ b/source/transport/tcp_peer_transport.h
@@ -39,8 +39,8 @@
   /// Without progress of a write for this long the connection is given up.
   Duration write_timeout = std::chrono::seconds(5);
   /// Wait before the next try to connect: doubles from the first to the last, with jitter.
-  Duration first_backoff = std::chrono::milliseconds(50);
-  Duration last_backoff = std::chrono::seconds(2);
+  Duration min_backoff = std::chrono::milliseconds(50);
+  Duration max_backoff = std::chrono::seconds(2);
 };
 
 class PeerHub;
