--- a/test/http/http_caller_test.cc
+++ b/test/http/http_caller_test.cc
@@ -15,7 +15,7 @@
 using testing::RecordingObserver;
 using testing::Tcp;
 
-constexpr const char* kWhole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+constexpr const char* kComplete = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 /// A caller with its runtime; calls are started on the executor and waited for.
 struct Client {
@@ -53,7 +53,7 @@
   std::atomic<int> connections{0};
   RawServer server([&](Tcp::socket& socket, int) {
     ++connections;
-    ServeAll(socket, kWhole);
+    ServeAll(socket, kComplete);
   });
   Client client;
   for (int i = 0; i < 3; ++i) {
@@ -72,7 +72,7 @@
   RawServer server([&](Tcp::socket& socket, int) {
     ++connections;
     // The second answer belongs to nobody: it must reach no later call.
-    ServeAll(socket, std::string(kWhole) + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
+    ServeAll(socket, std::string(kComplete) + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
   });
   Client client;
   for (int i = 0; i < 3; ++i) {
@@ -87,9 +87,9 @@
 TEST_CASE("A kept connection that got a late answer or was closed is dropped before its use") {
   std::promise<void> spoilt;
   RawServer server([&](Tcp::socket& socket, int number) {
-    if (number > 0) return ServeAll(socket, kWhole);
+    if (number > 0) return ServeAll(socket, kComplete);
     RawServer::ReadRequest(socket);
-    RawServer::Write(socket, kWhole);
+    RawServer::Write(socket, kComplete);
     std::this_thread::sleep_for(milliseconds(50));
     RawServer::Write(socket, "HTTP/1.1 500 Late\r\nContent-Length: 0\r\n\r\n");
     socket.close();
--- a/test/http/http_server_test.cc
+++ b/test/http/http_server_test.cc
@@ -34,7 +34,7 @@
       return writer->Finish();
     }
     if (request.target == "/wait") {
-      writer->OnCallerDisconnected([this] { gone.set_value(); });
+      writer->OnCallerDisconnected([this] { disconnected.set_value(); });
       waiting = std::move(writer);
       waits.set_value();
       return;
@@ -67,15 +67,15 @@
   std::atomic<size_t> large_sent{0};
   std::shared_ptr<ResponseWriter> waiting;
   std::promise<void> waits;
-  std::promise<void> gone;
+  std::promise<void> disconnected;
 };
 
 /// A server with its runtime, and its stats.
-struct Front {
-  explicit Front(HttpServerOptions options = {}) {
+struct ServerFixture {
+  explicit ServerFixture(HttpServerOptions options = {}) {
     server = *HttpServer::Listen(runtime, executor, "127.0.0.1:0", handler, options, &stats);
   }
-  ~Front() {
+  ~ServerFixture() {
     executor->PostAndWait([this] {
       server.reset();
       handler.waiting.reset();
@@ -103,8 +103,8 @@
 }
 
 TEST_CASE("A connection serves several requests, pipelined ones one after another") {
-  Front front;
-  RawClient client(front.address());
+  ServerFixture server_fixture;
+  RawClient client(server_fixture.address());
   REQUIRE(client.Send(Get("/one")));
   REQUIRE(client.ReadUntil("GET /one"));
   REQUIRE(client.Send(Get("/two") +
@@ -115,20 +115,20 @@
   const size_t three = client.received().find("POST /three body");
   CHECK(two < three);
   CHECK(three < client.received().find("GET /four"));
-  CHECK(front.Stat("millstair_http_connections_total") == 1);
+  CHECK(server_fixture.Stat("millstair_http_connections_total") == 1);
 }
 
 TEST_CASE("Streams are chunked, and a cut or short answer is seen as cut") {
-  Front front;
+  ServerFixture server_fixture;
   {
-    RawClient client(front.address());
+    RawClient client(server_fixture.address());
     client.Send(Get("/stream"));
     REQUIRE(client.ReadUntil("\r\n0\r\n\r\n"));
     CHECK(client.received().find("Transfer-Encoding: chunked") != std::string::npos);
     CHECK(client.received().find("4\r\none \r\n") != std::string::npos);
   }
   for (const std::string target : {"/cut", "/short"}) {
-    RawClient client(front.address());
+    RawClient client(server_fixture.address());
     client.Send(Get(target));
     client.ReadAll();
     INFO(target);
@@ -138,8 +138,8 @@
 }
 
 TEST_CASE("Chunked requests are decoded and hop-by-hop headers don't reach the handler") {
-  Front front;
-  RawClient client(front.address());
+  ServerFixture server_fixture;
+  RawClient client(server_fixture.address());
   client.Send(
       "POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nConnection: keep-alive, "
       "X-Hop\r\n"
@@ -185,20 +185,20 @@
       {"bad-chunk", 400, start + "Transfer-Encoding: chunked\r\n\r\n-3\r\nabc\r\n0\r\n\r\n"},
       {"bad-chunk", 400, start + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n"},
   };
-  Front front;
+  ServerFixture server_fixture;
   for (const RefusedCase& refused : cases) {
     INFO(refused.bytes);
-    const double before = front.Stat("millstair_http_refused_total", refused.reason);
-    RawClient client(front.address());
+    const double before = server_fixture.Stat("millstair_http_refused_total", refused.reason);
+    RawClient client(server_fixture.address());
     REQUIRE(client.Send(refused.bytes));
     const std::string answer = client.ReadAll();
     CHECK(answer.substr(0, 13) == "HTTP/1.1 " + std::to_string(refused.status) + " ");
     CHECK(answer.find("application/problem+json") != std::string::npos);
     CHECK(answer.find("Millstair-Outcome: not-run") != std::string::npos);
     CHECK(answer.find("Connection: close") != std::string::npos);
-    CHECK(front.Stat("millstair_http_refused_total", refused.reason) == before + 1);
+    CHECK(server_fixture.Stat("millstair_http_refused_total", refused.reason) == before + 1);
   }
-  CHECK(front.handler.requests == 0);
+  CHECK(server_fixture.handler.requests == 0);
 }
 
 TEST_CASE("Limits of head, body and time are kept") {
@@ -208,9 +208,9 @@
   options.header_timeout = milliseconds(50);
   options.body_timeout = milliseconds(50);
   options.idle_timeout = milliseconds(50);
-  Front front(options);
+  ServerFixture server_fixture(options);
   const auto answer_to = [&](const std::string& bytes) {
-    RawClient client(front.address());
+    RawClient client(server_fixture.address());
     client.Send(bytes);
     return client.ReadAll().substr(0, 12);
   };
@@ -223,33 +223,34 @@
   CHECK(answer_to("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nhalf") ==
         "HTTP/1.1 408");
   CHECK(answer_to("").empty());
-  CHECK(front.handler.requests == 0);
+  CHECK(server_fixture.handler.requests == 0);
 }
 
 TEST_CASE("A caller that goes away is reported to the handler") {
-  Front front;
-  RawClient client(front.address());
+  ServerFixture server_fixture;
+  RawClient client(server_fixture.address());
   client.Send(Get("/wait"));
-  front.handler.waits.get_future().wait();
+  server_fixture.handler.waits.get_future().wait();
   client.Close();
-  const auto gone = front.handler.gone.get_future().wait_for(std::chrono::seconds(10));
-  CHECK(gone == std::future_status::ready);
-  CHECK(front.Stat("millstair_http_callers_gone_total") == 1);
+  const auto disconnected =
+      server_fixture.handler.disconnected.get_future().wait_for(std::chrono::seconds(10));
+  CHECK(disconnected == std::future_status::ready);
+  CHECK(server_fixture.Stat("millstair_http_callers_gone_total") == 1);
 }
 
 TEST_CASE("A slow reader holds the handler back; the whole answer arrives") {
   HttpServerOptions options;
   options.send_buffer_bytes = 64 * 1024;
-  Front front(options);
-  RawClient client(front.address());
+  ServerFixture server_fixture(options);
+  RawClient client(server_fixture.address());
   client.Send(Get("/large"));
   REQUIRE(client.ReadUntil("\r\n\r\n"));
   // Nothing is read now: the handler stops once kernel buffers and the send buffer are full.
   size_t before = 0;
   do {
-    before = front.handler.large_sent;
+    before = server_fixture.handler.large_sent;
     std::this_thread::sleep_for(milliseconds(100));
-  } while (front.handler.large_sent != before);
+  } while (server_fixture.handler.large_sent != before);
   CHECK(before < EchoHandler::kLargeBytes);
   size_t total = 0;
   std::string tail;
@@ -261,41 +262,41 @@
     tail.erase(0, tail.size() - std::min<size_t>(tail.size(), 16));
   }
   CHECK(total >= EchoHandler::kLargeBytes);
-  CHECK(front.handler.large_sent == EchoHandler::kLargeBytes);
+  CHECK(server_fixture.handler.large_sent == EchoHandler::kLargeBytes);
 }
 
 TEST_CASE("HEAD answers have no body, HTTP/1.0 closes, draining closes after the answer") {
-  Front front;
-  RawClient client(front.address());
+  ServerFixture server_fixture;
+  RawClient client(server_fixture.address());
   client.Send("HEAD /h HTTP/1.1\r\nHost: a\r\n\r\n" + Get("/next"));
   REQUIRE(client.ReadUntil("GET /next"));
   CHECK(client.received().find("HEAD /h ") == std::string::npos);
-  RawClient old(front.address());
+  RawClient old(server_fixture.address());
   old.Send("GET /stream HTTP/1.0\r\n\r\n");
   CHECK(old.ReadAll().ends_with("\r\n\r\none two"));
-  front.server->BeginDrain();
+  server_fixture.server->BeginDrain();
   client.Send(Get("/last"));
   CHECK(client.ReadAll().find("Connection: close") != std::string::npos);
 }
 
 TEST_CASE(
     "A server that turns callers away serves them, closes, and keeps connections again later") {
-  Front front;
-  front.server->SetCloseAfterResponse(true);
-  RawClient client(front.address());
+  ServerFixture server_fixture;
+  server_fixture.server->SetCloseAfterResponse(true);
+  RawClient client(server_fixture.address());
   client.Send(Get("/first"));
   const std::string answer = client.ReadAll();
   CHECK(answer.find("GET /first") != std::string::npos);
   CHECK(answer.find("Connection: close") != std::string::npos);
-  front.server->SetCloseAfterResponse(false);
-  RawClient next(front.address());
+  server_fixture.server->SetCloseAfterResponse(false);
+  RawClient next(server_fixture.address());
   next.Send(Get("/second") + Get("/third"));
   CHECK(next.ReadUntil("GET /third"));
 }
 
 TEST_CASE("The name of a call is sent back, and is not the handler's business") {
-  Front front;
-  RawClient client(front.address());
+  ServerFixture server_fixture;
+  RawClient client(server_fixture.address());
   client.Send("GET /n HTTP/1.1\r\nHost: a\r\nMillstair-Call-Id: 7-1\r\n\r\n");
   REQUIRE(client.ReadUntil("GET /n"));
   CHECK(client.received().find("Millstair-Call-Id: 7-1\r\n") != std::string::npos);
@@ -303,8 +304,8 @@
 }
 
 TEST_CASE("An awaited 100 Continue is sent") {
-  Front front;
-  RawClient client(front.address());
+  ServerFixture server_fixture;
+  RawClient client(server_fixture.address());
   client.Send("PUT /e HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
   REQUIRE(client.ReadUntil("HTTP/1.1 100 Continue\r\n\r\n"));
   client.Send("ok");
@@ -315,46 +316,48 @@
   HttpServerOptions options;
   options.header_timeout = milliseconds(20);
   options.body_timeout = milliseconds(20);
-  Front front(options);
+  ServerFixture server_fixture(options);
   std::mt19937_64 random(20261202);
-  const std::string sound =
+  const std::string valid =
       "POST /f HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nX-A: b\r\n\r\n"
       "3\r\nabc\r\n0\r\n\r\n";
   for (int round = 0; round < 300; ++round) {
-    std::string bytes = sound;
+    std::string bytes = valid;
     const size_t changes = 1 + random() % 4;
     for (size_t change = 0; change < changes; ++change) {
-      const size_t place = random() % bytes.size();
+      const size_t position = random() % bytes.size();
       switch (random() % 3) {
         case 0:
-          bytes[place] = static_cast<char>(random() % 256);
+          bytes[position] = static_cast<char>(random() % 256);
           break;
         case 1:
-          bytes.erase(place, 1 + random() % 5);
+          bytes.erase(position, 1 + random() % 5);
           break;
         default:
-          bytes.insert(place, 1, "\r\n:;0 "[random() % 6]);
+          bytes.insert(position, 1, "\r\n:;0 "[random() % 6]);
       }
       if (bytes.empty()) bytes = "x";
     }
-    RawClient client(front.address());
+    RawClient client(server_fixture.address());
     client.Send(bytes);
     client.socket().shutdown(testing::Tcp::socket::shutdown_send);
     client.ReadAll();
   }
-  RawClient client(front.address());
+  RawClient client(server_fixture.address());
   client.Send(Get("/alive"));
   CHECK(client.ReadUntil("GET /alive"));
 }
 
 TEST_CASE("Addresses that can't be used are told apart") {
-  Front front;
+  ServerFixture server_fixture;
   EchoHandler handler;
   const auto listen = [&](const std::string& address) {
-    return HttpServer::Listen(front.runtime, front.executor, address, handler).status().code();
+    return HttpServer::Listen(server_fixture.runtime, server_fixture.executor, address, handler)
+        .status()
+        .code();
   };
   CHECK(listen("localhost:1") == absl::StatusCode::kInvalidArgument);
-  CHECK(listen(front.address()) == absl::StatusCode::kUnavailable);
+  CHECK(listen(server_fixture.address()) == absl::StatusCode::kUnavailable);
 }
 
 }  // namespace
--- a/test/transport/tcp_peer_transport_test.cc
+++ b/test/transport/tcp_peer_transport_test.cc
@@ -272,12 +272,12 @@
   Runtime runtime({.workers = 4});
   Node a(runtime, "a");
   std::mt19937_64 random(20261203);
-  std::string sound = HelloFrame("fuzz");
+  std::string valid = HelloFrame("fuzz");
   for (int i = 0; i < 5; ++i) {
-    sound += EncodeFrame(static_cast<uint8_t>(MessageKind::kHeartbeat), std::string(20, 'p'));
+    valid += EncodeFrame(static_cast<uint8_t>(MessageKind::kHeartbeat), std::string(20, 'p'));
   }
   for (int round = 0; round < 300; ++round) {
-    std::string bytes = sound;
+    std::string bytes = valid;
     for (uint64_t change = 1 + random() % 6; change > 0; --change) {
       bytes[random() % bytes.size()] = static_cast<char>(random() % 256);
     }
