--- a/source/http/beast_http_caller.cc
+++ b/source/http/beast_http_caller.cc
@@ -35,7 +35,7 @@
 
 constexpr auto kUseTuple = asio::as_tuple(asio::use_awaitable);
 
-/// The request as it goes over the wire; empty if it holds characters that don't belong there.
+/// The serialized request; empty if it holds characters that HTTP does not allow.
 std::string FormatRequest(const std::string& address, const HttpRequest& request,
                           const std::string& call_id) {
   if (!IsToken(request.method) || !IsRequestTarget(request.target)) return "";
@@ -67,7 +67,7 @@
   return head;
 }
 
-/// Unlike any other call's of this process, and most likely of any process.
+/// Unique in this process, and across processes with high probability.
 std::string NewCallId() {
   static const uint64_t process =
       (static_cast<uint64_t>(std::random_device()()) << 32) | std::random_device()();
@@ -75,7 +75,7 @@
   return fmt::format("{:x}-{:x}", process, ++count);
 }
 
-/// One call. The coroutine runs on `strand_`; what is marked so belongs to the serial executor.
+/// One call. The coroutine runs on `strand_`; members marked so are used on the serial executor.
 class Call : public std::enable_shared_from_this<Call> {
  public:
   Call(std::shared_ptr<HttpConnectionPool> pool, std::shared_ptr<SerialExecutor> executor,
@@ -95,7 +95,7 @@
         strand_, [self = shared_from_this()] { return self->Run(); }, asio::detached);
   }
 
-  /// On the executor: the observer hears no more.
+  /// Called on the executor. The observer gets no further callbacks.
   void Cancel() {
     observer_ = nullptr;
     asio::post(strand_, [self = shared_from_this()] {
@@ -105,7 +105,7 @@
     });
   }
 
-  /// On the executor.
+  /// Called on the executor.
   void Pause() { paused_ = true; }
   void Resume() {
     paused_ = false;
@@ -136,7 +136,7 @@
     NotifyObserver([](HttpCallObserver& observer) { observer.OnFinished(); });
   }
 
-  /// Writes the request on a kept connection, or on a new one if not a byte went out there.
+  /// Writes the request on a pooled connection, or on a new one if no byte could be written there.
   asio::awaitable<bool> SendRequest(const std::string& bytes) {
     socket_ = pool_->Take(address_);
     if (socket_.has_value() && !cancelled_) {
@@ -177,7 +177,7 @@
     co_return true;
   }
 
-  /// Bytes handed to the kernel; fewer than all mean that the connection broke.
+  /// Returns the number of bytes written; fewer than all mean that the connection failed.
   asio::awaitable<size_t> Write(const std::string& bytes) {
     ArmWatchdog(pool_->options().write_timeout);
     const auto [error, count] =
@@ -192,16 +192,17 @@
         co_await http::async_read_header(*socket_, buffer, parser, kUseTuple);
     watchdog_.cancel();
     if (error) {
-      Fail(CallFailure::kUnknown, fmt::format("no answer from {}: {}", address_, error.message()));
+      Fail(CallFailure::kUnknown,
+           fmt::format("no response from {}: {}", address_, error.message()));
       co_return false;
     }
     if (!parser.is_done() && parser.need_eof() && !pool_->options().until_close) {
-      Fail(CallFailure::kCut, "the answer has no length");
+      Fail(CallFailure::kCut, "the response has no length");
       co_return false;
     }
     if (parser.get().result_int() < 200) {
-      // An interim answer that was not asked for; the final one can't be told apart for sure.
-      Fail(CallFailure::kUnknown, "unexpected interim answer");
+      // A 1xx response that was not requested; the final response can't be identified reliably.
+      Fail(CallFailure::kUnknown, "unexpected interim response");
       co_return false;
     }
     if (call_id_.empty()) {
@@ -213,7 +214,7 @@
         parser.get().find(boost::beast::string_view(kCallIdHeader.data(), kCallIdHeader.size()));
     if (echoed_id != parser.get().end() && echoed_id->value() != call_id_) {
       pool_->stats().foreign_answers.Add();
-      Fail(CallFailure::kUnknown, "the answer belongs to another call");
+      Fail(CallFailure::kUnknown, "the response belongs to another call");
       co_return false;
     }
     NotifyObserver([head = HeadOf(parser)](HttpCallObserver& observer) { observer.OnHead(head); });
@@ -233,14 +234,14 @@
       if (count > 0) co_await Deliver(std::string(piece.data(), count));
       if (cancelled_) co_return false;
       if (error && error != http::error::need_buffer) {
-        Fail(CallFailure::kCut, fmt::format("the answer broke off: {}", error.message()));
+        Fail(CallFailure::kCut, fmt::format("the response was truncated: {}", error.message()));
         co_return false;
       }
     }
     co_return true;
   }
 
-  /// Hands a piece to the observer and waits until it wants more.
+  /// Passes `bytes` to the observer and waits until it accepts more.
   asio::awaitable<void> Deliver(std::string bytes) {
     delivered_ = false;
     executor_->Post([self = shared_from_this(), bytes = std::move(bytes)]() mutable {
@@ -311,7 +312,7 @@
   bool cancelled_ = false;
   bool delivered_ = false;
 
-  /// Of the executor; null once the handle was dropped.
+  /// Used on the executor; null once the handle was dropped.
   HttpCallObserver* observer_;
   bool paused_ = false;
   bool acknowledgement_pending_ = false;
--- a/source/http/beast_http_caller.h
+++ b/source/http/beast_http_caller.h
@@ -1,12 +1,12 @@
-/// HttpCaller on Boost.Beast: pooled keep-alive connections towards back ends.
+/// HttpCaller on Boost.Beast with pooled keep-alive connections to back ends.
 ///
-/// Each call runs on an I/O strand of its own; observers and handles live on the serial executor.
-/// A connection goes back to the pool only after its answer was read to the end and nothing
-/// followed it, and is looked at again before its next use, so that a late or unread answer never
-/// reaches another call. Each request names its call (`Millstair-Call-Id`), and an answer that
-/// names another one is refused; back ends that don't send the name back are trusted to answer each
-/// request once. An answer that ends by the close of the connection counts as cut, since
-/// it can't be told from a whole one.
+/// Each call runs on its own I/O strand; observers and handles live on the serial executor. A
+/// connection returns to the pool only after its response was read to the end with no bytes after
+/// it, and is checked again before reuse, so that a late or unread response never reaches another
+/// call. Each request carries a call id (`Millstair-Call-Id`), and a response with a different id
+/// is rejected; back ends that do not echo the id are trusted to respond once per request. Unless
+/// `until_close` is set, a response delimited by the close of its connection counts as truncated,
+/// since it can't be distinguished from a complete one.
 #pragma once
 
 #include <cstddef>
@@ -22,26 +22,27 @@
 
 struct HttpCallerOptions {
   Duration connect_timeout = std::chrono::seconds(2);
-  /// Without progress of the write for this long the call fails.
+  /// Maximum time to write the request.
   Duration write_timeout = std::chrono::seconds(30);
-  /// Without a byte of the answer for this long the call fails. Pauses of the observer don't count.
+  /// Maximum time for the response head, and for each read of the body. Pauses by the observer
+  /// don't count.
   Duration read_timeout = std::chrono::seconds(120);
-  /// An unused connection is closed after this long.
+  /// Idle connections are closed after this time.
   Duration pool_idle_timeout = std::chrono::seconds(20);
   size_t max_idle_per_address = 64;
   size_t max_header_bytes = 64 * 1024;
-  /// Most bytes of an answer that are read at once.
+  /// Maximum bytes of a response that are read at once.
   size_t read_bytes = 16 * 1024;
-  /// Each request names its call; off towards back ends with names of their own.
+  /// Sends a call id with each request; off for back ends that use the header themselves.
   bool call_ids = true;
-  /// An answer without a length is whole if its connection is closed in order; else it counts as
-  /// cut.
+  /// Accepts a response without a length as complete if its connection is closed without an error;
+  /// if false, such a response counts as truncated.
   bool until_close = false;
 };
 
 class HttpConnectionPool;
 
-/// Made and used on the serial executor.
+/// Created and used on the serial executor.
 class BeastHttpCaller : public HttpCaller {
  public:
   /// `stats` outlives the runtime, and may be null.
--- a/source/http/bounded_call.cc
+++ b/source/http/bounded_call.cc
@@ -16,7 +16,7 @@
   if (!done_) return;
   timer_.Cancel();
   handle_.reset();
-  // The call may be dropped by its callback, and the caller's own frame may still be in use.
+  // Deferred, since the callback may destroy this object while its methods are on the stack.
   environment_.Schedule(Duration(0), [done = std::exchange(done_, nullptr), status,
                                       body = std::move(body_)] { done(status, body); });
 }
--- a/source/http/bounded_call.h
+++ b/source/http/bounded_call.h
@@ -1,4 +1,4 @@
-/// One small exchange with another server that is given up after a time.
+/// One small HTTP exchange with a timeout.
 #pragma once
 
 #include <functional>
@@ -11,13 +11,13 @@
 
 namespace millstair {
 
-/// Lives on the node's serial executor. Dropping it cancels the exchange.
+/// Lives on the node's serial executor. Destroying it cancels the exchange.
 class BoundedCall : public HttpCallObserver {
  public:
-  /// Status 0 means that no whole answer came.
+  /// Status 0 means that no complete response was received.
   using Callback = std::function<void(int status, const std::string& body)>;
 
-  /// `done` is called once, never by the constructor, and may destroy the call.
+  /// `done` is called once, asynchronously, and may destroy the call.
   BoundedCall(Environment& environment, Duration limit, Callback done);
 
   void Start(HttpCaller& http, const std::string& address, HttpRequest request);
--- a/source/http/connection_pool.h
+++ b/source/http/connection_pool.h
@@ -1,4 +1,4 @@
-/// Keep-alive connections towards back ends, by address. Internal to http/.
+/// Pool of keep-alive connections to back ends, by address. Internal to http/.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,9 +23,9 @@
   Counter& calls;
   Counter& connections_opened;
   Counter& connections_reused;
-  /// Idle connections that the back end had closed or sent bytes on.
+  /// Idle connections that the back end closed or sent bytes on.
   Counter& connections_stale;
-  /// Answers that named another call.
+  /// Responses with the id of another call.
   Counter& foreign_answers;
   Counter& failed_not_sent;
   Counter& failed_unknown;
@@ -39,11 +39,11 @@
 
   HttpConnectionPool(boost::asio::io_context& io, HttpCallerOptions options, StatsRegistry* stats);
 
-  /// The connection used last among those that are still sound; none if there is no such.
+  /// The most recently used connection that is still healthy, if any.
   std::optional<Socket> Take(const std::string& address);
-  /// Gives back a connection whose last answer was read to its end.
+  /// Returns a connection whose last response was read to its end.
   void Put(const std::string& address, Socket socket);
-  /// Closes all and takes none any more.
+  /// Closes all connections and accepts no more.
   void Close();
 
   const HttpCallerOptions& options() const { return options_; }
--- a/source/http/exchange.h
+++ b/source/http/exchange.h
@@ -1,5 +1,5 @@
-/// HTTP exchanges as decision code sees them, free of any HTTP library's types. The Beast front
-/// and the simulator both drive these interfaces. Header-only; other modules include just this.
+/// HTTP exchanges as seen by decision code, without types of an HTTP library. Both the Beast server
+/// and the simulator implement these interfaces. Header-only; other modules include just this.
 #pragma once
 
 #include <functional>
@@ -19,7 +19,7 @@
 
 using HttpHeaders = std::vector<HttpHeader>;
 
-/// First value of header `name`, compared without case; none if absent.
+/// First value of header `name`, compared case-insensitively; none if absent.
 inline std::optional<std::string_view> FindHeader(const HttpHeaders& headers,
                                                   std::string_view name) {
   const auto lower = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; };
@@ -32,7 +32,7 @@
   return std::nullopt;
 }
 
-/// A whole request; bodies are bounded by settings, so they are held in memory.
+/// A complete request; the size of bodies is limited by settings, so they are held in memory.
 struct HttpRequest {
   std::string method;
   /// Path and query, as received.
@@ -41,7 +41,7 @@
   std::string body;
 };
 
-/// A status of 200 to 299.
+/// True for 200 to 299.
 constexpr bool IsSuccess(int status) {
   constexpr int kFirstSuccess = 200;
   constexpr int kFirstRedirect = 300;
@@ -53,35 +53,35 @@
   HttpHeaders headers;
 };
 
-/// The answer side of one request. Owned jointly by the front and the handler; all calls and
+/// Writes the response to one request. Shared by the server and the handler; all calls and
 /// callbacks happen on the node's serial executor.
 class ResponseWriter {
  public:
   virtual ~ResponseWriter() = default;
-  /// Sends status line and headers; once, first.
+  /// Sends status line and headers. Called once, before any other Send or Finish.
   virtual void SendHead(HttpResponseHead head) = 0;
-  /// Queues body bytes. The handler stops at `WritableBytes() == 0` until `OnWritable` calls.
+  /// Queues body bytes. At `WritableBytes() == 0` the handler waits for the `OnWritable` callback.
   virtual void SendBody(std::string bytes) = 0;
-  /// Ends the body regularly.
+  /// Ends the response as complete.
   virtual void Finish() = 0;
-  /// Ends the answer so that the caller sees it was cut (connection reset, no last chunk).
+  /// Ends the response so that the caller detects the truncation (connection reset, no last chunk).
   virtual void Abort() = 0;
-  /// FreeBytes left in the send buffer.
+  /// Free space in the send buffer.
   virtual size_t WritableBytes() const = 0;
-  /// Called whenever room appears after there was none.
+  /// `callback` is called whenever the send buffer has free space again after it was full.
   virtual void OnWritable(std::function<void()> callback) = 0;
-  /// Called once when the caller has gone before the answer was finished.
+  /// `callback` is called once if the caller disconnects before the response is finished.
   virtual void OnCallerDisconnected(std::function<void()> callback) = 0;
 };
 
-/// Takes requests from the front.
+/// Handles the requests of a server.
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
   virtual void Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) = 0;
 };
 
-/// Sends a whole answer at once.
+/// Sends a complete response.
 inline void Respond(ResponseWriter& writer, HttpResponseHead head, std::string body) {
   head.headers.push_back({"Content-Length", std::to_string(body.size())});
   writer.SendHead(std::move(head));
@@ -89,16 +89,16 @@
   writer.Finish();
 }
 
-/// How far a call towards a back end came before it failed.
+/// How far a call to a back end progressed before it failed.
 enum class CallFailure {
   kNotSent,  ///< no byte of the request was written: it did not run
-  kRefused,  ///< the back end said that it did not start executing (503 with Millstair-Outcome:
-             ///< not-run, or a draining answer): it did not run
-  kUnknown,  ///< bytes were written and no answer came: it may have run
-  kCut,      ///< the answer began and broke off: it ran, at least in part
+  kRefused,  ///< the back end reported that it did not start executing (503 with
+             ///< Millstair-Outcome: not-run, or a draining response): it did not run
+  kUnknown,  ///< bytes were written and no response was received: it may have run
+  kCut,      ///< the response began and was truncated: it ran, at least in part
 };
 
-/// Receives the answer of one plain HTTP call.
+/// Receives the response of one plain HTTP call.
 class HttpCallObserver {
  public:
   virtual ~HttpCallObserver() = default;
@@ -108,12 +108,13 @@
   virtual void OnFailed(CallFailure failure, const std::string& reason) = 0;
 };
 
-/// A call under way. Dropping the handle cancels the call; the observer then hears no more.
+/// A call in progress. Destroying the handle cancels the call; the observer then gets no further
+/// callbacks.
 class CallHandle {
  public:
   virtual ~CallHandle() = default;
-  /// Back-pressure: after a pause the caller stops reading from the back end, so that at most what
-  /// was read already still reaches the observer. No effect where answers are small.
+  /// Backpressure: stops reading from the back end; bytes that were read before still reach the
+  /// observer. No effect in implementations whose responses are small.
   virtual void PauseReading() {}
   virtual void ResumeReading() {}
 };
--- a/source/http/header_rules.cc
+++ b/source/http/header_rules.cc
@@ -26,7 +26,7 @@
   return text;
 }
 
-/// True if the comma-separated `list` names `name`.
+/// True if the comma-separated `list` contains `name`.
 bool ListContains(std::string_view list, std::string_view name) {
   while (!list.empty()) {
     const size_t comma = std::min(list.find(','), list.size());
--- a/source/http/header_rules.h
+++ b/source/http/header_rules.h
@@ -7,23 +7,23 @@
 
 namespace millstair {
 
-/// Names a call on its connection. The caller draws it, our server sends it back, and an answer
-/// that names another call is refused: it is a late or doubled one.
+/// Identifies a call on its connection. The caller chooses the id and the server echoes it; the
+/// caller rejects a response with another id as late or duplicated.
 inline constexpr std::string_view kCallIdHeader = "Millstair-Call-Id";
 
-/// Equal without regard to the case of ASCII letters.
+/// Case-insensitive comparison of ASCII.
 bool EqualsIgnoringCase(std::string_view left, std::string_view right);
-/// A non-empty token: a legal method or field name.
+/// True for a non-empty token: a valid method or field name.
 bool IsToken(std::string_view text);
-/// A legal field value: no control characters except tab.
+/// True for a valid field value: no control characters except tab.
 bool IsFieldValue(std::string_view text);
-/// A legal request target: visible ASCII without spaces, and not empty.
+/// True for a valid request target: non-empty visible ASCII without spaces.
 bool IsRequestTarget(std::string_view text);
 
-/// The headers that may pass a proxy: without Connection, what it names, Keep-Alive, TE, Trailer,
-/// Transfer-Encoding, Upgrade, Proxy-* and Expect. Content-Length is kept.
+/// Returns `headers` without hop-by-hop ones: Connection and the headers it lists, Keep-Alive, TE,
+/// Trailer, Transfer-Encoding, Upgrade, Proxy-Connection, Proxy-Authenticate and Expect.
 HttpHeaders EndToEndHeaders(const HttpHeaders& headers);
-/// Without all headers of that name.
+/// Returns `headers` without all headers called `name`.
 HttpHeaders WithoutHeader(HttpHeaders headers, std::string_view name);
 
 }  // namespace millstair
--- a/source/http/http_engine_client.cc
+++ b/source/http/http_engine_client.cc
@@ -22,8 +22,8 @@
   return FindHeader(head.headers, kOutcomeHeader) == OutcomeName(Outcome::kNotRun);
 }
 
-/// A generation stream. The finishing chunk is handed on once the answer has ended, so that its
-/// connection can be used again.
+/// A generation stream. The last chunk is delivered only after the response has ended, so that its
+/// connection can be reused.
 class GenerateCall : public CallHandle, public HttpCallObserver {
  public:
   GenerateCall(GenerateObserver& observer, size_t max_line_bytes)
@@ -69,7 +69,7 @@
   }
 
  private:
-  /// False if the stream broke or ended with this line.
+  /// False if the stream failed or ended with this line.
   bool TakeLine(const std::string& line) {
     absl::StatusOr<GenerateChunk> chunk = DecodeGenerateChunk(line);
     if (!chunk.ok()) {
@@ -101,7 +101,7 @@
 
 }  // namespace
 
-/// A call whose whole answer is wanted, with a deadline.
+/// A call that returns a complete response within a timeout.
 class SimpleEngineCall : public HttpCallObserver {
  public:
   using Done = std::function<void(absl::StatusOr<HttpEngineClient::Answer>)>;
@@ -110,7 +110,8 @@
       : client_(client), id_(id), done_(std::move(done)), timer_(client.environment_) {}
 
   void Start(const std::string& address, HttpRequest request, Duration timeout) {
-    timer_.Arm(timeout, [this] { End(absl::DeadlineExceededError("no answer in time")); });
+    timer_.Arm(timeout,
+               [this] { End(absl::DeadlineExceededError("no response within the timeout")); });
     call_ = client_.http_.Start(address, std::move(request), *this);
   }
 
@@ -118,7 +119,7 @@
   void OnBody(std::string bytes) override {
     answer_.body += bytes;
     if (answer_.body.size() > client_.options_.max_answer_bytes) {
-      End(absl::ResourceExhaustedError("the answer is too long"));
+      End(absl::ResourceExhaustedError("the response is too long"));
     }
   }
   void OnFinished() override { End(std::move(answer_)); }
--- a/source/http/http_engine_client.h
+++ b/source/http/http_engine_client.h
@@ -1,4 +1,4 @@
-/// EngineClient over HTTP: JSON requests, generation streams of one JSON chunk a line.
+/// EngineClient over HTTP: JSON requests, generation streams with one JSON chunk per line.
 #pragma once
 
 #include <cstdint>
@@ -14,20 +14,20 @@
 namespace millstair {
 
 struct HttpEngineClientOptions {
-  /// Time of a whole report or cache event call.
+  /// Total time of a report or cache event call.
   Duration report_timeout = std::chrono::seconds(2);
-  /// Time of a whole order; a weight swap runs within it.
+  /// Total time of an order, including a weight swap.
   Duration order_timeout = std::chrono::seconds(30);
-  /// A longer line of a generation stream breaks the stream off.
+  /// A generation stream with a longer line fails.
   size_t max_line_bytes = 1024 * 1024;
-  /// A longer answer to a report, order or cache event call fails it.
+  /// A report, order or cache event call with a longer response fails.
   size_t max_answer_bytes = 64 * 1024 * 1024;
 };
 
 class SimpleEngineCall;
 
-/// Lives on the serial executor; `http` outlives it. Calls still under way when it goes are
-/// dropped.
+/// Lives on the serial executor; `http` outlives it. Destroying it cancels all report, order and
+/// cache event calls in progress.
 class HttpEngineClient : public EngineClient {
  public:
   HttpEngineClient(Environment& environment, HttpCaller& http,
@@ -50,7 +50,8 @@
   };
   friend class SimpleEngineCall;
 
-  /// Makes one call and hands over its whole answer. DeadlineExceeded or Unavailable without one.
+  /// Makes one call and passes its complete response to `done`; without one, DeadlineExceeded,
+  /// ResourceExhausted or Unavailable.
   void Call(const std::string& address, HttpRequest request, Duration timeout,
             std::function<void(absl::StatusOr<Answer>)> done);
 
--- a/source/http/http_server.cc
+++ b/source/http/http_server.cc
@@ -21,7 +21,7 @@
 
 void AcceptNext(const std::shared_ptr<HttpServerContext>& context);
 
-/// Goes on after a failure such as a lack of descriptors, without taking a whole processor.
+/// Retries after a delay, so that a persistent failure (out of descriptors) causes no busy loop.
 void AcceptLater(const std::shared_ptr<HttpServerContext>& context) {
   const auto timer = std::make_shared<boost::asio::steady_timer>(context->acceptor->get_executor(),
                                                                  kAcceptRetryDelay);
--- a/source/http/http_server.h
+++ b/source/http/http_server.h
@@ -1,8 +1,9 @@
-/// HTTP/1.1 front by Boost.Beast: listens on one address and hands whole requests to a handler.
+/// HTTP/1.1 server on Boost.Beast: listens on one address and passes complete requests to a
+/// handler.
 ///
-/// Sockets live on the runtime's I/O threads, each connection on a strand of its own; the handler
-/// and all response writers live on the node's serial executor. Requests of one connection are
-/// served one after another; what a client sends ahead is read only up to a small bound.
+/// Sockets live on the runtime's I/O threads, each connection on its own strand; the handler and
+/// all response writers live on the node's serial executor. Requests of one connection are served
+/// one after another; pipelined bytes are read ahead only up to a small limit.
 #pragma once
 
 #include <cstddef>
@@ -22,9 +23,9 @@
   /// Request line and headers.
   size_t max_header_bytes = 32 * 1024;
   size_t max_body_bytes = 16 * 1024 * 1024;
-  /// Answer bytes held for a caller that reads slowly; the handler is told to wait beyond.
+  /// Response bytes buffered for a slow caller; beyond it WritableBytes() is 0.
   size_t send_buffer_bytes = 256 * 1024;
-  /// Further connections are closed at once.
+  /// Further connections are closed immediately.
   size_t max_connections = 8192;
   /// From the first byte of a request to the end of its head.
   Duration header_timeout = std::chrono::seconds(10);
@@ -32,34 +33,34 @@
   Duration body_timeout = std::chrono::seconds(60);
   /// Between two requests on a connection.
   Duration idle_timeout = std::chrono::seconds(75);
-  /// Without progress of a write for this long the caller counts as gone.
+  /// A caller whose write takes longer counts as disconnected.
   Duration write_timeout = std::chrono::seconds(60);
 };
 
 struct HttpServerContext;
 
-/// Made and destroyed on the serial executor, or while it does not run. `stats` outlives the
+/// Created and destroyed on the serial executor, or while it does not run. `stats` outlives the
 /// runtime.
 class HttpServer {
  public:
   /// Binds `address` ("ip:port"; port 0 picks a free one) and starts to serve. `handler` outlives
-  /// the server; `stats` too, and may be null. InvalidArgument for an address that is no IP number,
+  /// the server; `stats` may be null. InvalidArgument for an address without a numeric IP,
   /// Unavailable if it can't be bound.
   static absl::StatusOr<std::unique_ptr<HttpServer>> Listen(
       Runtime& runtime, std::shared_ptr<SerialExecutor> executor, const std::string& address,
       RequestHandler& handler, HttpServerOptions options = {}, StatsRegistry* stats = nullptr);
   ~HttpServer();
 
-  /// Where it listens, with the port picked.
+  /// The listening address with the actual port.
   const std::string& address() const { return address_; }
-  /// From now on each answer closes its connection, so that callers go elsewhere. New connections
-  /// are still served.
+  /// Closes each connection after its next response, so that callers move to other servers. New
+  /// connections are still served.
   void BeginDrain();
-  /// While set each answer closes its connection too, so that callers who keep theirs go elsewhere.
+  /// While set, closes each connection after its next response, as during a drain.
   void SetCloseAfterResponse(bool close);
-  /// Requests whose answer has not been sent to its end.
+  /// Number of requests whose response has not been fully sent.
   size_t running() const;
-  /// Closes the listener and all connections; running requests are cut.
+  /// Closes the listener and all connections; aborts running requests.
   void Stop();
 
  private:
--- a/source/http/outcome.h
+++ b/source/http/outcome.h
@@ -1,4 +1,4 @@
-/// What the system knows about whether a request ran. Every answer that the system itself makes
+/// Whether a request ran, as far as the system knows. Every response that the system itself creates
 /// carries it in the header `Millstair-Outcome`.
 #pragma once
 
@@ -10,7 +10,7 @@
 
 enum class Outcome {
   kRan,     ///< it ran, at least in part
-  kNotRun,  ///< it truly did not run and will not
+  kNotRun,  ///< it did not run and will not
   kUnknown  ///< it may have run
 };
 
@@ -30,7 +30,7 @@
   return "unknown";
 }
 
-/// What a failed call says about the request.
+/// Outcome of a request whose call failed with `failure`.
 constexpr Outcome OutcomeOf(CallFailure failure) {
   switch (failure) {
     case CallFailure::kNotSent:
@@ -44,7 +44,7 @@
   return Outcome::kUnknown;
 }
 
-/// Outcome of a request after a further try: once it ran or may have run, that stays so.
+/// Outcome of a request after several attempts: kRan takes precedence over kUnknown over kNotRun.
 constexpr Outcome Combine(Outcome earlier, Outcome later) {
   if (earlier == Outcome::kRan || later == Outcome::kRan) return Outcome::kRan;
   if (earlier == Outcome::kUnknown || later == Outcome::kUnknown) return Outcome::kUnknown;
--- a/source/http/problem.h
+++ b/source/http/problem.h
@@ -1,5 +1,5 @@
-/// Error answers of the system itself: RFC 9457 problem JSON with `Millstair-Outcome` and, where
-/// coming back later helps, `Retry-After`.
+/// Error responses of the system itself: RFC 9457 problem JSON with `Millstair-Outcome` and, where
+/// a later retry may succeed, `Retry-After`.
 #pragma once
 
 #include <optional>
@@ -12,14 +12,14 @@
 namespace millstair {
 
 struct Problem {
-  /// HTTP status, 400..599.
+  /// HTTP status, 400 to 599.
   int status = 500;
-  /// Short text that is the same for all problems of a kind.
+  /// Short text, the same for all problems of a kind.
   std::string title;
-  /// What happened in this case.
+  /// Description of this occurrence.
   std::string detail;
   Outcome outcome = Outcome::kUnknown;
-  /// When the caller should come back; rounded up to whole seconds, at least one.
+  /// When the caller may retry; rounded up to full seconds, at least one.
   std::optional<Duration> retry_after;
 };
 
@@ -27,7 +27,7 @@
 std::string ProblemJson(const Problem& problem);
 /// Status line and headers, without Content-Length.
 HttpResponseHead ProblemHead(const Problem& problem);
-/// Sends the whole answer; for use before any head was sent.
+/// Sends the complete response. Must be called before SendHead.
 void RespondProblem(ResponseWriter& writer, const Problem& problem);
 
 }  // namespace millstair
--- a/source/http/request_head_check.h
+++ b/source/http/request_head_check.h
@@ -1,5 +1,5 @@
-/// Strict test of a request head before the HTTP library parses it. What two parsers could read in
-/// different ways is refused, since a proxy that accepts it lets requests be smuggled past it.
+/// Strict validation of a request head before the HTTP library parses it. Rejects anything that two
+/// parsers could interpret differently, which prevents request smuggling.
 #pragma once
 
 #include <optional>
@@ -9,16 +9,16 @@
 namespace millstair {
 
 struct HeadFault {
-  /// Status of the answer: 400, 431, 501 or 505.
+  /// Status of the response: 400, 431, 501 or 505.
   int status = 400;
-  /// Short name for the counters: "duplicate-length", "obs-fold", ...
+  /// Label of the counter: "duplicate-length", "obs-fold", ...
   std::string reason;
 };
 
-/// Most header lines of a request.
+/// Maximum header lines of a request.
 inline constexpr int kMaxHeaderLines = 128;
 
-/// Tests `head`, which ends with the empty line. None if it is sound.
+/// Checks `head`, which ends with the empty line. None if it is valid.
 std::optional<HeadFault> CheckRequestHead(std::string_view head);
 
 }  // namespace millstair
--- a/source/http/response_channel.h
+++ b/source/http/response_channel.h
@@ -1,4 +1,4 @@
-/// Bytes on their way from a response writer (serial executor) to its connection (I/O strand).
+/// Passes response bytes from a response writer (serial executor) to its connection (I/O strand).
 #pragma once
 
 #include <functional>
@@ -8,12 +8,12 @@
 
 namespace millstair {
 
-/// What the connection finds in the channel.
+/// Content that the connection takes from the channel.
 struct ChannelContent {
   std::string bytes;
   /// Nothing follows `bytes`.
   bool finished = false;
-  /// The answer is to be cut; `bytes` is empty.
+  /// The response was aborted; `bytes` is empty.
   bool aborted = false;
   /// Whether the connection may carry another request afterwards.
   bool keep_alive = false;
@@ -22,7 +22,7 @@
 /// Thread-safe. One writer, one connection.
 class ResponseChannel {
  public:
-  /// `wake` is called, from the writer's thread, when there is something new.
+  /// `wake` is called on the writer's thread whenever the content changes.
   ResponseChannel(size_t capacity, std::function<void()> wake)
       : capacity_(capacity), wake_(std::move(wake)) {}
 
@@ -56,7 +56,7 @@
     wake_();
   }
 
-  /// FreeBytes for the writer; remembers that it was told of none.
+  /// Free space for the writer. If 0, a later `Sent` reports when there is space again.
   size_t FreeBytes() {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (unsent_ < capacity_) return capacity_ - unsent_;
@@ -64,7 +64,7 @@
     return 0;
   }
 
-  /// Takes what there is; `finished` and `aborted` stay set.
+  /// Takes the current content; `finished` and `aborted` stay set.
   ChannelContent Take() {
     const std::lock_guard<std::mutex> lock(mutex_);
     ChannelContent taken = content_;
@@ -72,7 +72,8 @@
     return taken;
   }
 
-  /// `count` bytes have been sent. True if the writer waits for room that is there now.
+  /// Records that `count` bytes were sent. True if the writer was waiting for space that is now
+  /// free.
   bool Sent(size_t count) {
     const std::lock_guard<std::mutex> lock(mutex_);
     unsent_ -= count;
--- a/source/http/response_writer.cc
+++ b/source/http/response_writer.cc
@@ -13,7 +13,7 @@
 
 bool HasNoBody(int status) { return status < 200 || status == 204 || status == 304; }
 
-/// A Content-Length as set by the handler; false if it is no number.
+/// Parses the Content-Length set by the handler; false if it is not a number.
 bool ParseLength(std::string_view text, uint64_t* length) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), *length);
   return error == std::errc() && end == text.data() + text.size();
@@ -108,7 +108,7 @@
 
 void FramedResponseWriter::Close() {
   state_ = State::kDone;
-  // The callbacks may own this writer: they go only after the members were cleared.
+  // The callbacks may own this writer, so they are destroyed only after the members are cleared.
   const auto writable = std::exchange(on_writable_, nullptr);
   const auto gone = std::exchange(on_disconnected_, nullptr);
 }
--- a/source/http/response_writer.h
+++ b/source/http/response_writer.h
@@ -1,4 +1,4 @@
-/// The ResponseWriter behind the HTTP front: frames the answer and hands it to the connection.
+/// The ResponseWriter of the HTTP server: frames the response and passes it to the connection.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +11,18 @@
 
 namespace millstair {
 
-/// What the framing of an answer depends on.
+/// Properties of a request that determine the framing of its response.
 struct ResponseFraming {
   bool head_request = false;
   bool http_1_1 = true;
   /// The caller and the server both want to keep the connection.
   bool keep_alive = true;
-  /// Sent back to the caller unless empty.
+  /// Echoed to the caller unless empty.
   std::string call_id;
 };
 
-/// Lives on the serial executor; owned by the handler. Destroyed before `Finish`, it cuts the
-/// answer. A body that does not match its Content-Length is cut too.
+/// Lives on the serial executor; owned by the handler. Aborts the response if destroyed before
+/// `Finish`, or if the body does not match its Content-Length.
 class FramedResponseWriter : public ResponseWriter {
  public:
   FramedResponseWriter(std::shared_ptr<ResponseChannel> channel, ResponseFraming framing)
@@ -45,7 +45,7 @@
   enum class BodyKind { kNone, kLength, kChunked, kUntilClose };
   enum class State { kNew, kBody, kDone };
 
-  /// Chooses how the body is framed, and adds the headers for it.
+  /// Selects the framing of the body and adds its headers.
   void ChooseFraming(HttpResponseHead& head);
   void Close();
 
@@ -59,7 +59,7 @@
   std::function<void()> on_disconnected_;
 };
 
-/// Reason phrase of a status, "Unknown" for none of the registered.
+/// Reason phrase of a status; "Unknown" if it is not registered.
 std::string_view ReasonPhrase(int status);
 
 }  // namespace millstair
--- a/source/http/server_connection.cc
+++ b/source/http/server_connection.cc
@@ -36,16 +36,16 @@
 constexpr auto kUseTuple = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
-/// Bytes of a client that are read ahead of what is being served.
+/// Limit on the bytes that are read ahead of the request being served.
 constexpr size_t kReadAheadBytes = 64 * 1024;
 constexpr size_t kReadBytes = 8 * 1024;
-/// How long a refused client may go on sending before the connection is closed.
+/// How long input of a refused client is discarded before the connection is closed.
 constexpr std::chrono::milliseconds kLingerTime{500};
 
 }  // namespace
 
-/// Lives on a strand. Two coroutines share it: one reads bytes ahead and notices that the client
-/// has gone, the other serves the requests.
+/// Lives on a strand and is shared by two coroutines: one reads ahead and detects that the client
+/// disconnected, the other serves the requests.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
   ServerConnection(Tcp::socket socket, std::shared_ptr<HttpServerContext> context)
@@ -98,7 +98,7 @@
 
   size_t ReadLimit() const { return std::max(kReadAheadBytes, context_->options.max_header_bytes); }
 
-  /// Waits for bytes, the client's end, or the writer. False if `deadline` passed first.
+  /// Waits for received bytes, the end of the input, or the writer. False on reaching `deadline`.
   asio::awaitable<bool> WaitForWake(SteadyTime deadline) {
     serve_wake_timer_.expires_at(deadline);
     const auto [error] = co_await serve_wake_timer_.async_wait(kUseTuple);
@@ -120,7 +120,7 @@
     Close();
   }
 
-  /// Serves one request. False if the connection is to be closed.
+  /// Serves one request. False if the connection must be closed.
   asio::awaitable<bool> ServeOne() {
     const std::optional<size_t> head_size = co_await ReadHead();
     if (!head_size.has_value()) co_return false;
@@ -143,7 +143,7 @@
     co_return co_await Answer(std::move(request), parser);
   }
 
-  /// Size of the next request's head once all of it has been received.
+  /// Reads the next request's head and returns its size; none if the connection must be closed.
   asio::awaitable<std::optional<size_t>> ReadHead() {
     const HttpServerOptions& options = context_->options;
     SteadyTime deadline = std::chrono::steady_clock::now() + options.idle_timeout;
@@ -169,7 +169,7 @@
     }
   }
 
-  /// Reads the body into `parser`. False if the connection is to be closed.
+  /// Reads the body into `parser`. False if the connection must be closed.
   asio::awaitable<bool> ReadBody(RequestParser& parser) {
     if (parser.is_done()) co_return true;
     if (!co_await AnswerExpectation(parser)) co_return false;
@@ -248,7 +248,7 @@
     co_return keep;
   }
 
-  /// Sends what the writer makes until the answer ends. False if the connection is to be closed.
+  /// Sends the writer's output until the response ends. False if the connection must be closed.
   asio::awaitable<bool> Relay(ResponseChannel& channel,
                               std::weak_ptr<FramedResponseWriter> writer) {
     while (true) {
@@ -286,7 +286,7 @@
     });
   }
 
-  /// Called by the writer, on its thread. Many wakes between two runs of the strand are one.
+  /// Called by the writer, on its thread. Wakes that arrive before the strand runs are merged.
   void WakeServing() {
     if (wake_posted_.exchange(true)) return;
     asio::post(strand_, [self = shared_from_this()] {
@@ -306,7 +306,7 @@
     co_return !error;
   }
 
-  /// Sends a problem and lets the client read it before the connection is closed.
+  /// Sends a problem and lingers, so that the client can read it before the connection is closed.
   asio::awaitable<void> Refuse(int status, std::string reason) {
     context_->CountRefused(reason);
     const Problem problem{status, "request refused", reason, Outcome::kNotRun};
@@ -340,7 +340,7 @@
 
   // --- closing -------------------------------------------------------------------------------
 
-  /// Closes so that the client sees a reset: an answer cut here never looks complete.
+  /// Closes with a connection reset, so that a truncated response never looks complete.
   void Reset() {
     boost::system::error_code ignored;
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
@@ -374,7 +374,7 @@
   const auto connection = std::make_shared<ServerConnection>(std::move(socket), context);
   {
     const std::lock_guard<std::mutex> lock(context->mutex);
-    // A connection that is not served closes its socket as it goes.
+    // A connection that is not served closes its socket in its destructor.
     if (context->stopped || context->open.size() >= context->options.max_connections) return;
     context->open.insert(connection.get());
     context->open_connections->Set(static_cast<double>(context->open.size()));
--- a/source/http/server_connection.h
+++ b/source/http/server_connection.h
@@ -1,4 +1,4 @@
-/// One connection of the HTTP front. Internal to http/.
+/// One connection of the HTTP server. Internal to http/.
 #pragma once
 
 #include <atomic>
@@ -17,11 +17,11 @@
 
 class ServerConnection;
 
-/// What the connections of one server share.
+/// State shared by the connections of one server.
 struct HttpServerContext {
   HttpServerOptions options;
   std::shared_ptr<SerialExecutor> executor;
-  /// Null once the server has gone. Touched on the executor only.
+  /// Null once the server was stopped. Used on the executor only.
   RequestHandler* handler = nullptr;
   std::unique_ptr<StatsRegistry> own_stats;
   StatsRegistry* stats = nullptr;
@@ -39,7 +39,7 @@
   std::set<ServerConnection*> open;
   bool stopped = false;
 
-  /// Counts a refused request by its reason.
+  /// Counts and logs a refused request.
   void CountRefused(const std::string& reason);
 };
 
--- a/test/http/http_caller_test.cc
+++ b/test/http/http_caller_test.cc
@@ -17,7 +17,7 @@
 
 constexpr const char* kComplete = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// A caller with its runtime; calls are started on the executor and waited for.
+/// A caller with its runtime. Starts calls on the executor and waits for them.
 struct Client {
   explicit Client(HttpCallerOptions options = {})
       : caller(std::make_unique<BeastHttpCaller>(runtime, executor, options, &stats)) {}
@@ -49,7 +49,7 @@
   while (!RawServer::ReadRequest(socket).empty()) RawServer::Write(socket, answer);
 }
 
-TEST_CASE("Calls reuse a connection whose answer was read to the end") {
+TEST_CASE("Calls reuse a connection whose response was read to the end") {
   std::atomic<int> connections{0};
   RawServer server([&](Tcp::socket& socket, int) {
     ++connections;
@@ -67,11 +67,11 @@
   CHECK(client.Stat("millstair_http_call_connections_reused_total") == 2);
 }
 
-TEST_CASE("A connection with bytes behind the answer is never used again") {
+TEST_CASE("A connection with bytes after the response is never reused") {
   std::atomic<int> connections{0};
   RawServer server([&](Tcp::socket& socket, int) {
     ++connections;
-    // The second answer belongs to nobody: it must reach no later call.
+    // The second response belongs to no call and must not reach a later one.
     ServeAll(socket, std::string(kComplete) + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
   });
   Client client;
@@ -84,7 +84,7 @@
   CHECK(connections == 3);
 }
 
-TEST_CASE("A kept connection that got a late answer or was closed is dropped before its use") {
+TEST_CASE("A pooled connection with a late response or closed by the peer is not reused") {
   std::promise<void> spoilt;
   RawServer server([&](Tcp::socket& socket, int number) {
     if (number > 0) return ServeAll(socket, kComplete);
@@ -107,14 +107,14 @@
   CHECK(client.Stat("millstair_http_call_connections_stale_total") == 1);
 }
 
-TEST_CASE("Failures say exactly how far the call came") {
+TEST_CASE("Failures report how far the call progressed") {
   Client client({.connect_timeout = milliseconds(500), .read_timeout = milliseconds(200)});
   RecordingObserver observer;
   SECTION("nobody listens") {
     client.Call("127.0.0.1:1", observer);
     CHECK(observer.failure() == CallFailure::kNotSent);
   }
-  SECTION("a host name is no address") {
+  SECTION("a host name instead of an address") {
     client.Call("localhost:80", observer);
     CHECK(observer.failure() == CallFailure::kNotSent);
   }
@@ -124,7 +124,7 @@
     CHECK(observer.failure() == CallFailure::kNotSent);
     CHECK(observer.reason().find("characters") != std::string::npos);
   }
-  SECTION("the back end closes without an answer") {
+  SECTION("the back end closes without a response") {
     RawServer server([](Tcp::socket& socket, int) { RawServer::ReadRequest(socket); });
     client.Call(server.address(), observer);
     CHECK(observer.failure() == CallFailure::kUnknown);
@@ -139,7 +139,7 @@
     client.Call(server.address(), observer);
     CHECK(observer.failure() == CallFailure::kUnknown);
   }
-  SECTION("no answer in time") {
+  SECTION("no response within the timeout") {
     RawServer server([](Tcp::socket& socket, int) {
       RawServer::ReadRequest(socket);
       RawServer::ReadRequest(socket);
@@ -147,7 +147,7 @@
     client.Call(server.address(), observer);
     CHECK(observer.failure() == CallFailure::kUnknown);
   }
-  SECTION("the answer is shorter than its length") {
+  SECTION("the response is shorter than its length") {
     RawServer server([](Tcp::socket& socket, int) {
       RawServer::ReadRequest(socket);
       RawServer::Write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
@@ -165,7 +165,7 @@
     client.Call(server.address(), observer);
     CHECK(observer.failure() == CallFailure::kCut);
   }
-  SECTION("an answer that ends by the close is not taken for whole") {
+  SECTION("a response delimited by the close counts as truncated") {
     RawServer server([](Tcp::socket& socket, int) {
       RawServer::ReadRequest(socket);
       RawServer::Write(socket, "HTTP/1.1 200 OK\r\n\r\nmaybe whole");
@@ -184,14 +184,15 @@
   }
 }
 
-TEST_CASE("An answer without a length is whole only if its connection ends in order") {
+TEST_CASE(
+    "A response without a length is complete only if its connection closes without an error") {
   const bool reset = GENERATE(false, true);
   std::atomic<int> connections{0};
   RawServer server([&](Tcp::socket& socket, int) {
     ++connections;
     RawServer::ReadRequest(socket);
     RawServer::Write(socket, "HTTP/1.1 200 OK\r\n\r\nto the end");
-    // Until the bytes were read: a reset may discard what is on its way.
+    // Lets the caller read the bytes first, since a reset may discard bytes in transit.
     std::this_thread::sleep_for(milliseconds(100));
     if (reset) socket.set_option(boost::asio::socket_base::linger(true, 0));
     socket.close();
@@ -206,7 +207,7 @@
   if (reset) CHECK(observer.failure() == CallFailure::kCut);
   RecordingObserver next;
   client.Call(server.address(), next);
-  // Such a connection serves once.
+  // The connection is not reused.
   CHECK(connections == 2);
 }
 
@@ -229,7 +230,7 @@
   CHECK_FALSE(observer.failure().has_value());
 }
 
-TEST_CASE("A paused observer gets at most what was read already") {
+TEST_CASE("A paused observer gets at most the bytes that were read before") {
   constexpr size_t kBytes = 8 * 1024 * 1024;
   RawServer server([&](Tcp::socket& socket, int) {
     RawServer::ReadRequest(socket);
@@ -258,9 +259,9 @@
   return request.substr(at, request.find("\r\n", at) - at);
 }
 
-TEST_CASE("Whatever a back end does to its answers, a call never gets another call's") {
-  // Each answer holds the id of its request; some are doubled, cut, followed by stray bytes, or
-  // come with a second answer after a while.
+TEST_CASE("A call never gets the response of another call from a faulty back end") {
+  // Each response contains the id of its request; some are duplicated, truncated, followed by stray
+  // bytes, or followed by a delayed second response.
   std::atomic<uint64_t> seed{20261205};
   RawServer server([&](Tcp::socket& socket, int) {
     std::mt19937_64 random(seed++);
@@ -306,7 +307,7 @@
   CHECK(client.Stat("millstair_http_call_foreign_answers_total") > 0);
 }
 
-TEST_CASE("HEAD answers with a length but no body are whole") {
+TEST_CASE("HEAD responses with a length but no body are complete") {
   RawServer server([](Tcp::socket& socket, int) {
     ServeAll(socket, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n");
   });
--- a/test/http/http_engine_client_test.cc
+++ b/test/http/http_engine_client_test.cc
@@ -13,7 +13,7 @@
 
 using std::chrono::seconds;
 
-/// An HttpCaller whose answers the test gives by hand.
+/// An HttpCaller whose responses are provided by the test.
 class ScriptedCaller : public HttpCaller {
  public:
   std::unique_ptr<CallHandle> Start(const std::string& address, HttpRequest request,
@@ -67,7 +67,7 @@
   Recorder recorder;
 };
 
-TEST_CASE("A stream is cut into chunks wherever its bytes are split") {
+TEST_CASE("Chunks are decoded regardless of how the bytes of the stream are split") {
   const std::string stream = Line(0, false) + Line(2, false) + Line(4, true);
   for (size_t split = 1; split < stream.size(); split += 7) {
     Fixture fixture;
@@ -87,7 +87,7 @@
   }
 }
 
-TEST_CASE("Ends of a stream without its finishing chunk are failures of the right kind") {
+TEST_CASE("A stream that ends without its finishing chunk fails with the right kind") {
   Fixture fixture;
   const auto handle = fixture.client.Generate("127.0.0.1:9", {}, fixture.recorder);
   HttpCallObserver& answer = *fixture.http.observer;
@@ -99,19 +99,19 @@
     CHECK(fixture.recorder.failure == CallFailure::kRefused);
     CHECK(fixture.recorder.leaving);
   }
-  SECTION("an error that does not say that it did not run") {
+  SECTION("an error without outcome not-run") {
     answer.OnHead({500, {}});
     answer.OnFinished();
     CHECK(fixture.recorder.failure == CallFailure::kUnknown);
     CHECK_FALSE(fixture.recorder.leaving);
   }
-  SECTION("the answer ends regularly, but early") {
+  SECTION("the response is complete, but the stream is not") {
     answer.OnHead({200, {}});
     answer.OnBody(Line(0, false));
     answer.OnFinished();
     CHECK(fixture.recorder.failure == CallFailure::kCut);
   }
-  SECTION("a line that is no chunk") {
+  SECTION("a line that is not a chunk") {
     answer.OnHead({200, {}});
     answer.OnBody("{\"tokens\":7}\n" + Line(0, true));
     CHECK(fixture.recorder.failure == CallFailure::kCut);
@@ -122,7 +122,7 @@
     answer.OnFailed(CallFailure::kNotSent, "refused");
     CHECK(fixture.recorder.failure == CallFailure::kNotSent);
   }
-  SECTION("cut behind the finishing chunk: it is whole") {
+  SECTION("truncated after the finishing chunk: complete") {
     answer.OnHead({200, {}});
     answer.OnBody(Line(0, true));
     answer.OnFailed(CallFailure::kCut, "reset");
@@ -131,7 +131,7 @@
   }
 }
 
-TEST_CASE("Orders are answered by what the engine says, and time out") {
+TEST_CASE("Orders return the engine's status, and time out") {
   Fixture fixture;
   std::optional<absl::Status> result;
   fixture.client.SendOrder("127.0.0.1:9", {}, [&](absl::Status status) { result = status; });
@@ -151,7 +151,7 @@
     answer(500);
     CHECK(result->code() == absl::StatusCode::kAborted);
   }
-  SECTION("other bytes than ordered") {
+  SECTION("digest mismatch") {
     answer(422);
     CHECK(result->code() == absl::StatusCode::kDataLoss);
   }
@@ -159,14 +159,14 @@
     answer(429);
     CHECK(result->code() == absl::StatusCode::kResourceExhausted);
   }
-  SECTION("no answer") {
+  SECTION("no response") {
     fixture.scheduler.RunUntil(seconds(31));
     CHECK(result->code() == absl::StatusCode::kDeadlineExceeded);
     CHECK(fixture.http.dropped == 1);
   }
 }
 
-TEST_CASE("Reports and cache events are decoded, broken ones are errors") {
+TEST_CASE("Reports and cache events are decoded, malformed ones are errors") {
   Fixture fixture;
   std::optional<absl::StatusOr<EngineReport>> report;
   fixture.client.FetchReport("127.0.0.1:9", [&](auto result) { report = std::move(result); });
--- a/test/http/http_server_test.cc
+++ b/test/http/http_server_test.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using testing::RawClient;
 
-/// Answers with the request's own text; "/stream", "/cut", "/wait" and "/large" differ.
+/// Echoes the request; "/stream", "/cut", "/short", "/wait" and "/large" behave differently.
 class EchoHandler : public RequestHandler {
  public:
   void Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) override {
@@ -118,7 +118,7 @@
   CHECK(server_fixture.Stat("millstair_http_connections_total") == 1);
 }
 
-TEST_CASE("Streams are chunked, and a cut or short answer is seen as cut") {
+TEST_CASE("Streams are chunked, and an aborted or short response is detected as truncated") {
   ServerFixture server_fixture;
   {
     RawClient client(server_fixture.address());
@@ -157,7 +157,7 @@
   std::string bytes;
 };
 
-TEST_CASE("Smuggling attempts and malformed requests are refused, told and counted") {
+TEST_CASE("Smuggling attempts and malformed requests get an error response and are counted") {
   const std::string start = "POST / HTTP/1.1\r\nHost: a\r\n";
   const std::vector<RefusedCase> cases = {
       {"duplicate-length", 400, start + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nbody"},
@@ -201,7 +201,7 @@
   CHECK(server_fixture.handler.requests == 0);
 }
 
-TEST_CASE("Limits of head, body and time are kept") {
+TEST_CASE("Limits of head size, body size and time are enforced") {
   HttpServerOptions options;
   options.max_header_bytes = 1024;
   options.max_body_bytes = 100;
@@ -226,7 +226,7 @@
   CHECK(server_fixture.handler.requests == 0);
 }
 
-TEST_CASE("A caller that goes away is reported to the handler") {
+TEST_CASE("The handler is notified when a caller disconnects") {
   ServerFixture server_fixture;
   RawClient client(server_fixture.address());
   client.Send(Get("/wait"));
@@ -238,14 +238,14 @@
   CHECK(server_fixture.Stat("millstair_http_callers_gone_total") == 1);
 }
 
-TEST_CASE("A slow reader holds the handler back; the whole answer arrives") {
+TEST_CASE("A slow reader applies backpressure to the handler and gets the complete response") {
   HttpServerOptions options;
   options.send_buffer_bytes = 64 * 1024;
   ServerFixture server_fixture(options);
   RawClient client(server_fixture.address());
   client.Send(Get("/large"));
   REQUIRE(client.ReadUntil("\r\n\r\n"));
-  // Nothing is read now: the handler stops once kernel buffers and the send buffer are full.
+  // The client does not read: the handler stops once kernel buffers and the send buffer are full.
   size_t before = 0;
   do {
     before = server_fixture.handler.large_sent;
@@ -265,7 +265,7 @@
   CHECK(server_fixture.handler.large_sent == EchoHandler::kLargeBytes);
 }
 
-TEST_CASE("HEAD answers have no body, HTTP/1.0 closes, draining closes after the answer") {
+TEST_CASE("HEAD responses have no body, HTTP/1.0 closes, draining closes after the response") {
   ServerFixture server_fixture;
   RawClient client(server_fixture.address());
   client.Send("HEAD /h HTTP/1.1\r\nHost: a\r\n\r\n" + Get("/next"));
@@ -279,8 +279,7 @@
   CHECK(client.ReadAll().find("Connection: close") != std::string::npos);
 }
 
-TEST_CASE(
-    "A server that turns callers away serves them, closes, and keeps connections again later") {
+TEST_CASE("Close-after-response serves requests and closes connections only while it is set") {
   ServerFixture server_fixture;
   server_fixture.server->SetCloseAfterResponse(true);
   RawClient client(server_fixture.address());
@@ -294,7 +293,7 @@
   CHECK(next.ReadUntil("GET /third"));
 }
 
-TEST_CASE("The name of a call is sent back, and is not the handler's business") {
+TEST_CASE("The call id is echoed and not passed to the handler") {
   ServerFixture server_fixture;
   RawClient client(server_fixture.address());
   client.Send("GET /n HTTP/1.1\r\nHost: a\r\nMillstair-Call-Id: 7-1\r\n\r\n");
@@ -303,7 +302,7 @@
   CHECK(client.received().find("[Millstair-Call-Id]") == std::string::npos);
 }
 
-TEST_CASE("An awaited 100 Continue is sent") {
+TEST_CASE("100 Continue is sent if the client expects it") {
   ServerFixture server_fixture;
   RawClient client(server_fixture.address());
   client.Send("PUT /e HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
--- a/test/http/loopback.h
+++ b/test/http/loopback.h
@@ -24,7 +24,7 @@
  public:
   explicit RawClient(const std::string& address) : socket_(io_) {
     socket_.connect(*ParseEndpoint(address));
-    // A fault of the server fails the test instead of blocking it.
+    // A server that does not respond fails the test instead of blocking it.
     const timeval limit{10, 0};
     ::setsockopt(socket_.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
   }
@@ -43,7 +43,7 @@
     return true;
   }
 
-  /// Everything up to the end of the connection. Sets `reset` if it was reset.
+  /// Reads to the end of the connection. Sets `reset` if it was reset.
   std::string ReadAll() {
     while (ReadSome()) {
     }
@@ -93,7 +93,7 @@
 
   const std::string& address() const { return address_; }
 
-  /// Reads a request whose head and body have been sent whole; empty if the peer closed.
+  /// Reads a complete request; empty if the peer closed.
   static std::string ReadRequest(Tcp::socket& socket) {
     std::string bytes;
     char piece[4096];
@@ -129,7 +129,7 @@
   std::thread thread_;
 };
 
-/// Records a call; `Wait` blocks until it ended.
+/// Records a call; `Wait` blocks until it has ended.
 class RecordingObserver : public HttpCallObserver {
  public:
   void OnHead(const HttpResponseHead& head) override {
--- a/test/http/problem_test.cc
+++ b/test/http/problem_test.cc
@@ -5,7 +5,7 @@
 namespace millstair {
 namespace {
 
-TEST_CASE("a problem names its outcome and when to come back") {
+TEST_CASE("a problem contains its outcome and Retry-After") {
   Problem problem{503, "Queue full", "group \"gallery\"\n", Outcome::kNotRun};
   problem.retry_after = std::chrono::milliseconds(1200);
   const HttpResponseHead head = ProblemHead(problem);
