--- a/source/transport/address_routes.h
+++ b/source/transport/address_routes.h
@@ -1,5 +1,5 @@
-/// Address routes of one node: where it reaches an address that others know under another number,
-/// for example behind a forwarder between zones.
+/// Address routes of one node: substitutes addresses that it reaches by another address, for
+/// example through a forwarder between zones.
 #pragma once
 
 #include <map>
@@ -12,13 +12,13 @@
 
 namespace millstair {
 
-/// "ip:port" as the configuration names it, to "ip:port" as this node reaches it.
+/// Maps an "ip:port" of the configuration to the "ip:port" that this node connects to.
 class AddressRoutes {
  public:
   AddressRoutes() = default;
   explicit AddressRoutes(std::map<std::string, std::string> routes) : routes_(std::move(routes)) {}
 
-  /// The address itself if no route is set.
+  /// Returns `address` itself if it has no route.
   const std::string& Resolve(const std::string& address) const {
     const auto found = routes_.find(address);
     return found == routes_.end() ? address : found->second;
@@ -28,7 +28,7 @@
   std::map<std::string, std::string> routes_;
 };
 
-/// Hands peers' addresses on as this node reaches them.
+/// PeerTransport that applies routes to the addresses of peers.
 class RoutedPeerTransport : public PeerTransport {
  public:
   /// `transport` outlives it.
@@ -47,7 +47,7 @@
   AddressRoutes routes_;
 };
 
-/// Calls back ends where this node reaches them.
+/// HttpCaller that applies routes to the addresses of back ends.
 class RoutedHttpCaller : public HttpCaller {
  public:
   /// `caller` outlives it.
--- a/source/transport/frame.h
+++ b/source/transport/frame.h
@@ -1,6 +1,6 @@
-/// Frames on a peer connection: a 4-byte big-endian length, one byte of kind, the payload. The
-/// length counts kind and payload. Kind 0 is the hello, kind 255 holds other frames compressed; the
-/// rest are MessageKind.
+/// Frames on a peer connection: a 4-byte big-endian length, a kind byte, the payload. The length
+/// includes kind and payload. Kind 0 is the hello, kind 255 contains other frames in compressed
+/// form; other kinds are values of MessageKind.
 #pragma once
 
 #include <cstddef>
@@ -22,26 +22,25 @@
   std::string payload;
 };
 
-/// The bytes of a frame.
 std::string EncodeFrame(uint8_t kind, std::string_view payload);
-/// True if `kind` is a MessageKind that this version knows.
+/// True if `kind` is a MessageKind known to this version.
 bool IsMessageKind(uint8_t kind);
 
 enum class FrameFault : uint8_t { kNone, kTooLarge, kEmpty, kUnknownKind };
 
-/// Cuts a stream of bytes into frames. After a fault it gives no further frames, since the stream
-/// can't be in step any more.
+/// Splits a byte stream into frames. Returns no further frames after a fault, since the frame
+/// boundaries are unknown from there on.
 class FrameReader {
  public:
   explicit FrameReader(size_t max_payload_bytes) : max_payload_bytes_(max_payload_bytes) {}
 
   void Add(std::string_view bytes) { buffer_.append(bytes); }
   void SetMaxPayload(size_t max_payload_bytes) { max_payload_bytes_ = max_payload_bytes; }
-  /// The next whole frame; none if bytes are missing or after a fault.
+  /// The next complete frame; none if bytes are missing or after a fault.
   std::optional<Frame> Next();
 
   FrameFault fault() const { return fault_; }
-  /// True if the stream stands in the middle of a frame.
+  /// True if the stream ends in the middle of a frame.
   bool partial() const { return begin_ < buffer_.size(); }
 
  private:
--- a/source/transport/frame_compression.cc
+++ b/source/transport/frame_compression.cc
@@ -7,14 +7,13 @@
 namespace millstair {
 namespace {
 
-/// Smaller writes are sent as they are: heartbeats and acknowledgements, which gain some ten bytes.
+/// Smaller writes, such as heartbeats and acknowledgements, are sent uncompressed.
 constexpr size_t kMinBytes = 256;
-/// The fastest of the library's usual levels: the texts' letters gain from their uneven use alone,
-/// which each level finds.
+/// The fastest regular level: most of the gain is entropy coding, which every level does.
 constexpr int kLevel = 1;
-/// Window of 64 KiB: bounds the working memory of both sides; most writes are smaller.
+/// Window of 64 KiB, which limits the memory of both sides; most writes are smaller.
 constexpr int kWindowLog = 16;
-/// Compressed frames have to be smaller by this part at least.
+/// Compressed frames must be smaller by at least 1/16 of the original size.
 constexpr size_t kMinSavedDivisor = 16;
 
 }  // namespace
@@ -51,7 +50,7 @@
                                                          size_t max_bytes) {
   const unsigned long long size = ZSTD_getFrameContentSize(payload.data(), payload.size());
   if (size == ZSTD_CONTENTSIZE_UNKNOWN || size == ZSTD_CONTENTSIZE_ERROR || size > max_bytes) {
-    return absl::DataLossError("compressed frames of no size or too large a size");
+    return absl::DataLossError("compressed frames without a valid size, or too large");
   }
   if (decompressor_ == nullptr) decompressor_.reset(ZSTD_createDCtx());
   std::string frames(size, '\0');
--- a/source/transport/frame_compression.h
+++ b/source/transport/frame_compression.h
@@ -1,5 +1,5 @@
-/// Compression of the frames of one write. Texts and job descriptions are most of what nodes send
-/// each other; bytes between zones cost more than the processor time.
+/// Compression of the frames of one write. Most traffic between nodes is text and job descriptions,
+/// and bytes between zones cost more than the CPU time.
 #pragma once
 
 #include <cstddef>
@@ -15,17 +15,17 @@
 
 namespace millstair {
 
-/// Owns the working memory of the library, which is made at the first use. Not thread-safe: lives
-/// on the strand of its hub.
+/// Owns the zstd contexts, which are created at the first use. Not thread-safe: lives on the strand
+/// of its hub.
 class FrameCompression {
  public:
   FrameCompression();
   ~FrameCompression();
 
-  /// A frame of kind kCompressedKind that holds `frames`; none where that saves too little.
+  /// A frame of kind kCompressedKind that contains `frames`; none if it would save too little.
   std::optional<std::string> Compress(std::string_view frames);
-  /// The frames that the payload of such a frame holds. DataLoss if it is damaged or would become
-  /// larger than `max_bytes`.
+  /// The frames in the payload of such a frame. DataLoss if it is damaged or decompresses to more
+  /// than `max_bytes`.
   absl::StatusOr<std::string> Decompress(std::string_view payload, size_t max_bytes);
 
  private:
--- a/source/transport/peer_hub.cc
+++ b/source/transport/peer_hub.cc
@@ -26,16 +26,16 @@
 
 constexpr auto kUseTuple = asio::as_tuple(asio::use_awaitable);
 constexpr size_t kReadBytes = 16 * 1024;
-/// Messages are joined up to this size for one write.
+/// Messages are batched up to this size for one write.
 constexpr size_t kBatchBytes = 256 * 1024;
-/// Connections beyond these are closed at once.
+/// Further connections are closed immediately.
 constexpr size_t kMaxConnections = 8192;
-/// Wait after a failed accept (out of descriptors).
+/// Delay after a failed accept (out of descriptors).
 constexpr std::chrono::milliseconds kAcceptRetryDelay{100};
-/// A peer that is down is tried several times a second; one line in this long tells as much.
+/// Minimum interval between log lines about messages dropped for one peer.
 constexpr std::chrono::seconds kDropLogInterval{10};
 
-/// Finds out soon when the peer's machine has gone silently.
+/// Sets TCP options that detect an unreachable peer within `timeout`.
 void SetSocketOptions(PeerHub::Tcp::socket& socket, Duration timeout) {
   boost::system::error_code ignored;
   socket.set_option(PeerHub::Tcp::no_delay(true), ignored);
@@ -308,7 +308,7 @@
 
 bool PeerHub::LosesTo(const PeerConnection& connection, const PeerConnection& other) const {
   if (!Crossed(connection, other)) return false;
-  // The connection dialled by the smaller name stays.
+  // The connection dialled by the node with the smaller name stays.
   return connection.dialled == (connection.node < options_.self);
 }
 
@@ -320,7 +320,7 @@
   const auto self = shared_from_this();
   asio::co_spawn(
       strand_, [self, connection] { return self->ReadFrames(connection); }, asio::detached);
-  // Of two crossed connections each node gives up only the one that it dialled itself.
+  // Of two crossed connections, each node closes only the one that it dialled itself.
   if (loses) {
     if (connection->dialled) Retire(connection);
     return;
@@ -405,7 +405,7 @@
       connection->delivered_timer.cancel();
     });
   });
-  // The next bytes are read once these were taken, so that a slow node holds its peers back.
+  // Reading continues once these frames were processed, so that a slow node applies backpressure.
   while (!connection->delivered && !connection->closed) {
     connection->delivered_timer.expires_at(SteadyTime::max());
     co_await connection->delivered_timer.async_wait(kUseTuple);
@@ -465,7 +465,7 @@
   const auto peer = peers_.find(connection->node);
   if (peer == peers_.end() || peer->second.connection != connection) return;
   peer->second.connection = nullptr;
-  // A dial under way may still send what is queued.
+  // A dial in progress may still send the queue.
   if (!peer->second.dialling) DropQueue(peer->first, peer->second, "disconnected");
   LogEvent(EventId::kPeerDisconnected, "node={}", connection->node);
 }
--- a/source/transport/peer_hub.h
+++ b/source/transport/peer_hub.h
@@ -21,7 +21,7 @@
 
 namespace millstair {
 
-/// Until its hello was accepted, a peer may send only this much.
+/// Maximum frame payload of a peer whose hello was not accepted yet.
 inline constexpr size_t kMaxHelloBytes = 4096;
 
 /// One TCP connection to a peer. Lives on the strand of its hub.
@@ -47,21 +47,21 @@
   const bool dialled;
   NodeId node;
   Incarnation incarnation;
-  /// As the peer's hello says.
+  /// From the peer's hello.
   bool takes_compressed = false;
   FrameReader reader;
   /// Cancelled to wake the writing coroutine.
   boost::asio::steady_timer write_wake_timer;
-  /// Cancelled once the executor has taken the frames read.
+  /// Cancelled once the executor has processed the frames read.
   boost::asio::steady_timer delivered_timer;
   boost::asio::steady_timer watchdog;
   bool delivered = true;
   bool closed = false;
-  /// Given up for the other of two crossed connections once its last write is done.
+  /// Replaced by the other of two crossed connections; retired after its current write.
   bool retiring = false;
 };
 
-/// Lives on a strand, except for what is marked as of the executor.
+/// Lives on a strand, except for members marked as used on the executor.
 class PeerHub : public std::enable_shared_from_this<PeerHub> {
  public:
   using Tcp = boost::asio::ip::tcp;
@@ -69,7 +69,7 @@
   PeerHub(Runtime& runtime, std::shared_ptr<SerialExecutor> executor, PeerTransportOptions options,
           StatsRegistry* stats);
 
-  /// Binds the listener, before anything else. Gives its address.
+  /// Binds the listener and returns its address. Called first.
   absl::StatusOr<std::string> Bind();
 
   // From any thread.
@@ -78,7 +78,7 @@
   void Send(NodeId to, PeerMessage message);
   void SetAddress(NodeId node, std::string address);
 
-  /// Of the executor; null drops what arrives.
+  /// Used on the executor; messages are dropped while it is null.
   PeerReceiver* receiver = nullptr;
   const PeerTransportOptions& options() const { return options_; }
 
@@ -92,11 +92,11 @@
     std::deque<std::string> queue;
     size_t queue_bytes = 0;
     ConnectionPointer connection;
-    /// A dial is under way, or waits for its time.
+    /// A dial is in progress or waits for its backoff.
     bool dialling = false;
     Duration backoff{0};
     boost::asio::steady_timer backoff_timer;
-    /// Messages dropped since the last line about it, and when that was.
+    /// Messages dropped since they were last logged, and when that was.
     size_t dropped = 0;
     std::optional<SteadyTime> drop_logged_at;
   };
@@ -104,31 +104,32 @@
   Peer& PeerOf(const NodeId& node);
   void Enqueue(const NodeId& to, std::string frame);
   void DropQueue(const NodeId& node, Peer& peer, const std::string& reason);
-  /// Counts messages that were not sent, and logs it once in a while for each peer.
+  /// Counts messages that were not sent and logs them, rate-limited per peer.
   void RecordDropped(const NodeId& node, Peer& peer, const std::string& reason, size_t count);
-  /// Bytes of the first messages in the queue, joined; empty if there are none.
+  /// Removes messages from the head of the queue and returns their concatenated bytes.
   std::string TakeBatch(Peer& peer);
-  /// Adds the frames of a compressed one; false if it is damaged or holds other than messages.
+  /// Appends the frames of a compressed payload to `frames`; false if it is damaged or contains
+  /// anything but messages.
   bool Unpack(const std::string& payload, std::deque<Frame>& frames);
 
   boost::asio::awaitable<void> Accept();
   boost::asio::awaitable<void> ServeAccepted(ConnectionPointer connection);
   boost::asio::awaitable<void> Dial(NodeId node);
-  /// A connection to `address` whose hellos were exchanged; null with the queue untouched if not.
+  /// Connects to `address` and exchanges hellos; null on failure, with the queue untouched.
   boost::asio::awaitable<ConnectionPointer> Connect(NodeId node, std::string address);
   boost::asio::awaitable<bool> SendHello(ConnectionPointer connection);
-  /// Reads the peer's hello; false, counted, if there is none that fits.
+  /// Reads the peer's hello; false if it is missing or refused, which is counted.
   boost::asio::awaitable<bool> ReadHello(ConnectionPointer connection);
   bool AcceptHello(PeerConnection& connection, const Frame& frame);
 
-  /// Serves `connection`, whose hellos were exchanged, beside or in place of an older one.
+  /// Starts to serve `connection` after the exchange of hellos. It may replace an older one.
   void Adopt(const ConnectionPointer& connection);
-  /// Sends nothing more; what the peer has sent already is still read.
+  /// Stops sending on `connection`; what the peer sent before is still read.
   void Retire(const ConnectionPointer& connection);
-  /// True if both nodes dialled each other at the same time and ours is the one to be given up.
+  /// True if the two connections are crossed and `connection` is the one to close.
   bool LosesTo(const PeerConnection& connection, const PeerConnection& other) const;
-  /// True if each of two nodes in the same lives dialled one of them. No time enters, so that both
-  /// nodes decide alike and never give up both.
+  /// True if each node dialled one of the two connections, with the peer in the same incarnation.
+  /// Independent of timing, so that both nodes agree and never close both connections.
   bool Crossed(const PeerConnection& connection, const PeerConnection& other) const;
   boost::asio::awaitable<void> ReadFrames(ConnectionPointer connection);
   boost::asio::awaitable<void> WriteQueue(ConnectionPointer connection);
@@ -148,8 +149,8 @@
   Tcp::acceptor acceptor_;
   RandomEngine random_;
   std::map<NodeId, Peer> peers_;
-  /// In the queues of all peers. A bound for each alone let a control node that hundreds of nodes
-  /// asked at their start queue 270 MB for them, and end by it.
+  /// Bytes in the queues of all peers. Limited in total, since per-peer limits alone add up with
+  /// hundreds of peers.
   size_t queued_bytes_ = 0;
   std::set<ConnectionPointer> connections_;
   bool stopped_ = false;
--- a/source/transport/peer_stats.h
+++ b/source/transport/peer_stats.h
@@ -11,7 +11,7 @@
 
 struct PeerStats {
   explicit PeerStats(StatsRegistry& registry);
-  /// Counts a refused connection or frame.
+  /// Counts and logs a refused connection or frame.
   void CountRefused(const std::string& reason);
   /// Counts messages that were not sent.
   void CountDropped(const std::string& reason, uint64_t count = 1);
@@ -29,7 +29,7 @@
   Gauge& connections;
 
  private:
-  /// By kind of message; kinds count from 1.
+  /// Indexed by MessageKind, which starts at 1.
   std::array<Counter*, kMessageKinds + 1> queued_bytes_{};
 };
 
--- a/source/transport/tcp_peer_transport.h
+++ b/source/transport/tcp_peer_transport.h
@@ -1,9 +1,9 @@
 /// PeerTransport over TCP: length-framed messages, one connection per pair of nodes.
 ///
-/// A connection is made when there is something to send and none is up, and carries both
-/// directions, so nodes that dialled us are reached without an address. Each side first sends a
-/// hello (protocol version, cluster, node); whatever does not fit is refused and counted. Queues
-/// are bounded: a message that finds no room is dropped, which decision code has to stand anyway.
+/// A connection is opened on demand and used in both directions, so nodes that dialled this one are
+/// reachable without an address. Each side first sends a hello (protocol version, cluster, node); a
+/// mismatch is refused and counted. Queues are bounded: messages beyond the limit are dropped,
+/// which decision code must tolerate anyway.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +19,7 @@
 
 namespace millstair {
 
-/// Version of the frames and messages between nodes; both sides must have the same.
+/// Version of the protocol between nodes; must be equal on both sides.
 inline constexpr uint32_t kPeerProtocolVersion = 1;
 
 struct PeerTransportOptions {
@@ -29,38 +29,38 @@
   /// "ip:port"; port 0 picks a free one.
   std::string listen = "127.0.0.1:0";
   size_t max_frame_bytes = 16 * 1024 * 1024;
-  /// Per peer.
+  /// Maximum bytes queued per peer.
   size_t max_queue_bytes = 32 * 1024 * 1024;
-  /// Of all peers together.
+  /// Maximum bytes queued for all peers together.
   size_t max_queued_bytes = 64 * 1024 * 1024;
   size_t max_queue_messages = 16384;
   Duration connect_timeout = std::chrono::seconds(2);
   Duration hello_timeout = std::chrono::seconds(3);
-  /// Without progress of a write for this long the connection is given up.
+  /// A connection whose write takes longer is closed.
   Duration write_timeout = std::chrono::seconds(5);
-  /// Wait before the next try to connect: doubles from the first to the last, with jitter.
+  /// Delay before the next attempt to connect: doubles from min to max, with jitter.
   Duration min_backoff = std::chrono::milliseconds(50);
   Duration max_backoff = std::chrono::seconds(2);
 };
 
 class PeerHub;
 
-/// Made, used and destroyed on the serial executor, or while that does not run.
+/// Created, used and destroyed on the serial executor, or while that does not run.
 class TcpPeerTransport : public PeerTransport {
  public:
-  /// Listens and hands messages to `receiver`, which is set later by SetReceiver. `stats` outlives
-  /// the runtime, and may be null. InvalidArgument for a bad address, Unavailable if it is taken.
+  /// Starts to listen. `stats` outlives the runtime, and may be null. InvalidArgument for an
+  /// invalid address, Unavailable if it can't be bound.
   static absl::StatusOr<std::unique_ptr<TcpPeerTransport>> Listen(
       Runtime& runtime, std::shared_ptr<SerialExecutor> executor, PeerTransportOptions options,
       StatsRegistry* stats = nullptr);
   ~TcpPeerTransport() override;
 
-  /// Messages that arrive without a receiver are dropped. It is called on the executor.
+  /// Sets the receiver, which is called on the executor. Without one, messages are dropped.
   void SetReceiver(PeerReceiver* receiver);
   void Send(const NodeId& to, PeerMessage message) override;
   void SetAddress(const NodeId& node, const std::string& address) override;
 
-  /// Where it listens, with the port picked.
+  /// The listening address with the actual port.
   const std::string& address() const { return address_; }
 
  private:
--- a/test/transport/address_routes_test.cc
+++ b/test/transport/address_routes_test.cc
@@ -33,7 +33,7 @@
   void OnFailed(CallFailure, const std::string&) override {}
 };
 
-TEST_CASE("addresses with a route are reached there, others as they are") {
+TEST_CASE("addresses with a route are substituted, others are unchanged") {
   const std::map<std::string, std::string> table = {{"127.0.0.1:1", "127.0.0.2:2"}};
   const AddressRoutes routes(table);
   RecordingTransport transport;
--- a/test/transport/frame_compression_test.cc
+++ b/test/transport/frame_compression_test.cc
@@ -24,7 +24,7 @@
   return bytes;
 }
 
-/// What a peer reads: one frame of the compressed kind.
+/// Payload of the single compressed frame in `bytes`.
 std::string PayloadOf(const std::string& bytes) {
   FrameReader reader(kLimit);
   reader.Add(bytes);
@@ -34,7 +34,7 @@
   return frame->payload;
 }
 
-TEST_CASE("Frames come out as they went in, and smaller") {
+TEST_CASE("Frames round-trip and get smaller") {
   FrameCompression compression;
   for (const size_t size : {1'000, 5'000, 200'000}) {
     const std::string frames = EncodeFrame(1, Letters(size));
@@ -47,13 +47,13 @@
   }
 }
 
-TEST_CASE("What is small or has no order is sent as it is") {
+TEST_CASE("Small and incompressible frames are not compressed") {
   FrameCompression compression;
   CHECK_FALSE(compression.Compress(Letters(100)).has_value());
   CHECK_FALSE(compression.Compress(Bytes(10'000)).has_value());
 }
 
-TEST_CASE("Damaged, cut and too large frames are refused") {
+TEST_CASE("Damaged, truncated and too large frames are refused") {
   FrameCompression compression;
   std::string payload = PayloadOf(*compression.Compress(Letters(5'000)));
   CHECK_FALSE(compression.Decompress(payload, 4'999).ok());
--- a/test/transport/frame_test.cc
+++ b/test/transport/frame_test.cc
@@ -9,8 +9,8 @@
 
 constexpr uint8_t kKind = static_cast<uint8_t>(MessageKind::kCommand);
 
-TEST_CASE("Frames survive any cutting of the stream") {
-  rc::prop("what was encoded is read", [](const std::vector<std::string>& payloads) {
+TEST_CASE("Frames are read regardless of how the stream is split") {
+  rc::prop("frames are read as encoded", [](const std::vector<std::string>& payloads) {
     std::string stream;
     for (const std::string& payload : payloads) stream += EncodeFrame(kKind, payload);
     FrameReader reader(1 << 20);
@@ -29,7 +29,7 @@
   });
 }
 
-TEST_CASE("Faulty frames are told apart, and nothing is read behind them") {
+TEST_CASE("Invalid frames are distinguished, and nothing is read after them") {
   FrameReader reader(100);
   SECTION("too large") {
     reader.Add(EncodeFrame(kKind, std::string(101, 'x')));
--- a/test/transport/tcp_peer_transport_test.cc
+++ b/test/transport/tcp_peer_transport_test.cc
@@ -26,7 +26,7 @@
   std::string payload;
 };
 
-/// One node: a transport, and what arrived at it.
+/// One node: a transport and the messages that it received.
 class Node : public PeerReceiver {
  public:
   Node(Runtime& runtime, const std::string& name, const std::string& cluster = "c",
@@ -74,7 +74,7 @@
     }
     return 0;
   }
-  /// Waits until a stat has reached a value.
+  /// Waits until a stat has reached `value`.
   bool WaitForStat(const std::string& name, const std::string& label, double value) const {
     for (int i = 0; i < 1000; ++i) {
       if (Stat(name, label) >= value) return true;
@@ -104,7 +104,7 @@
   return EncodeFrame(kHelloKind, EncodeNanopb(millstair_Hello_fields, &hello));
 }
 
-/// Sends raw bytes to a transport and waits until it closes the connection, or for a bounded time.
+/// Sends raw bytes to a transport and waits until it closes the connection, with a timeout.
 void SendRaw(const std::string& address, const std::string& bytes, bool end = false) {
   boost::asio::io_context io;
   boost::asio::ip::tcp::socket socket(io);
@@ -119,7 +119,7 @@
   }
 }
 
-TEST_CASE("Messages arrive in order, and replies need no address") {
+TEST_CASE("Messages arrive in order, and the peer can reply without knowing an address") {
   Runtime runtime({.workers = 4});
   Node a(runtime, "a");
   Node b(runtime, "b");
@@ -138,7 +138,7 @@
   CHECK(b.Stat("millstair_peer_dials_total") == 0);
 }
 
-TEST_CASE("Texts are sent compressed, and arrive as they were") {
+TEST_CASE("Texts are sent compressed and arrive unchanged") {
   Runtime runtime({.workers = 4});
   Node first(runtime, "a");
   Node second(runtime, "b");
@@ -162,7 +162,7 @@
   CHECK(node.WaitForStat("millstair_peer_refused_total", "bad-compressed", 1));
 }
 
-TEST_CASE("A node reaches itself, and unknown nodes are counted") {
+TEST_CASE("A node reaches itself, and messages to unknown nodes are counted") {
   Runtime runtime;
   Node a(runtime, "a");
   a.Send("a", "self");
@@ -173,7 +173,7 @@
   CHECK(a.Stat("millstair_peer_messages_dropped_total", "too-large") == 1);
 }
 
-TEST_CASE("Two nodes that dial each other at once settle on one connection") {
+TEST_CASE("Two nodes that dial each other simultaneously keep one connection") {
   Runtime runtime({.workers = 4});
   for (int round = 0; round < 20; ++round) {
     Node a(runtime, "a");
@@ -199,7 +199,7 @@
   }
 }
 
-TEST_CASE("A node is dialled again after its restart at the same address") {
+TEST_CASE("A node is dialled again after a restart at the same address") {
   Runtime runtime({.workers = 4});
   Node a(runtime, "a");
   auto b = std::make_unique<Node>(runtime, "b");
@@ -208,8 +208,8 @@
   a.Send("b", "first");
   REQUIRE(b->WaitFor(1));
   b.reset();
-  // Messages may still go into the old connection until its end is noticed. Tries while nobody
-  // listens back off; they must not go on for each message.
+  // Messages may still go to the old connection until its end is detected. Dials must back off
+  // while nobody listens, instead of being repeated for each message.
   for (int i = 0; i < 1000 && a.Stat("millstair_peer_dials_failed_total") < 1; ++i) {
     for (int message = 0; message < 50; ++message) a.Send("b", "lost");
     std::this_thread::sleep_for(milliseconds(10));
@@ -225,7 +225,7 @@
   CHECK(again.received().back().payload == "second");
 }
 
-TEST_CASE("Other clusters, versions, names and faulty frames are refused and counted") {
+TEST_CASE("Wrong clusters, versions and names and invalid frames are refused and counted") {
   Runtime runtime;
   Node a(runtime, "a");
   const std::string command = EncodeFrame(static_cast<uint8_t>(MessageKind::kCommand), "x");
@@ -253,7 +253,7 @@
   CHECK(a.received().empty());
 }
 
-TEST_CASE("A dialled node of another name or cluster gets nothing") {
+TEST_CASE("A dialled node with another name or cluster gets no messages") {
   Runtime runtime({.workers = 4});
   Node a(runtime, "a");
   Node b(runtime, "b");
