--- a/source/common/alive_flag.h
+++ b/source/common/alive_flag.h
@@ -1,4 +1,4 @@
-/// Guards callbacks that may be called after their owner has gone.
+/// Guards callbacks that may be called after their owner was destroyed.
 #pragma once
 
 #include <memory>
@@ -6,7 +6,8 @@
 
 namespace millstair {
 
-/// Member of the owner; `Guard` wraps a callback so that it does nothing once the owner is gone.
+/// Member of the owner; `Guard` wraps a callback so that it does nothing once the owner is
+/// destroyed.
 class AliveFlag {
  public:
   AliveFlag() : flag_(std::make_shared<char>(0)) {}
@@ -18,8 +19,8 @@
     return GuardOr(std::move(callback), [](auto&&...) {});
   }
 
-  /// The same, for a callback that brings what somebody has to take: `otherwise` hears it once the
-  /// owner is gone.
+  /// As Guard, for arguments that must be handled: `otherwise` is called with them once the owner
+  /// is destroyed.
   template <class Callback, class Otherwise>
   auto GuardOr(Callback callback, Otherwise otherwise) const {
     return [alive = std::weak_ptr<char>(flag_), callback = std::move(callback),
--- a/source/common/event_log.cc
+++ b/source/common/event_log.cc
@@ -33,10 +33,10 @@
   return kNames[static_cast<size_t>(level)];
 }
 
-/// Writes of up to this size to a pipe that polls as writable never wait.
+/// Writes of up to this size to a pipe that polls as writable never block.
 constexpr size_t kMaxLineBytes = 4096;
 
-/// Writes a line unless the reader is too slow for it; whether it was written.
+/// Writes a line unless the descriptor is not writable; returns whether it was written.
 bool WriteUnlessFull(std::string_view line) {
   const int descriptor = log_descriptor.load(std::memory_order_relaxed);
   pollfd ready{descriptor, POLLOUT, 0};
@@ -48,8 +48,8 @@
   return written > 0;
 }
 
-/// Decides which lines are written. The budget refills with time; its last part is reserved for
-/// warnings and errors, so that a flood of successes never hides a failure.
+/// Token bucket that limits the rate of lines. The last part of the budget is reserved for warnings
+/// and errors, so that a flood of successes never hides a failure.
 class LineBudget {
  public:
   using SteadyTime = std::chrono::steady_clock::time_point;
--- a/source/common/event_log.h
+++ b/source/common/event_log.h
@@ -1,8 +1,8 @@
-/// Numbered log events, made by fmt. One line of key=value pairs an event:
+/// Numbered log events, formatted by fmt. One line of key=value pairs per event:
 /// "time=2026-12-02T06:50:00.123Z level=info event=5301 name=ServerStarted node=a zone=b".
 ///
-/// Writing never waits: lines beyond a budget a second, and lines that a full pipe would hold up,
-/// are dropped and counted; the next line that is written says how many. Servers log to standard
+/// Writing never blocks: lines above the rate limit, and lines that a full pipe would delay, are
+/// dropped; their number is logged before the next line that is written. Servers log to standard
 /// output, tools to standard error.
 #pragma once
 
@@ -15,7 +15,7 @@
 
 enum class EventLevel { kDebug, kInfo, kWarning, kError };
 
-/// Every event that the programs log; the number never changes meaning.
+/// All events that the programs log. A number never changes its meaning.
 enum class EventId : int {
 #define MILLSTAIR_EVENT(name, number, level, meaning) k##name = number,
 #include "common/event_ids.inc"
@@ -34,16 +34,17 @@
 
 /// Events below `level` are dropped. Thread-safe. The default is kInfo.
 void SetEventThreshold(EventLevel level);
-/// Where lines go; standard error unless set.
+/// Sets the file descriptor for lines; the default is standard error.
 void SetEventDescriptor(int descriptor);
-/// Drops every event; the simulator runs thousands of nodes and logs nothing.
+/// Drops all events; used by the simulator, which runs thousands of nodes.
 void DisableEventLog();
 bool EventEnabled(EventId id);
 
-/// Writes one finished line. Thread-safe.
+/// Writes one line with the formatted `text`. Thread-safe.
 void WriteEvent(EventId id, std::string_view text);
 
-/// Logs `id` with a text made by fmt from `format` and `arguments` ("key=value" pairs by custom).
+/// Logs `id` with `arguments` formatted by fmt; by convention `format` consists of "key=value"
+/// pairs.
 template <class... Arguments>
 void LogEvent(EventId id, fmt::format_string<Arguments...> format, Arguments&&... arguments) {
   if (!EventEnabled(id)) return;
--- a/source/common/findings.h
+++ b/source/common/findings.h
@@ -1,4 +1,4 @@
-/// Findings: faults in input, each with its location, collected and reported together.
+/// Findings: errors in input, each with its location, collected and reported together.
 #pragma once
 
 #include <string>
@@ -8,13 +8,13 @@
 
 namespace millstair {
 
-/// Where in the input a finding lies. Lines and columns count from 1; 0 is unknown.
+/// Location of a finding in the input. Lines and columns start at 1; 0 is unknown.
 struct Location {
   std::string file;
   int line = 0;
   int column = 0;
 
-  /// "file:line:column", leaving out what is unknown.
+  /// "file:line:column" without unknown parts.
   std::string ToString() const;
   friend bool operator==(const Location&, const Location&) = default;
 };
@@ -27,7 +27,7 @@
   std::string ToString() const;
 };
 
-/// A list of findings. Empty means that the input is sound.
+/// A list of findings. Empty means that the input is valid.
 class Findings {
  public:
   void Add(Location location, std::string message);
@@ -36,7 +36,7 @@
   bool empty() const { return items_.empty(); }
   const std::vector<Finding>& items() const { return items_; }
 
-  /// One finding a line.
+  /// One finding per line.
   std::string ToString() const;
   /// OK if empty, else InvalidArgument with all findings in the message.
   absl::Status ToStatus() const;
--- a/source/common/ids.h
+++ b/source/common/ids.h
@@ -10,10 +10,10 @@
 
 /// Name of a node (one millstaird process) from its settings; stable across restarts.
 using NodeId = StrongId<struct NodeIdTag, std::string>;
-/// Identity of one replica's disk. A node that lost its disk gets a new one; 0 is none.
+/// Identity of the disk of one replica. A node that lost its disk gets a new one; 0 means none.
 using ReplicaId = StrongId<struct ReplicaIdTag, uint64_t>;
-/// Drawn anew at each start of a process; tells two lives of one name apart. The later one is
-/// mostly larger, but clocks jump: nothing that a running process needs may hang on the order.
+/// New at each start of a process; distinguishes the incarnations of one name. A later one is
+/// usually larger, but clocks may jump, so correctness must not depend on the order.
 using Incarnation = StrongId<struct IncarnationTag, uint64_t>;
 /// Zone name, for example "dar-msasani".
 using Zone = StrongId<struct ZoneTag, std::string>;
@@ -34,7 +34,7 @@
 using EngineName = StrongId<struct EngineNameTag, std::string>;
 /// Name of a sample stream resource.
 using StreamName = StrongId<struct StreamNameTag, std::string>;
-/// Published weight version of a model; counts up from 1 per model, 0 is none.
+/// Published weight version of a model; increases from 1 per model, 0 means none.
 using WeightVersion = StrongId<struct WeightVersionTag, uint64_t>;
 /// Digest of a weight version's bytes, as lower-case hex.
 using WeightDigest = StrongId<struct WeightDigestTag, std::string>;
@@ -48,18 +48,18 @@
 /// Fencing number of a leased attempt at a sample; a later lease has a larger one.
 using AttemptEpoch = StrongId<struct AttemptEpochTag, uint64_t>;
 
-/// Identity of a client that wants a resent command answered once.
+/// Identity of a client whose resent commands are deduplicated.
 using ClientId = StrongId<struct ClientIdTag, std::string>;
 /// Position of a command in its client's session; the first is 1.
 using ClientSequence = StrongId<struct ClientSequenceTag, uint64_t>;
 
-/// One life of a back end that registers itself; a restart has another one.
+/// One incarnation of a back end that registers itself; each restart has a new one.
 using InstanceId = StrongId<struct InstanceIdTag, std::string>;
-/// Name of a service: the back ends that a route may send requests to.
+/// Name of a service: the set of back ends of a route.
 using ServiceName = StrongId<struct ServiceNameTag, std::string>;
 /// Name of a tenant: an owner of API keys, requests and batch jobs.
 using TenantName = StrongId<struct TenantNameTag, std::string>;
-/// Tells requests apart by their content: who asks, where, and for what.
+/// Identifies a request by its content: its tenant, target and body.
 using RequestFingerprint = StrongId<struct RequestFingerprintTag, std::string>;
 /// Identifier of a batch job, chosen by its client.
 using JobId = StrongId<struct JobIdTag, std::string>;
--- a/source/common/peer_transport.h
+++ b/source/common/peer_transport.h
@@ -1,4 +1,4 @@
-/// Messages between the system's own processes, as decision code sends them.
+/// Messages between the processes of the system, as sent by decision code.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace millstair {
 
-/// What the payload of a peer message is; each kind is one nanopb message of api/.
+/// Type of the payload of a peer message; each kind is one nanopb message of api/.
 enum class MessageKind : uint8_t {
   kRaft = 1,               ///< RaftBatch (consensus): messages of all groups between two replicas
   kHeartbeat = 2,          ///< node -> control: liveness, applied revision, backend reports
@@ -17,14 +17,14 @@
   kConfigurationPush = 4,  ///< control -> node: configuration changes, no lease
   kCommand = 5,            ///< node -> control: a command for a group
   kCommandReply = 6,       ///< control -> node
-  kWorkRequest = 7,        ///< gateway -> stream leader: asks for leased attempts
+  kWorkRequest = 7,        ///< gateway -> stream leader: requests leased attempts
   kWorkReply = 8,          ///< stream leader -> gateway
   kEngineReport = 9,       ///< gateway -> gateways of its zone: observed engine state
 };
 
 inline constexpr size_t kMessageKinds = 9;
 
-/// "raft", "heartbeat" and so on, for metrics.
+/// Label of the kind in metrics.
 constexpr std::string_view MessageKindName(MessageKind kind) {
   switch (kind) {
     case MessageKind::kRaft:
@@ -55,14 +55,14 @@
   std::string payload;
 };
 
-/// Sends messages to other nodes by name. Delivery is unreliable and may reorder across
-/// reconnections: decision code repeats what matters.
+/// Sends messages to other nodes by name. Delivery is unreliable and may reorder messages across
+/// reconnects, so decision code retransmits where needed.
 class PeerTransport {
  public:
   virtual ~PeerTransport() = default;
   /// Queues `message`; drops it when `to` is unknown or its queue is full.
   virtual void Send(const NodeId& to, PeerMessage message) = 0;
-  /// Tells where `node` listens ("ip:port"). Nodes that dialled us are known without it.
+  /// Sets the address ("ip:port") of `node`. Nodes that dialled this one are reachable without it.
   virtual void SetAddress(const NodeId& node, const std::string& address) = 0;
 };
 
--- a/source/common/random.h
+++ b/source/common/random.h
@@ -1,4 +1,4 @@
-/// Draws from a node's random engine, the same on every machine for the same seed.
+/// Random draws from a node's engine, identical on all machines for the same seed.
 #pragma once
 
 #include <cstdint>
--- a/source/common/rendezvous.cc
+++ b/source/common/rendezvous.cc
@@ -9,7 +9,7 @@
 
 uint64_t HashOf(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
 
-/// Mixes both hashes so that the order of the nodes differs from key to key.
+/// Mixes both hashes, so that the order of the nodes differs between keys.
 uint64_t WeightOf(uint64_t key_hash, uint64_t node_hash) {
   constexpr uint64_t kFirstMultiplier = 0xbf58476d1ce4e5b9;
   constexpr uint64_t kSecondMultiplier = 0x94d049bb133111eb;
@@ -39,7 +39,7 @@
     return a.weight != b.weight ? a.weight > b.weight : *a.node < *b.node;
   };
   const uint64_t key_hash = HashOf(key);
-  // Sorted, heaviest first; `count` is small, so insertion beats sorting all nodes.
+  // Sorted by descending weight; `count` is small, so insertion is faster than sorting all nodes.
   std::vector<Weighted> heaviest;
   heaviest.reserve(count + 1);
   for (const Hashed& hashed : nodes_) {
--- a/source/common/rendezvous.h
+++ b/source/common/rendezvous.h
@@ -1,5 +1,5 @@
-/// Which of many nodes care for a subject, by rendezvous hashing: all that know the same nodes
-/// choose the same ones, and a node that comes or goes moves its own subjects alone.
+/// Assigns keys to nodes by rendezvous hashing: everyone who knows the same nodes chooses the same
+/// ones, and adding or removing a node only moves the keys of that node.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 /// Weight of `node` for `key`; the nodes with the largest weights are chosen.
 uint64_t RendezvousWeight(std::string_view key, const NodeId& node);
 
-/// Nodes to choose from, each hashed once, so that a choice costs one multiplication a node.
+/// Candidate nodes with precomputed hashes, so that a choice hashes only the key.
 class RendezvousNodes {
  public:
   RendezvousNodes() = default;
--- a/source/common/scoped_timer.h
+++ b/source/common/scoped_timer.h
@@ -1,4 +1,4 @@
-/// A timer that is taken back when its owner goes, so that no callback outlives it.
+/// A timer that is cancelled by its destructor, so that its callback never outlives the owner.
 #pragma once
 
 #include <functional>
@@ -8,8 +8,8 @@
 
 namespace millstair {
 
-/// One timer at a time; arming again replaces the earlier one. Member of its owner, so that the
-/// callback may use `this` of the owner.
+/// Holds one timer; arming again replaces the earlier one. As a member of the owner it lets the
+/// callback use the owner's `this`.
 class ScopedTimer {
  public:
   explicit ScopedTimer(Environment& environment) : environment_(environment) {}
--- a/source/common/stats.h
+++ b/source/common/stats.h
@@ -1,5 +1,5 @@
-/// Counters and gauges by name. Incrementing is one atomic operation, so that decision code and I/O
-/// threads use them alike; names are registered once, when a module is made.
+/// Counters, gauges and histograms by name. Updates are atomic, so that decision code and I/O
+/// threads can use them; names are registered when a module is created.
 #pragma once
 
 #include <array>
@@ -12,7 +12,7 @@
 
 namespace millstair {
 
-/// Counts up. Thread-safe, lock-free.
+/// Monotonic counter. Thread-safe, lock-free.
 class Counter {
  public:
   void Add(uint64_t count = 1) { value_.fetch_add(count, std::memory_order_relaxed); }
@@ -22,7 +22,7 @@
   std::atomic<uint64_t> value_{0};
 };
 
-/// Holds the newest value. Thread-safe, lock-free.
+/// Holds the latest value. Thread-safe, lock-free.
 class Gauge {
  public:
   void Set(double value) { value_.store(value, std::memory_order_relaxed); }
@@ -32,7 +32,7 @@
   std::atomic<double> value_{0};
 };
 
-/// Counts values by size, for latencies in seconds. Thread-safe, lock-free.
+/// Histogram of latencies in seconds. Thread-safe, lock-free.
 class Histogram {
  public:
   static constexpr std::array<double, 14> kBounds = {0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1,
@@ -44,7 +44,7 @@
     counts_[bucket].fetch_add(1, std::memory_order_relaxed);
     sum_microseconds_.fetch_add(static_cast<uint64_t>(seconds * 1e6), std::memory_order_relaxed);
   }
-  /// Values up to the bound of `bucket` that are above the one before; the last has no bound.
+  /// Number of values in `bucket`: above the previous bound, up to its own. The last has no bound.
   uint64_t count(size_t bucket) const { return counts_[bucket].load(std::memory_order_relaxed); }
   double sum() const {
     return static_cast<double>(sum_microseconds_.load(std::memory_order_relaxed)) * 1e-6;
@@ -71,17 +71,17 @@
   double value = 0;
 };
 
-/// A histogram as read by the metrics page; it lives as long as the registry.
+/// A histogram as read by the metrics page; valid as long as the registry.
 struct HistogramSample {
   StatName name;
   const Histogram* histogram = nullptr;
 };
 
-/// Owns the stats of one node. Registration and reading lock; references stay valid for the life of
-/// the registry.
+/// Owns the stats of one node. Registration and reading lock; references stay valid for the
+/// lifetime of the registry.
 class StatsRegistry {
  public:
-  /// The counter of that name and label value, made at the first call.
+  /// The counter with this name and label value, created at the first call.
   Counter& NewCounter(StatName name) { return FindOrAdd(counters_, std::move(name)); }
   Gauge& NewGauge(StatName name) { return FindOrAdd(gauges_, std::move(name)); }
 
@@ -94,7 +94,7 @@
     return samples;
   }
 
-  /// All values, in the order of registration; counters first.
+  /// All counters, then all gauges, each in the order of registration.
   std::vector<StatSample> Read() const {
     const std::lock_guard<std::mutex> lock(mutex_);
     std::vector<StatSample> samples;
--- a/source/common/strong_id.h
+++ b/source/common/strong_id.h
@@ -1,5 +1,5 @@
-/// Strong types for identifiers and counters, so that a term is never passed where an index is
-/// meant.
+/// Strong types for identifiers and counters, which prevent, for example, passing a term as an
+/// index.
 #pragma once
 
 #include <compare>
@@ -40,7 +40,7 @@
   Rep value_{};
 };
 
-/// The counter that follows `id`.
+/// The successor of a counter.
 template <class Tag, class Rep>
 constexpr StrongId<Tag, Rep> Next(StrongId<Tag, Rep> id) {
   return StrongId<Tag, Rep>(id.value() + 1);
--- a/source/common/time.h
+++ b/source/common/time.h
@@ -1,4 +1,4 @@
-/// Time as decision code sees it: a node's own monotonic clock, and wall time for retention only.
+/// Time in decision code: a node's own monotonic clock, and wall time for retention only.
 #pragma once
 
 #include <chrono>
@@ -8,7 +8,7 @@
 
 using Duration = std::chrono::microseconds;
 
-/// Clock of one node. Time points of two nodes are never compared.
+/// Monotonic clock of one node. Time points of different nodes are never compared.
 struct NodeClock {
   using rep = Duration::rep;
   using period = Duration::period;
--- a/source/common/units.cc
+++ b/source/common/units.cc
@@ -72,7 +72,7 @@
   return fmt::format("{}{}", value, units.back().name);
 }
 
-/// Larger values would not fit the integers behind them.
+/// Larger values would overflow 64-bit integers.
 constexpr double kMaxQuantity = 4e18;
 
 }  // namespace
--- a/source/common/units.h
+++ b/source/common/units.h
@@ -1,4 +1,4 @@
-/// Values with units, as people write them in settings and resources: "250ms", "64MiB".
+/// Values with units, as written in settings and resources: "250ms", "64MiB".
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,14 @@
 
 namespace millstair {
 
-/// A number with one of the units us, ms, s, min, h. InvalidArgument says what is wrong.
+/// Parses a number with one of the units us, ms, s, min, h.
 absl::StatusOr<Duration> ParseDuration(std::string_view text);
-/// A whole number with one of the units B, KiB, MiB, GiB; gives bytes.
+/// Parses a number with one of the units B, KiB, MiB, GiB that gives an integral number of bytes.
 absl::StatusOr<uint64_t> ParseSize(std::string_view text);
-/// A whole number without a unit.
+/// Parses a non-negative integer without a unit.
 absl::StatusOr<uint64_t> ParseCount(std::string_view text);
 
-/// The text with the largest unit that leaves a whole number.
+/// Formats with the largest unit that gives an integer.
 std::string FormatDuration(Duration duration);
 std::string FormatSize(uint64_t bytes);
 
--- a/source/common/virtual_environment.h
+++ b/source/common/virtual_environment.h
@@ -1,8 +1,8 @@
-/// Virtual time for tests and the simulator: one event queue for all nodes, and an Environment per
-/// incarnation of a node with a clock of its own that drifts.
+/// Virtual time for tests and the simulator: one event queue for all nodes, and per incarnation of
+/// a node an Environment with its own drifting clock.
 ///
-/// Everything runs on the thread that calls `Step` or `Run*`. Events of the same time run in the
-/// order in which they were scheduled, so the same seed gives the same run.
+/// Everything runs on the thread that calls `Step` or `Run*`. Events with the same time run in the
+/// order in which they were scheduled, so the same seed reproduces a run.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,8 @@
 
 class VirtualEnvironment;
 
-/// The event queue. Its time is the true time of the run, counted from zero; nodes see it through
-/// their drifting clocks.
+/// The event queue. Its time is the true time of the run and starts at zero; nodes only see it
+/// through their drifting clocks.
 class VirtualScheduler {
  public:
   explicit VirtualScheduler(uint64_t seed) : random_(seed) {}
@@ -26,12 +26,12 @@
 
   /// True time since the start of the run.
   Duration Now() const { return now_; }
-  /// Randomness of the run itself (network, faults); nodes have engines of their own.
+  /// Randomness of the run itself (network, faults); nodes have their own engines.
   RandomEngine& Random() { return random_; }
 
-  /// Runs `callback` once, `delay` of true time from now. Not bound to any node.
+  /// Runs `callback` once after `delay` of true time. Not bound to any node.
   TimerId Schedule(Duration delay, std::function<void()> callback);
-  /// Takes a scheduled callback back; no effect once it ran.
+  /// Cancels a scheduled callback; no effect once it ran.
   void Cancel(TimerId timer);
 
   /// Runs the next event; false if there is none.
@@ -40,17 +40,17 @@
   void RunUntil(Duration time);
   /// Runs all events of the next `span`.
   void RunFor(Duration span) { RunUntil(now_ + span); }
-  /// Runs until no event is left or `max_events` have run; the number that ran.
+  /// Runs until no event is left or `max_events` have run; returns the number that ran.
   uint64_t Run(uint64_t max_events);
-  /// Runs until `condition` holds, tested after each event, at most for `span`; whether it held.
+  /// Runs until `condition` holds, checked after each event, but at most for `span`; returns
+  /// whether it held.
   bool RunUntilTrue(const std::function<bool()>& condition, Duration span);
 
-  /// Drops all events, also those that the destruction of others schedules; for the end of a run.
+  /// Drops all events at the end of a run, including those scheduled by the destruction of others.
   void Clear();
 
-  /// Events that have run so far.
   uint64_t events_run() const { return events_run_; }
-  /// Events still waiting.
+  /// Number of events that are scheduled and not cancelled.
   size_t pending() const { return pending_.size(); }
 
  private:
@@ -63,9 +63,9 @@
   /// Heap entry; the smallest (time, order) is next. Cancelled ones are skipped when popped.
   struct Due {
     Duration time;
-    /// Events of the same time run in the order in which they were put into the heap.
+    /// Events with the same time run in the order of their insertion into the heap.
     uint64_t order;
-    /// Names the event.
+    /// Identifies the event in `pending_`.
     uint64_t sequence;
     friend bool operator>(const Due& a, const Due& b) {
       return a.time != b.time ? a.time > b.time : a.order > b.order;
@@ -75,7 +75,7 @@
   TimerId ScheduleFor(const VirtualEnvironment* owner, Duration delay,
                       std::function<void()> callback);
   void DropAllOf(const VirtualEnvironment* owner);
-  /// Events of `owner` that came due while it was suspended are due now.
+  /// Makes the events of `owner` that came due while it was suspended due now.
   void ReleaseDeferred(const VirtualEnvironment* owner);
   /// Removes cancelled entries from the top; false if nothing is left.
   bool SkipCancelled();
@@ -90,18 +90,18 @@
   absl::flat_hash_map<uint64_t, Pending> pending_;
 };
 
-/// How a virtual node's clocks differ from true time.
+/// Deviation of a virtual node's clocks from true time.
 struct VirtualClockOptions {
-  /// Speed of the node's clock; 1.001 gains one millisecond a second.
+  /// Rate of the node's clock; 1.001 gains one millisecond per second.
   double rate = 1.0;
-  /// What the monotonic clock shows at creation.
+  /// Monotonic time at creation.
   Duration monotonic_start = std::chrono::hours(1);
   /// Error of the wall clock.
   Duration wall_error{0};
 };
 
-/// The Environment of one incarnation of a node. After `Kill` (or destruction) none of its
-/// callbacks runs any more; a restarted node gets a new VirtualEnvironment.
+/// The Environment of one incarnation of a node. None of its callbacks runs after `Kill` or
+/// destruction; a restarted node gets a new VirtualEnvironment.
 class VirtualEnvironment : public Environment {
  public:
   /// `scheduler` must outlive it. `seed` seeds the node's random engine.
@@ -116,17 +116,16 @@
   TimerId Schedule(Duration delay, std::function<void()> callback) override;
   void Cancel(TimerId timer) override;
 
-  /// Drops all scheduled callbacks and accepts no new ones: the process is dead.
+  /// Drops all scheduled callbacks and accepts no new ones, as when the process is killed.
   void Kill();
   bool alive() const { return alive_; }
-  /// Changes the speed of the clock from now on.
+  /// Changes the rate of the clock from now on.
   void SetRate(double rate);
-  /// While suspended no callback of the node runs, and its clocks go on; those that came due run as
-  /// it wakes, in their order.
+  /// While suspended, no callback of the node runs but its clocks advance. Callbacks that came due
+  /// run in order when it wakes.
   void Suspend() { suspended_ = true; }
   void Wake();
   bool suspended() const { return suspended_; }
-  /// Lets the wall clock jump.
   void JumpWallClock(Duration by) { clock_.wall_error += by; }
 
  private:
--- a/test/common/event_catalogue_test.cc
+++ b/test/common/event_catalogue_test.cc
@@ -1,4 +1,4 @@
-/// Holds docs/EVENTS.md and the catalogue of events in step.
+/// Checks that docs/EVENTS.md matches the catalogue of events.
 #include <catch2/catch.hpp>
 #include <fstream>
 #include <set>
--- a/test/common/event_log_test.cc
+++ b/test/common/event_log_test.cc
@@ -12,7 +12,7 @@
 namespace millstair {
 namespace {
 
-TEST_CASE("A line names its time, level, event and values") {
+TEST_CASE("A line contains its time, level, event and values") {
   LogPipe pipe;
   LogEvent(EventId::kServerStopped, "node={} text=\"{}\"", "n1", "two\nlines");
   const std::string line = pipe.Read();
@@ -21,7 +21,7 @@
         std::string::npos);
 }
 
-TEST_CASE("A full pipe costs lines and no time, and the loss is told") {
+TEST_CASE("A full pipe drops lines instead of blocking, and the loss is logged") {
   LogPipe pipe;
   const std::string filler(1000, 'x');
   const auto started = std::chrono::steady_clock::now();
@@ -35,7 +35,7 @@
   CHECK(second.find("after") != std::string::npos);
 }
 
-TEST_CASE("A flood of successes leaves room for failures") {
+TEST_CASE("A flood of successes does not suppress failures") {
   LogPipe pipe;
   for (int i = 0; i < 20000; ++i) {
     LogEvent(EventId::kServerStopped, "flood");
--- a/test/common/findings_test.cc
+++ b/test/common/findings_test.cc
@@ -5,7 +5,7 @@
 namespace millstair {
 namespace {
 
-TEST_CASE("findings are reported together with their places") {
+TEST_CASE("findings are reported together with their locations") {
   Findings findings;
   REQUIRE(findings.ToStatus().ok());
   findings.Add(Location{"a.yaml", 3, 7}, "unknown key 'zon'");
--- a/test/common/log_pipe.h
+++ b/test/common/log_pipe.h
@@ -1,4 +1,4 @@
-/// Catches what a test logs.
+/// Captures the log of a test.
 #pragma once
 
 #include <fcntl.h>
@@ -12,7 +12,7 @@
 
 namespace millstair {
 
-/// A pipe that the log goes to for one test.
+/// A pipe that receives the log while it exists.
 class LogPipe {
  public:
   LogPipe() {
--- a/test/common/virtual_environment_test.cc
+++ b/test/common/virtual_environment_test.cc
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("events run by time, then in the order of scheduling") {
+TEST_CASE("events run in the order of time, then of scheduling") {
   VirtualScheduler scheduler(1);
   std::vector<int> order;
   scheduler.Schedule(milliseconds(2), [&] { order.push_back(3); });
@@ -53,7 +53,7 @@
   REQUIRE(fast.Now() - start == seconds(7));
 }
 
-TEST_CASE("a killed node runs no callback and frees what its callbacks held") {
+TEST_CASE("a killed node runs no callback and destroys its callbacks") {
   VirtualScheduler scheduler(1);
   VirtualEnvironment node(scheduler, 1);
   auto held = std::make_shared<int>(0);
@@ -66,7 +66,7 @@
   REQUIRE(*held == 0);
 }
 
-TEST_CASE("a suspended node runs nothing until it wakes, and its clock goes on") {
+TEST_CASE("a suspended node runs nothing until it wakes, while its clock advances") {
   VirtualScheduler scheduler(1);
   VirtualEnvironment node(scheduler, 1);
   VirtualEnvironment other(scheduler, 2);
@@ -89,7 +89,7 @@
   REQUIRE(order == "1abc");
 }
 
-TEST_CASE("a node that is killed while it is suspended runs nothing") {
+TEST_CASE("a node that is killed while suspended runs nothing") {
   VirtualScheduler scheduler(1);
   VirtualEnvironment node(scheduler, 1);
   int ran = 0;
@@ -102,7 +102,7 @@
   REQUIRE(ran == 0);
 }
 
-TEST_CASE("the same seed gives a node the same randomness") {
+TEST_CASE("the same seed gives a node the same random numbers") {
   VirtualScheduler scheduler(1);
   VirtualEnvironment first(scheduler, 42);
   VirtualEnvironment second(scheduler, 42);
