--- a/source/engine/engine_codec.cc
+++ b/source/engine/engine_codec.cc
@@ -17,14 +17,14 @@
   return array;
 }
 
-/// The decoded message, or message_name was wrong with it.
+/// Returns the decoded message, or the errors of the reader.
 template <class Message>
 absl::StatusOr<Message> Result(const JsonReader& reader, Message message) {
   if (absl::Status status = reader.status(); !status.ok()) return status;
   return message;
 }
 
-/// An event is [sequence, stored, "<hex>"], as there are many.
+/// Events are encoded compactly as [sequence, stored, "<hex>"].
 bool DecodeEvent(const json::value& item, CacheEvent& event) {
   const json::array* parts = item.if_array();
   if (parts == nullptr || parts->size() != 3 || !(*parts)[1].is_bool()) return false;
--- a/source/engine/engine_codec.h
+++ b/source/engine/engine_codec.h
@@ -1,7 +1,7 @@
-/// JSON forms of the engine protocol: requests, chunks, orders, reports, cache events.
+/// JSON encoding of the engine protocol: requests, chunks, orders, reports, cache events.
 ///
-/// Unknown members are ignored, so that either side may be newer. A decoding error is
-/// InvalidArgument and names every faulty member: "generate request: max_tokens: missing".
+/// Unknown members are ignored, so that either side may be newer. Decoding errors are
+/// InvalidArgument and name every invalid member: "generate request: max_tokens: missing".
 #pragma once
 
 #include <string>
--- a/source/engine/engine_types.h
+++ b/source/engine/engine_types.h
@@ -1,5 +1,5 @@
-/// The protocol with model engines, as typed messages. engine_codec maps them to HTTP and JSON;
-/// the simulator hands them to the engine model directly.
+/// Typed messages of the protocol with model engines. engine_codec maps them to JSON; the simulator
+/// passes them to the engine model directly.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +16,17 @@
 
 namespace millstair {
 
-/// Larger is more urgent; an engine preempts lower ones when it runs out of KV memory.
+/// Larger values have priority; an engine that runs out of KV memory preempts smaller ones.
 enum class RequestPriority : uint8_t { kRollout = 1, kLive = 2, kUrgentLive = 3 };
 
-/// Tokens in one block of the KV cache; prefix hashes are taken per whole block.
+/// Tokens in one block of the KV cache; prefix hashes cover complete blocks.
 inline constexpr uint32_t kPrefixBlockTokens = 16;
 
-/// Hash of a prompt prefix that ends at a block border; chained, so that it covers all before it.
+/// Hash of a prompt prefix that ends at a block boundary; chained, so that it covers all previous
+/// blocks.
 using BlockHash = uint64_t;
 
-/// Which weights produced a run of tokens. Comes from the engine's own stream only.
+/// The weights that produced consecutive tokens, as reported in the engine's stream.
 struct VersionSpan {
   WeightVersion version;
   WeightDigest digest;
@@ -35,7 +36,7 @@
   friend bool operator==(const VersionSpan&, const VersionSpan&) = default;
 };
 
-/// Asks an engine to generate. Tokens are words of text, joined by single spaces.
+/// Request to generate. Tokens are words of text, joined by single spaces.
 struct GenerateRequest {
   /// Unique per attempt; the engine uses it to resume or cancel.
   std::string request_id;
@@ -44,16 +45,16 @@
   std::string prompt;
   uint32_t max_tokens = 0;
   RequestPriority priority = RequestPriority::kLive;
-  /// Tokens already produced elsewhere, in order; generation continues behind them.
+  /// Tokens already produced by other engines, in order; generation continues after them.
   std::vector<std::string> resume_tokens;
-  /// Engine address that holds exported KV of this request; empty means recompute.
+  /// Address of an engine that holds the exported KV cache of this request; empty: recompute.
   std::string kv_source;
 };
 
 /// One event of a generation stream.
 struct GenerateChunk {
   std::vector<std::string> tokens;
-  /// Index of the first token of this chunk in the whole generation, resumed ones included.
+  /// Index of the first token of this chunk in the complete generation, including resumed tokens.
   uint32_t first_token = 0;
   WeightVersion version;
   WeightDigest digest;
@@ -67,12 +68,13 @@
  public:
   virtual ~GenerateObserver() = default;
   virtual void OnChunk(const GenerateChunk& chunk) = 0;
-  /// The stream ended without a finishing chunk. `leaving` is set when the engine said it drains.
+  /// The stream ended without a finishing chunk. `leaving` is set if the engine reported that it is
+  /// draining.
   virtual void OnFailed(CallFailure failure, bool leaving, const std::string& reason) = 0;
 };
 
 enum class OrderKind : uint8_t {
-  kStage = 1,     ///< fetch a version from the weight store and hold it ready
+  kStage = 1,     ///< fetch a version from the weight store and keep it ready
   kActivate = 2,  ///< serve a staged version
   kUnload = 3,    ///< drop a staged version
   kLoadAdapter = 4,
@@ -80,8 +82,8 @@
   kChangeRole = 6,
 };
 
-/// Orders carry a fence: the engine refuses one that is smaller than the max it has seen.
-/// The fence is the cluster revision that made the order wanted, so it needs no other agreement.
+/// Orders carry a fence: the engine refuses one smaller than the largest that it has seen. The
+/// fence is the cluster revision that caused the order, so it needs no separate consensus.
 struct EngineOrder {
   OrderKind kind = OrderKind::kStage;
   Revision fence;
@@ -96,7 +98,7 @@
 
 enum class ShardState : uint8_t { kConsistent = 1, kSwapping = 2, kMixed = 3 };
 
-/// Load and state of an engine, reported with a lag.
+/// Load and state of an engine, reported with a delay.
 struct EngineReport {
   Incarnation incarnation;
   ModelName model;
@@ -113,48 +115,49 @@
   uint64_t waiting_prefill_tokens = 0;
   uint32_t free_kv_blocks = 0;
   uint32_t total_kv_blocks = 0;
-  /// Smoothed time of one batch step, as the engine measured it.
+  /// Smoothed time of one batch step, measured by the engine.
   Duration step_time{0};
-  /// How long ago the figures above were taken.
+  /// Time since the values above were sampled.
   Duration age{0};
   /// Sequence number of the newest cache event.
   uint64_t newest_cache_event = 0;
 };
 
-/// A prefix block that entered or left an engine's cache.
+/// A prefix block was added to or evicted from an engine's cache.
 struct CacheEvent {
   uint64_t sequence = 0;
   bool stored = true;
   BlockHash block = 0;
 };
 
-/// Answer to a reading of cache events.
+/// Response to a request for cache events.
 struct CacheEvents {
   Incarnation incarnation;
   std::vector<CacheEvent> events;
-  /// Events before the first one here are lost; a resync (all blocks held) follows if asked for.
+  /// Events before the first one here are lost; a resync, which returns all cached blocks,
+  /// recovers.
   bool gap = false;
-  /// Read on from here: the number up to which `events` reach.
+  /// Sequence number up to which `events` are complete; the next read continues after it.
   uint64_t newest = 0;
 };
 
-/// Talks to model engines.
+/// Client of model engines.
 class EngineClient {
  public:
   virtual ~EngineClient() = default;
-  /// Starts a generation on the engine at `address`. Dropping the handle cancels it there.
+  /// Starts a generation on the engine at `address`. Destroying the handle cancels it there.
   virtual std::unique_ptr<CallHandle> Generate(const std::string& address, GenerateRequest request,
                                                GenerateObserver& observer) = 0;
   virtual void SendOrder(const std::string& address, const EngineOrder& order,
                          std::function<void(absl::Status)> done) = 0;
   virtual void FetchReport(const std::string& address,
                            std::function<void(absl::StatusOr<EngineReport>)> done) = 0;
-  /// Events after `after`; `resync` asks for all blocks held instead.
+  /// Fetches events after `after`, or all cached blocks if `resync`.
   virtual void FetchCacheEvents(const std::string& address, uint64_t after, bool resync,
                                 std::function<void(absl::StatusOr<CacheEvents>)> done) = 0;
 };
 
-/// Chained hashes of the whole blocks of `prompt` (tokens are words).
+/// Chained hashes of the complete blocks of `prompt` (tokens are words).
 std::vector<BlockHash> PrefixBlocks(const std::string& prompt);
 
 }  // namespace millstair
--- a/source/engine/json_reader.cc
+++ b/source/engine/json_reader.cc
@@ -7,7 +7,7 @@
 namespace millstair {
 namespace {
 
-/// Deeper nesting than any message has.
+/// Maximum nesting depth; no valid message is nested as deeply.
 constexpr size_t kMaxDepth = 16;
 
 }  // namespace
@@ -57,7 +57,7 @@
 }
 
 const boost::json::value* JsonReader::Member(std::string_view name) {
-  // Without an object there is one fault already, which says all.
+  // Without an object the constructor recorded an error; further ones would add nothing.
   if (object_ == nullptr) return nullptr;
   const boost::json::value* member = object_->if_contains(name);
   if (member == nullptr) Fail(name, "missing");
--- a/source/engine/json_reader.h
+++ b/source/engine/json_reader.h
@@ -1,4 +1,4 @@
-/// Reads members of a JSON object into typed fields and collects message_name is wrong with them.
+/// Reads members of a JSON object into typed fields and collects the errors found.
 #pragma once
 
 #include <cstdint>
@@ -17,15 +17,15 @@
 
 /// Hash as 16 lower-case hex digits.
 std::string HashToHex(uint64_t hash);
-/// The hash in a string of hex digits. False, and `hash` is undefined, if it is none.
+/// Parses a string of hex digits. False if it is invalid; `hash` is then unspecified.
 bool HashFromJson(const boost::json::value& value, uint64_t& hash);
-/// An integer from 0 to 2^64 - 1. False, and `number` is left alone, if it is none.
+/// Reads an integer from 0 to 2^64 - 1. False, with `number` unchanged, if it is none.
 bool UnsignedFromJson(const boost::json::value& value, uint64_t& number);
 
-/// Members are required unless the method says "Optional". A faulty one leaves its field alone.
+/// Members are required unless read by ReadOptional. An invalid one leaves its field unchanged.
 class JsonReader {
  public:
-  /// Parses `json`, which must be an object. `message_name` begins each message.
+  /// Parses `json`, which must be an object. `message_name` prefixes the error message.
   JsonReader(std::string_view message_name, std::string_view json);
 
   void Read(std::string_view name, std::string& field);
@@ -64,7 +64,7 @@
     for (const uint64_t value : values) field.emplace_back(value);
   }
 
-  /// An enumerator given by its number, first..last.
+  /// Reads an enumerator by its number, from `first` to `last`.
   template <class Enum>
   void ReadEnum(std::string_view name, Enum first, Enum last, Enum& field) {
     uint64_t value = static_cast<uint64_t>(field);
@@ -76,7 +76,7 @@
     }
   }
 
-  /// The member as an array; none (and a fault) if it is no array.
+  /// The member as an array; null, with an error recorded, if it is not an array.
   const boost::json::array* Array(std::string_view name);
   void Fail(std::string_view name, std::string_view problem);
   absl::Status status() const;
--- a/source/engine/order_status.h
+++ b/source/engine/order_status.h
@@ -1,4 +1,4 @@
-/// HTTP status codes of the answers to engine orders.
+/// HTTP status codes of the responses to engine orders.
 #pragma once
 
 #include <string>
@@ -7,11 +7,12 @@
 
 namespace millstair {
 
-/// 200, 400 for a bad form, 409 for a fence or precondition, 422 for bytes that do not match, 429
-/// and 503 for a store that is busy or down, 500 for a swap that failed partway and all else.
+/// 200; 400 for a malformed order; 409 for an old fence or failed precondition; 422 for a digest
+/// mismatch; 429 and 503 if the weight store is busy or down; 500 for a failed swap and anything
+/// else.
 int HttpStatusOfOrder(const absl::Status& status);
 
-/// The same back; `detail` becomes the message.
+/// Inverse of HttpStatusOfOrder; `detail` becomes the message.
 absl::Status OrderStatusFromHttp(int http_status, const std::string& detail);
 
 }  // namespace millstair
--- a/source/engine/prefix_blocks.h
+++ b/source/engine/prefix_blocks.h
@@ -14,7 +14,7 @@
   return letter == ' ' || letter == '\n' || letter == '\t' || letter == '\r';
 }
 
-/// Calls `visit(token)` for each word of `text`; words are separated by white space.
+/// Calls `visit(token)` for each whitespace-separated word of `text`.
 template <class Visitor>
 void ForEachToken(std::string_view text, Visitor visit) {
   size_t begin = 0;
@@ -33,20 +33,20 @@
 /// Number of tokens in `text`.
 uint32_t CountTokens(std::string_view text);
 
-/// Takes tokens one by one and closes a block after each kPrefixBlockTokens.
+/// Hashes tokens incrementally; completes a block after each kPrefixBlockTokens tokens.
 class PrefixHasher {
  public:
-  /// True if this token closed a block.
+  /// True if this token completed a block.
   bool Add(std::string_view token);
   void AddText(std::string_view text);
 
   const std::vector<BlockHash>& blocks() const { return blocks_; }
-  /// Tokens taken, with those of the open block.
+  /// Number of tokens added, including those of the incomplete block.
   uint32_t tokens() const { return tokens_; }
 
  private:
   std::vector<BlockHash> blocks_;
-  /// Words of the open block, each followed by a space.
+  /// Words of the incomplete block, each followed by a space.
   std::string partial_block_;
   uint32_t tokens_ = 0;
 };
--- a/test/engine/engine_codec_test.cc
+++ b/test/engine/engine_codec_test.cc
@@ -22,7 +22,7 @@
   return request;
 }
 
-TEST_CASE("a generate request comes back as it was") {
+TEST_CASE("a generate request round-trips") {
   const GenerateRequest sent = SampleRequest();
   const GenerateRequest read = *DecodeGenerateRequest(EncodeGenerateRequest(sent));
   CHECK(read.request_id == sent.request_id);
@@ -35,7 +35,7 @@
   CHECK(read.kv_source == sent.kv_source);
 }
 
-TEST_CASE("a chunk and an order come back as they were") {
+TEST_CASE("a chunk and an order round-trip") {
   const GenerateChunk chunk{
       {"x", "y"}, 7, WeightVersion(UINT64_MAX), WeightDigest("d"), Incarnation(1ULL << 63), true};
   const GenerateChunk read = *DecodeGenerateChunk(EncodeGenerateChunk(chunk));
@@ -67,7 +67,7 @@
   CHECK(ordered.role == order.role);
 }
 
-TEST_CASE("a report and cache events come back as they were") {
+TEST_CASE("a report and cache events round-trip") {
   EngineReport report;
   report.incarnation = Incarnation(4);
   report.model = ModelName("m");
@@ -106,13 +106,13 @@
   CHECK_FALSE(got.events[1].stored);
 }
 
-TEST_CASE("block lists come back as they were") {
+TEST_CASE("block lists round-trip") {
   rc::prop("any hashes", [](const std::vector<uint64_t>& blocks) {
     RC_ASSERT(*DecodeBlockList(EncodeBlockList(blocks)) == blocks);
   });
 }
 
-TEST_CASE("errors name the message and every faulty member") {
+TEST_CASE("errors name the message and every invalid member") {
   const absl::Status status =
       DecodeGenerateRequest(R"({"request_id":5,"model":"m","prompt":"p","max_tokens":-1,
                                 "priority":9})")
@@ -131,7 +131,7 @@
   CHECK(absl::IsInvalidArgument(DecodeBlockList(std::string(100, '[')).status()));
 }
 
-/// `json` with some bytes changed, dropped or doubled.
+/// `json` with some bytes changed, removed or duplicated.
 std::string Damage(std::string json, RandomEngine& random) {
   for (uint64_t changes = 1 + DrawBelow(random, 4); changes > 0 && !json.empty(); --changes) {
     const size_t at = DrawBelow(random, json.size());
@@ -152,7 +152,7 @@
   return json;
 }
 
-TEST_CASE("damaged messages give an error or a message that can be sent again") {
+TEST_CASE("damaged messages give an error or a message that can be encoded again") {
   RandomEngine random(5);
   const std::string request = EncodeGenerateRequest(SampleRequest());
   const std::string report = EncodeEngineReport(EngineReport());
--- a/test/engine/prefix_blocks_test.cc
+++ b/test/engine/prefix_blocks_test.cc
@@ -11,7 +11,7 @@
   return text;
 }
 
-TEST_CASE("only whole blocks have hashes") {
+TEST_CASE("only complete blocks have hashes") {
   CHECK(PrefixBlocks("").empty());
   CHECK(PrefixBlocks(Words(15, "a")).empty());
   CHECK(PrefixBlocks(Words(16, "a")).size() == 1);
@@ -19,7 +19,7 @@
   CHECK(CountTokens(" a  b\nc ") == 3);
 }
 
-TEST_CASE("prompts share the hashes of their common prefix and none behind it") {
+TEST_CASE("prompts share the hashes of their common prefix and none after it") {
   const std::string common = Words(32, "a");
   const std::vector<BlockHash> one = PrefixBlocks(common + " " + Words(32, "b"));
   const std::vector<BlockHash> two = PrefixBlocks(common + " x " + Words(31, "b"));
@@ -27,19 +27,19 @@
   CHECK(one[1] == two[1]);
   CHECK(one[2] != two[2]);
   CHECK(one[3] != two[3]);
-  // The same block behind another prefix is another block.
+  // The same tokens after another prefix hash differently.
   const std::vector<BlockHash> moved = PrefixBlocks(Words(16, "c") + " " + Words(16, "a"));
   CHECK(moved[1] != one[0]);
 }
 
-TEST_CASE("spacing does not matter, but borders between words do") {
+TEST_CASE("spacing does not matter, but word boundaries do") {
   CHECK(PrefixBlocks("  " + Words(16, "a") + "\n") == PrefixBlocks(Words(16, "a")));
   std::string glued = Words(17, "a");
   glued.erase(glued.find(' '), 1);
   CHECK(PrefixBlocks(glued) != PrefixBlocks(Words(16, "a")));
 }
 
-TEST_CASE("a hasher fed token by token agrees with the whole text") {
+TEST_CASE("incremental hashing gives the same result as hashing the complete text") {
   PrefixHasher hasher;
   hasher.AddText(Words(20, "a"));
   bool closed = false;
