--- a/test/gateway/plain_flow_test.cc
+++ b/test/gateway/plain_flow_test.cc
@@ -116,7 +116,7 @@
   CHECK(reused->status() == 422);
 }
 
-TEST_CASE("concurrent requests with one key run once; without the claim they run twice") {
+TEST_CASE("requests with the same key run once; without the claim they run twice") {
   GatewayFaults faults;
   faults.skip_claim = GENERATE(false, true);
   GatewayFixture f(faults);
--- a/test/http/loopback.h
+++ b/test/http/loopback.h
@@ -93,7 +93,8 @@
 
   const std::string& address() const { return address_; }
 
-  /// Reads a complete request; empty if the peer closed.
+  /// Reads up to the end of a request head; the body must have been sent with it. Empty if the peer
+  /// closed.
   static std::string ReadRequest(Tcp::socket& socket) {
     std::string bytes;
     char piece[4096];
