--- a/source/http/beast_http_caller.cc
+++ b/source/http/beast_http_caller.cc
@@ -35,7 +35,7 @@
 
 constexpr auto kUseTuple = asio::as_tuple(asio::use_awaitable);
 
-/// The request as it goes over the wire; empty if it holds characters that don't belong there.
+/// The serialized request; empty if it holds characters that HTTP does not allow.
 std::string FormatRequest(const std::string& address, const HttpRequest& request,
                           const std::string& call_id) {
   if (!IsToken(request.method) || !IsRequestTarget(request.target)) return "";
@@ -67,7 +67,7 @@
   return head;
 }
 
-/// Unlike any other call's of this process, and most likely of any process.
+/// Unique in this process, and across processes with high probability.
 std::string NewCallId() {
   static const uint64_t process =
       (static_cast<uint64_t>(std::random_device()()) << 32) | std::random_device()();
@@ -75,7 +75,7 @@
   return fmt::format("{:x}-{:x}", process, ++count);
 }
 
-/// One call. The coroutine runs on `strand_`; what is marked so belongs to the serial executor.
+/// One call. The coroutine runs on `strand_`; members marked so are used on the serial executor.
 class Call : public std::enable_shared_from_this<Call> {
  public:
   Call(std::shared_ptr<HttpConnectionPool> pool, std::shared_ptr<SerialExecutor> executor,
@@ -95,7 +95,7 @@
         strand_, [self = shared_from_this()] { return self->Run(); }, asio::detached);
   }
 
-  /// On the executor: the observer hears no more.
+  /// Called on the executor. The observer gets no further callbacks.
   void Cancel() {
     observer_ = nullptr;
     asio::post(strand_, [self = shared_from_this()] {
@@ -105,11 +105,11 @@
     });
   }
 
-  /// On the executor.
+  /// Called on the executor.
   void Pause() { paused_ = true; }
   void Resume() {
     paused_ = false;
-    if (std::exchange(acknowledgement_owed_, false)) Acknowledge();
+    if (std::exchange(acknowledgement_pending_, false)) Acknowledge();
   }
 
  private:
@@ -133,10 +133,10 @@
     if (parser.get().keep_alive() && buffer.size() == 0) {
       pool_->Put(address_, std::move(*socket_));
     }
-    Tell([](HttpCallObserver& observer) { observer.OnFinished(); });
+    NotifyObserver([](HttpCallObserver& observer) { observer.OnFinished(); });
   }
 
-  /// Writes the request on a kept connection, or on a new one if not a byte went out there.
+  /// Writes the request on a pooled connection, or on a new one if no byte could be written there.
   asio::awaitable<bool> SendRequest(const std::string& bytes) {
     socket_ = pool_->Take(address_);
     if (socket_.has_value() && !cancelled_) {
@@ -163,7 +163,7 @@
     }
     if (cancelled_) co_return false;
     socket_.emplace(pool_->io());
-    Watch(pool_->options().connect_timeout);
+    ArmWatchdog(pool_->options().connect_timeout);
     const auto [error] = co_await socket_->async_connect(*endpoint, kUseTuple);
     watchdog_.cancel();
     if (error || cancelled_ || !socket_->is_open()) {
@@ -177,9 +177,9 @@
     co_return true;
   }
 
-  /// Bytes handed to the kernel; fewer than all mean that the connection broke.
+  /// Returns the number of bytes written; fewer than all mean that the connection failed.
   asio::awaitable<size_t> Write(const std::string& bytes) {
-    Watch(pool_->options().write_timeout);
+    ArmWatchdog(pool_->options().write_timeout);
     const auto [error, count] =
         co_await asio::async_write(*socket_, asio::buffer(bytes), kUseTuple);
     watchdog_.cancel();
@@ -187,35 +187,37 @@
   }
 
   asio::awaitable<bool> ReadHead(boost::beast::flat_buffer& buffer, ResponseParser& parser) {
-    Watch(pool_->options().read_timeout);
+    ArmWatchdog(pool_->options().read_timeout);
     const auto [error, count] =
         co_await http::async_read_header(*socket_, buffer, parser, kUseTuple);
     watchdog_.cancel();
     if (error) {
-      Fail(CallFailure::kUnknown, fmt::format("no answer from {}: {}", address_, error.message()));
+      Fail(CallFailure::kUnknown,
+           fmt::format("no response from {}: {}", address_, error.message()));
       co_return false;
     }
     if (!parser.is_done() && parser.need_eof() && !pool_->options().until_close) {
-      Fail(CallFailure::kCut, "the answer has no length");
+      Fail(CallFailure::kCut, "the response has no length");
       co_return false;
     }
     if (parser.get().result_int() < 200) {
-      // An interim answer that was not asked for; the final one can't be told apart for sure.
-      Fail(CallFailure::kUnknown, "unexpected interim answer");
+      // A 1xx response that was not requested; the final response can't be identified reliably.
+      Fail(CallFailure::kUnknown, "unexpected interim response");
       co_return false;
     }
     if (call_id_.empty()) {
-      Tell([head = HeadOf(parser)](HttpCallObserver& observer) { observer.OnHead(head); });
+      NotifyObserver(
+          [head = HeadOf(parser)](HttpCallObserver& observer) { observer.OnHead(head); });
       co_return true;
     }
-    const auto named =
+    const auto echoed_id =
         parser.get().find(boost::beast::string_view(kCallIdHeader.data(), kCallIdHeader.size()));
-    if (named != parser.get().end() && named->value() != call_id_) {
+    if (echoed_id != parser.get().end() && echoed_id->value() != call_id_) {
       pool_->stats().foreign_answers.Add();
-      Fail(CallFailure::kUnknown, "the answer belongs to another call");
+      Fail(CallFailure::kUnknown, "the response belongs to another call");
       co_return false;
     }
-    Tell([head = HeadOf(parser)](HttpCallObserver& observer) { observer.OnHead(head); });
+    NotifyObserver([head = HeadOf(parser)](HttpCallObserver& observer) { observer.OnHead(head); });
     co_return true;
   }
 
@@ -224,7 +226,7 @@
     while (!parser.is_done()) {
       parser.get().body().data = piece.data();
       parser.get().body().size = piece.size();
-      Watch(pool_->options().read_timeout);
+      ArmWatchdog(pool_->options().read_timeout);
       const auto [error, read] =
           co_await http::async_read_some(*socket_, buffer, parser, kUseTuple);
       watchdog_.cancel();
@@ -232,21 +234,21 @@
       if (count > 0) co_await Deliver(std::string(piece.data(), count));
       if (cancelled_) co_return false;
       if (error && error != http::error::need_buffer) {
-        Fail(CallFailure::kCut, fmt::format("the answer broke off: {}", error.message()));
+        Fail(CallFailure::kCut, fmt::format("the response was truncated: {}", error.message()));
         co_return false;
       }
     }
     co_return true;
   }
 
-  /// Hands a piece to the observer and waits until it wants more.
+  /// Passes `bytes` to the observer and waits until it accepts more.
   asio::awaitable<void> Deliver(std::string bytes) {
     delivered_ = false;
     executor_->Post([self = shared_from_this(), bytes = std::move(bytes)]() mutable {
       if (self->observer_ == nullptr) return;
       self->observer_->OnBody(std::move(bytes));
       if (self->paused_) {
-        self->acknowledgement_owed_ = true;
+        self->acknowledgement_pending_ = true;
       } else {
         self->Acknowledge();
       }
@@ -257,7 +259,7 @@
     }
   }
 
-  void Watch(Duration timeout) {
+  void ArmWatchdog(Duration timeout) {
     watchdog_.expires_after(timeout);
     watchdog_.async_wait([weak = weak_from_this()](const boost::system::error_code& error) {
       const auto self = weak.lock();
@@ -277,7 +279,7 @@
     if (failure == CallFailure::kNotSent) stats.failed_not_sent.Add();
     if (failure == CallFailure::kUnknown) stats.failed_unknown.Add();
     if (failure == CallFailure::kCut) stats.failed_cut.Add();
-    Tell([failure, reason = std::move(reason)](HttpCallObserver& observer) {
+    NotifyObserver([failure, reason = std::move(reason)](HttpCallObserver& observer) {
       observer.OnFailed(failure, reason);
     });
   }
@@ -285,7 +287,7 @@
   // --- on the executor -----------------------------------------------------------------------
 
   template <class Event>
-  void Tell(Event event) {
+  void NotifyObserver(Event event) {
     executor_->Post([self = shared_from_this(), event = std::move(event)] {
       if (self->observer_ != nullptr) event(*self->observer_);
     });
@@ -310,10 +312,10 @@
   bool cancelled_ = false;
   bool delivered_ = false;
 
-  /// Of the executor; null once the handle was dropped.
+  /// Used on the executor; null once the handle was dropped.
   HttpCallObserver* observer_;
   bool paused_ = false;
-  bool acknowledgement_owed_ = false;
+  bool acknowledgement_pending_ = false;
 };
 
 class Handle : public CallHandle {
--- a/source/http/response_writer.cc
+++ b/source/http/response_writer.cc
@@ -13,7 +13,7 @@
 
 bool HasNoBody(int status) { return status < 200 || status == 204 || status == 304; }
 
-/// A Content-Length as set by the handler; false if it is no number.
+/// Parses the Content-Length set by the handler; false if it is not a number.
 bool ParseLength(std::string_view text, uint64_t* length) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), *length);
   return error == std::errc() && end == text.data() + text.size();
@@ -42,7 +42,7 @@
   const std::optional<std::string_view> length = FindHeader(head.headers, "Content-Length");
   if (framing_.head_request || HasNoBody(head.status)) {
     body_kind_ = BodyKind::kNone;
-  } else if (length.has_value() && ParseLength(*length, &missing_bytes_)) {
+  } else if (length.has_value() && ParseLength(*length, &remaining_bytes_)) {
     body_kind_ = BodyKind::kLength;
   } else if (framing_.http_1_1) {
     body_kind_ = BodyKind::kChunked;
@@ -76,8 +76,8 @@
     case BodyKind::kNone:
       return;
     case BodyKind::kLength:
-      if (bytes.size() > missing_bytes_) return Abort();
-      missing_bytes_ -= bytes.size();
+      if (bytes.size() > remaining_bytes_) return Abort();
+      remaining_bytes_ -= bytes.size();
       channel_->Append(bytes);
       return;
     case BodyKind::kChunked:
@@ -94,7 +94,7 @@
     if (state_ == State::kNew) Abort();
     return;
   }
-  if (body_kind_ == BodyKind::kLength && missing_bytes_ > 0) return Abort();
+  if (body_kind_ == BodyKind::kLength && remaining_bytes_ > 0) return Abort();
   if (body_kind_ == BodyKind::kChunked) channel_->Append(kLastChunk);
   channel_->Finish(framing_.keep_alive);
   Close();
@@ -108,19 +108,19 @@
 
 void FramedResponseWriter::Close() {
   state_ = State::kDone;
-  // The callbacks may own this writer: they go only after the members were cleared.
+  // The callbacks may own this writer, so they are destroyed only after the members are cleared.
   const auto writable = std::exchange(on_writable_, nullptr);
-  const auto gone = std::exchange(on_gone_, nullptr);
+  const auto gone = std::exchange(on_disconnected_, nullptr);
 }
 
 void FramedResponseWriter::OnWritable(std::function<void()> callback) {
   if (state_ != State::kDone) on_writable_ = std::move(callback);
 }
 
-void FramedResponseWriter::OnCallerGone(std::function<void()> callback) {
+void FramedResponseWriter::OnCallerDisconnected(std::function<void()> callback) {
   if (state_ == State::kDone) return;
-  on_gone_ = std::move(callback);
-  if (gone_) NotifyCallerGone();
+  on_disconnected_ = std::move(callback);
+  if (disconnected_) NotifyCallerDisconnected();
 }
 
 void FramedResponseWriter::NotifyWritable() {
@@ -129,11 +129,11 @@
   callback();
 }
 
-void FramedResponseWriter::NotifyCallerGone() {
+void FramedResponseWriter::NotifyCallerDisconnected() {
   if (state_ == State::kDone) return;
-  gone_ = true;
-  if (!on_gone_) return;
-  const std::function<void()> callback = std::exchange(on_gone_, nullptr);
+  disconnected_ = true;
+  if (!on_disconnected_) return;
+  const std::function<void()> callback = std::exchange(on_disconnected_, nullptr);
   callback();
 }
 
--- a/source/http/response_writer.h
+++ b/source/http/response_writer.h
@@ -1,4 +1,4 @@
-/// The ResponseWriter behind the HTTP front: frames the answer and hands it to the connection.
+/// The ResponseWriter of the HTTP server: frames the response and passes it to the connection.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +11,18 @@
 
 namespace millstair {
 
-/// What the framing of an answer depends on.
+/// Properties of a request that determine the framing of its response.
 struct ResponseFraming {
   bool head_request = false;
   bool http_1_1 = true;
   /// The caller and the server both want to keep the connection.
   bool keep_alive = true;
-  /// Sent back to the caller unless empty.
+  /// Echoed to the caller unless empty.
   std::string call_id;
 };
 
-/// Lives on the serial executor; owned by the handler. Destroyed before `Finish`, it cuts the
-/// answer. A body that does not match its Content-Length is cut too.
+/// Lives on the serial executor; owned by the handler. Aborts the response if destroyed before
+/// `Finish`, or if the body does not match its Content-Length.
 class FramedResponseWriter : public ResponseWriter {
  public:
   FramedResponseWriter(std::shared_ptr<ResponseChannel> channel, ResponseFraming framing)
@@ -33,19 +33,19 @@
   void SendBody(std::string bytes) override;
   void Finish() override;
   void Abort() override;
-  size_t WritableBytes() const override { return channel_->Room(); }
+  size_t WritableBytes() const override { return channel_->FreeBytes(); }
   void OnWritable(std::function<void()> callback) override;
-  void OnCallerGone(std::function<void()> callback) override;
+  void OnCallerDisconnected(std::function<void()> callback) override;
 
   /// Called by the connection, on the executor.
   void NotifyWritable();
-  void NotifyCallerGone();
+  void NotifyCallerDisconnected();
 
  private:
   enum class BodyKind { kNone, kLength, kChunked, kUntilClose };
   enum class State { kNew, kBody, kDone };
 
-  /// Chooses how the body is framed, and adds the headers for it.
+  /// Selects the framing of the body and adds its headers.
   void ChooseFraming(HttpResponseHead& head);
   void Close();
 
@@ -53,13 +53,13 @@
   ResponseFraming framing_;
   State state_ = State::kNew;
   BodyKind body_kind_ = BodyKind::kNone;
-  uint64_t missing_bytes_ = 0;
-  bool gone_ = false;
+  uint64_t remaining_bytes_ = 0;
+  bool disconnected_ = false;
   std::function<void()> on_writable_;
-  std::function<void()> on_gone_;
+  std::function<void()> on_disconnected_;
 };
 
-/// Reason phrase of a status, "Unknown" for none of the registered.
+/// Reason phrase of a status; "Unknown" if it is not registered.
 std::string_view ReasonPhrase(int status);
 
 }  // namespace millstair
--- a/source/http/server_connection.cc
+++ b/source/http/server_connection.cc
@@ -36,24 +36,24 @@
 constexpr auto kUseTuple = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
-/// Bytes of a client that are read ahead of what is being served.
+/// Limit on the bytes that are read ahead of the request being served.
 constexpr size_t kReadAheadBytes = 64 * 1024;
 constexpr size_t kReadBytes = 8 * 1024;
-/// How long a refused client may go on sending before the connection is closed.
+/// How long input of a refused client is discarded before the connection is closed.
 constexpr std::chrono::milliseconds kLingerTime{500};
 
 }  // namespace
 
-/// Lives on a strand. Two coroutines share it: one reads bytes ahead and notices that the client
-/// has gone, the other serves the requests.
+/// Lives on a strand and is shared by two coroutines: one reads ahead and detects that the client
+/// disconnected, the other serves the requests.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
   ServerConnection(Tcp::socket socket, std::shared_ptr<HttpServerContext> context)
       : context_(std::move(context)),
         strand_(asio::make_strand(socket.get_executor())),
         socket_(std::move(socket)),
-        news_(strand_),
-        room_(strand_),
+        serve_wake_timer_(strand_),
+        read_wake_timer_(strand_),
         watchdog_(strand_) {}
 
   ~ServerConnection() {
@@ -71,7 +71,7 @@
         strand_, [self = shared_from_this()] { return self->ServeAll(); }, asio::detached);
   }
 
-  void CloseSoon() {
+  void PostClose() {
     asio::post(strand_, [self = shared_from_this()] { self->Close(); });
   }
 
@@ -83,31 +83,31 @@
     std::array<char, kReadBytes> bytes;
     while (!closed_) {
       if (received_.size() >= ReadLimit()) {
-        room_.expires_at(SteadyTime::max());
-        co_await room_.async_wait(kUseTuple);
+        read_wake_timer_.expires_at(SteadyTime::max());
+        co_await read_wake_timer_.async_wait(kUseTuple);
         continue;
       }
       const auto [error, count] = co_await socket_.async_read_some(asio::buffer(bytes), kUseTuple);
       if (error) break;
       received_.append(bytes.data(), count);
-      news_.cancel();
+      serve_wake_timer_.cancel();
     }
     client_ended_ = true;
-    news_.cancel();
+    serve_wake_timer_.cancel();
   }
 
   size_t ReadLimit() const { return std::max(kReadAheadBytes, context_->options.max_header_bytes); }
 
-  /// Waits for bytes, the client's end, or the writer. False if `deadline` passed first.
-  asio::awaitable<bool> WaitForNews(SteadyTime deadline) {
-    news_.expires_at(deadline);
-    const auto [error] = co_await news_.async_wait(kUseTuple);
+  /// Waits for received bytes, the end of the input, or the writer. False on reaching `deadline`.
+  asio::awaitable<bool> WaitForWake(SteadyTime deadline) {
+    serve_wake_timer_.expires_at(deadline);
+    const auto [error] = co_await serve_wake_timer_.async_wait(kUseTuple);
     co_return error == asio::error::operation_aborted;
   }
 
   void Consume(size_t count) {
     received_.erase(0, count);
-    room_.cancel();
+    read_wake_timer_.cancel();
   }
 
   // --- serving -------------------------------------------------------------------------------
@@ -120,7 +120,7 @@
     Close();
   }
 
-  /// Serves one request. False if the connection is to be closed.
+  /// Serves one request. False if the connection must be closed.
   asio::awaitable<bool> ServeOne() {
     const std::optional<size_t> head_size = co_await ReadHead();
     if (!head_size.has_value()) co_return false;
@@ -143,7 +143,7 @@
     co_return co_await Answer(std::move(request), parser);
   }
 
-  /// Size of the next request's head once all of it has been received.
+  /// Reads the next request's head and returns its size; none if the connection must be closed.
   asio::awaitable<std::optional<size_t>> ReadHead() {
     const HttpServerOptions& options = context_->options;
     SteadyTime deadline = std::chrono::steady_clock::now() + options.idle_timeout;
@@ -162,14 +162,14 @@
         co_return std::nullopt;
       }
       if (client_ended_ || closed_) co_return std::nullopt;
-      if (!co_await WaitForNews(deadline)) {
+      if (!co_await WaitForWake(deadline)) {
         if (begun) co_await Refuse(408, "header-timeout");
         co_return std::nullopt;
       }
     }
   }
 
-  /// Reads the body into `parser`. False if the connection is to be closed.
+  /// Reads the body into `parser`. False if the connection must be closed.
   asio::awaitable<bool> ReadBody(RequestParser& parser) {
     if (parser.is_done()) co_return true;
     if (!co_await AnswerExpectation(parser)) co_return false;
@@ -190,7 +190,7 @@
         co_return false;
       }
       if (client_ended_ || closed_) co_return false;
-      if (!co_await WaitForNews(deadline)) {
+      if (!co_await WaitForWake(deadline)) {
         co_await Refuse(408, "body-timeout");
         co_return false;
       }
@@ -227,12 +227,13 @@
     const auto channel = std::make_shared<ResponseChannel>(context_->options.send_buffer_bytes,
                                                            [weak = weak_from_this()] {
                                                              if (const auto self = weak.lock())
-                                                               self->NotifyNews();
+                                                               self->WakeServing();
                                                            });
     ResponseFraming framing;
     framing.head_request = request.method == "HEAD";
     framing.http_1_1 = parser.get().version() == 11;
-    framing.keep_alive = parser.get().keep_alive() && !context_->draining && !context_->turns_away;
+    framing.keep_alive =
+        parser.get().keep_alive() && !context_->draining && !context_->closes_after_response;
     framing.call_id = FindHeader(request.headers, kCallIdHeader).value_or("");
     request.headers = WithoutHeader(std::move(request.headers), kCallIdHeader);
     auto writer = std::make_shared<FramedResponseWriter>(channel, framing);
@@ -247,7 +248,7 @@
     co_return keep;
   }
 
-  /// Sends what the writer makes until the answer ends. False if the connection is to be closed.
+  /// Sends the writer's output until the response ends. False if the connection must be closed.
   asio::awaitable<bool> Relay(ResponseChannel& channel,
                               std::weak_ptr<FramedResponseWriter> writer) {
     while (true) {
@@ -257,13 +258,13 @@
         co_return false;
       }
       if (closed_ || (client_ended_ && !content.finished)) {
-        ReportCallerGone(writer);
+        ReportCallerDisconnected(writer);
         co_return false;
       }
       if (!content.bytes.empty()) {
         const size_t count = content.bytes.size();
         if (!co_await Write(std::move(content.bytes))) {
-          ReportCallerGone(writer);
+          ReportCallerDisconnected(writer);
           co_return false;
         }
         if (channel.Sent(count)) {
@@ -274,23 +275,23 @@
         continue;
       }
       if (content.finished) co_return content.keep_alive;
-      co_await WaitForNews(SteadyTime::max());
+      co_await WaitForWake(SteadyTime::max());
     }
   }
 
-  void ReportCallerGone(const std::weak_ptr<FramedResponseWriter>& writer) {
-    context_->callers_gone->Add();
+  void ReportCallerDisconnected(const std::weak_ptr<FramedResponseWriter>& writer) {
+    context_->callers_disconnected->Add();
     context_->executor->Post([writer] {
-      if (const auto alive = writer.lock()) alive->NotifyCallerGone();
+      if (const auto alive = writer.lock()) alive->NotifyCallerDisconnected();
     });
   }
 
-  /// Called by the writer, on its thread. Many wakes between two runs of the strand are one.
-  void NotifyNews() {
-    if (news_posted_.exchange(true)) return;
+  /// Called by the writer, on its thread. Wakes that arrive before the strand runs are merged.
+  void WakeServing() {
+    if (wake_posted_.exchange(true)) return;
     asio::post(strand_, [self = shared_from_this()] {
-      self->news_posted_ = false;
-      self->news_.cancel();
+      self->wake_posted_ = false;
+      self->serve_wake_timer_.cancel();
     });
   }
 
@@ -305,7 +306,7 @@
     co_return !error;
   }
 
-  /// Sends a problem and lets the client read it before the connection is closed.
+  /// Sends a problem and lingers, so that the client can read it before the connection is closed.
   asio::awaitable<void> Refuse(int status, std::string reason) {
     context_->CountRefused(reason);
     const Problem problem{status, "request refused", reason, Outcome::kNotRun};
@@ -318,7 +319,7 @@
     const SteadyTime deadline = std::chrono::steady_clock::now() + kLingerTime;
     while (!client_ended_ && !closed_) {
       Consume(received_.size());
-      if (!co_await WaitForNews(deadline)) break;
+      if (!co_await WaitForWake(deadline)) break;
     }
   }
 
@@ -339,7 +340,7 @@
 
   // --- closing -------------------------------------------------------------------------------
 
-  /// Closes so that the client sees a reset: an answer cut here never looks complete.
+  /// Closes with a connection reset, so that a truncated response never looks complete.
   void Reset() {
     boost::system::error_code ignored;
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
@@ -350,8 +351,8 @@
     closed_ = true;
     boost::system::error_code ignored;
     socket_.close(ignored);
-    news_.cancel();
-    room_.cancel();
+    serve_wake_timer_.cancel();
+    read_wake_timer_.cancel();
     watchdog_.cancel();
   }
 
@@ -359,21 +360,21 @@
   asio::strand<asio::any_io_executor> strand_;
   Tcp::socket socket_;
   /// Cancelled to wake the serving coroutine.
-  asio::steady_timer news_;
+  asio::steady_timer serve_wake_timer_;
   /// Cancelled to wake the reading coroutine.
-  asio::steady_timer room_;
+  asio::steady_timer read_wake_timer_;
   asio::steady_timer watchdog_;
   std::string received_;
   bool client_ended_ = false;
   bool closed_ = false;
-  std::atomic<bool> news_posted_{false};
+  std::atomic<bool> wake_posted_{false};
 };
 
 void StartServerConnection(Tcp::socket socket, std::shared_ptr<HttpServerContext> context) {
   const auto connection = std::make_shared<ServerConnection>(std::move(socket), context);
   {
     const std::lock_guard<std::mutex> lock(context->mutex);
-    // A connection that is not served closes its socket as it goes.
+    // A connection that is not served closes its socket in its destructor.
     if (context->stopped || context->open.size() >= context->options.max_connections) return;
     context->open.insert(connection.get());
     context->open_connections->Set(static_cast<double>(context->open.size()));
@@ -391,7 +392,7 @@
       if (auto alive = connection->weak_from_this().lock()) open.push_back(std::move(alive));
     }
   }
-  for (const auto& connection : open) connection->CloseSoon();
+  for (const auto& connection : open) connection->PostClose();
 }
 
 std::string_view ReasonPhrase(int status) {
--- a/source/transport/frame_compression.cc
+++ b/source/transport/frame_compression.cc
@@ -7,15 +7,14 @@
 namespace millstair {
 namespace {
 
-/// Smaller writes are sent as they are: heartbeats and acknowledgements, which gain some ten bytes.
-constexpr size_t kLeastBytes = 256;
-/// The fastest of the library's usual levels: the texts' letters gain from their uneven use alone,
-/// which each level finds.
+/// Smaller writes, such as heartbeats and acknowledgements, are sent uncompressed.
+constexpr size_t kMinBytes = 256;
+/// The fastest regular level: most of the gain is entropy coding, which every level does.
 constexpr int kLevel = 1;
-/// Window of 64 KiB: bounds the working memory of both sides; most writes are smaller.
+/// Window of 64 KiB, which limits the memory of both sides; most writes are smaller.
 constexpr int kWindowLog = 16;
-/// Compressed frames have to be smaller by this part at least.
-constexpr size_t kLeastSavedPart = 16;
+/// Compressed frames must be smaller by at least 1/16 of the original size.
+constexpr size_t kMinSavedDivisor = 16;
 
 }  // namespace
 
@@ -31,7 +30,7 @@
 }
 
 std::optional<std::string> FrameCompression::Compress(std::string_view frames) {
-  if (frames.size() < kLeastBytes) return std::nullopt;
+  if (frames.size() < kMinBytes) return std::nullopt;
   if (compressor_ == nullptr) {
     compressor_.reset(ZSTD_createCCtx());
     ZSTD_CCtx_setParameter(compressor_.get(), ZSTD_c_compressionLevel, kLevel);
@@ -40,7 +39,7 @@
   std::string payload(ZSTD_compressBound(frames.size()), '\0');
   const size_t size = ZSTD_compress2(compressor_.get(), payload.data(), payload.size(),
                                      frames.data(), frames.size());
-  if (ZSTD_isError(size) != 0 || size + frames.size() / kLeastSavedPart >= frames.size()) {
+  if (ZSTD_isError(size) != 0 || size + frames.size() / kMinSavedDivisor >= frames.size()) {
     return std::nullopt;
   }
   payload.resize(size);
@@ -51,7 +50,7 @@
                                                          size_t max_bytes) {
   const unsigned long long size = ZSTD_getFrameContentSize(payload.data(), payload.size());
   if (size == ZSTD_CONTENTSIZE_UNKNOWN || size == ZSTD_CONTENTSIZE_ERROR || size > max_bytes) {
-    return absl::DataLossError("compressed frames of no size or too large a size");
+    return absl::DataLossError("compressed frames without a valid size, or too large");
   }
   if (decompressor_ == nullptr) decompressor_.reset(ZSTD_createDCtx());
   std::string frames(size, '\0');
--- a/source/transport/peer_hub.cc
+++ b/source/transport/peer_hub.cc
@@ -26,16 +26,16 @@
 
 constexpr auto kUseTuple = asio::as_tuple(asio::use_awaitable);
 constexpr size_t kReadBytes = 16 * 1024;
-/// Messages are joined up to this size for one write.
+/// Messages are batched up to this size for one write.
 constexpr size_t kBatchBytes = 256 * 1024;
-/// Connections beyond these are closed at once.
+/// Further connections are closed immediately.
 constexpr size_t kMaxConnections = 8192;
-/// Wait after a failed accept (out of descriptors).
-constexpr std::chrono::milliseconds kAcceptPause{100};
-/// A peer that is down is tried several times a second; one line in this long tells as much.
-constexpr std::chrono::seconds kDropTold{10};
+/// Delay after a failed accept (out of descriptors).
+constexpr std::chrono::milliseconds kAcceptRetryDelay{100};
+/// Minimum interval between log lines about messages dropped for one peer.
+constexpr std::chrono::seconds kDropLogInterval{10};
 
-/// Finds out soon when the peer's machine has gone silently.
+/// Sets TCP options that detect an unreachable peer within `timeout`.
 void SetSocketOptions(PeerHub::Tcp::socket& socket, Duration timeout) {
   boost::system::error_code ignored;
   socket.set_option(PeerHub::Tcp::no_delay(true), ignored);
@@ -126,19 +126,19 @@
 void PeerHub::Enqueue(const NodeId& to, std::string frame) {
   if (stopped_) return;
   Peer& peer = PeerOf(to);
-  if (!peer.connection && peer.address.empty()) return NoteDropped(to, peer, "unknown-node", 1);
+  if (!peer.connection && peer.address.empty()) return RecordDropped(to, peer, "unknown-node", 1);
   if (peer.queue.size() >= options_.max_queue_messages ||
       peer.queue_bytes + frame.size() > options_.max_queue_bytes) {
-    return NoteDropped(to, peer, "queue-full", 1);
+    return RecordDropped(to, peer, "queue-full", 1);
   }
   if (queued_bytes_ + frame.size() > options_.max_queued_bytes) {
-    return NoteDropped(to, peer, "queues-full", 1);
+    return RecordDropped(to, peer, "queues-full", 1);
   }
   queued_bytes_ += frame.size();
   peer.queue_bytes += frame.size();
   peer.queue.push_back(std::move(frame));
   if (peer.connection) {
-    peer.connection->news.cancel();
+    peer.connection->write_wake_timer.cancel();
   } else if (!peer.dialling) {
     peer.dialling = true;
     asio::co_spawn(
@@ -146,19 +146,20 @@
   }
 }
 
-void PeerHub::NoteDropped(const NodeId& node, Peer& peer, const std::string& reason, size_t count) {
+void PeerHub::RecordDropped(const NodeId& node, Peer& peer, const std::string& reason,
+                            size_t count) {
   stats_.CountDropped(reason, count);
   peer.dropped += count;
   const SteadyTime now = std::chrono::steady_clock::now();
-  if (peer.drop_told && now - *peer.drop_told < kDropTold) return;
+  if (peer.drop_logged_at && now - *peer.drop_logged_at < kDropLogInterval) return;
   LogEvent(EventId::kPeerMessagesDropped, "node={} address={} reason={} count={}", node,
            peer.address, reason, peer.dropped);
-  peer.drop_told = now;
+  peer.drop_logged_at = now;
   peer.dropped = 0;
 }
 
 void PeerHub::DropQueue(const NodeId& node, Peer& peer, const std::string& reason) {
-  if (!peer.queue.empty()) NoteDropped(node, peer, reason, peer.queue.size());
+  if (!peer.queue.empty()) RecordDropped(node, peer, reason, peer.queue.size());
   peer.queue.clear();
   queued_bytes_ -= peer.queue_bytes;
   peer.queue_bytes = 0;
@@ -183,7 +184,7 @@
     auto [error, socket] = co_await acceptor_.async_accept(kUseTuple);
     if (error || connections_.size() >= kMaxConnections) {
       if (stopped_ || !acceptor_.is_open()) co_return;
-      pause.expires_after(kAcceptPause);
+      pause.expires_after(kAcceptRetryDelay);
       co_await pause.async_wait(kUseTuple);
       continue;
     }
@@ -197,8 +198,8 @@
 asio::awaitable<void> PeerHub::ServeAccepted(ConnectionPointer connection) {
   const auto self = shared_from_this();
   SetSocketOptions(connection->socket, options_.write_timeout);
-  const bool greeted = co_await ReadHello(connection) && co_await SendHello(connection);
-  if (!greeted || stopped_) {
+  const bool hello_accepted = co_await ReadHello(connection) && co_await SendHello(connection);
+  if (!hello_accepted || stopped_) {
     Forget(connection);
     co_return;
   }
@@ -228,7 +229,7 @@
 }
 
 Duration PeerHub::NextBackoff(Peer& peer) {
-  const Duration full = std::clamp(peer.backoff * 2, options_.first_backoff, options_.last_backoff);
+  const Duration full = std::clamp(peer.backoff * 2, options_.min_backoff, options_.max_backoff);
   return DrawDuration(random_, full / 2, full);
 }
 
@@ -307,7 +308,7 @@
 
 bool PeerHub::LosesTo(const PeerConnection& connection, const PeerConnection& other) const {
   if (!Crossed(connection, other)) return false;
-  // The connection dialled by the smaller name stays.
+  // The connection dialled by the node with the smaller name stays.
   return connection.dialled == (connection.node < options_.self);
 }
 
@@ -319,7 +320,7 @@
   const auto self = shared_from_this();
   asio::co_spawn(
       strand_, [self, connection] { return self->ReadFrames(connection); }, asio::detached);
-  // Of two crossed connections each node gives up only the one that it dialled itself.
+  // Of two crossed connections, each node closes only the one that it dialled itself.
   if (loses) {
     if (connection->dialled) Retire(connection);
     return;
@@ -332,7 +333,7 @@
   if (!older) return;
   if (!Crossed(*connection, *older)) return older->Close();
   older->retiring = older->dialled;
-  older->news.cancel();
+  older->write_wake_timer.cancel();
 }
 
 void PeerHub::Retire(const ConnectionPointer& connection) {
@@ -404,7 +405,7 @@
       connection->delivered_timer.cancel();
     });
   });
-  // The next bytes are read once these were taken, so that a slow node holds its peers back.
+  // Reading continues once these frames were processed, so that a slow node applies backpressure.
   while (!connection->delivered && !connection->closed) {
     connection->delivered_timer.expires_at(SteadyTime::max());
     co_await connection->delivered_timer.async_wait(kUseTuple);
@@ -417,8 +418,8 @@
   while (!connection->closed && peer.connection == connection) {
     const std::string batch = TakeBatch(peer);
     if (batch.empty()) {
-      connection->news.expires_at(SteadyTime::max());
-      co_await connection->news.async_wait(kUseTuple);
+      connection->write_wake_timer.expires_at(SteadyTime::max());
+      co_await connection->write_wake_timer.async_wait(kUseTuple);
       continue;
     }
     const auto compressed =
@@ -464,7 +465,7 @@
   const auto peer = peers_.find(connection->node);
   if (peer == peers_.end() || peer->second.connection != connection) return;
   peer->second.connection = nullptr;
-  // A dial under way may still send what is queued.
+  // A dial in progress may still send the queue.
   if (!peer->second.dialling) DropQueue(peer->first, peer->second, "disconnected");
   LogEvent(EventId::kPeerDisconnected, "node={}", connection->node);
 }
--- a/test/gateway/engine_observer_test.cc
+++ b/test/gateway/engine_observer_test.cc
@@ -1,4 +1,4 @@
-// Observation of engines and its sharing between gateways.
+// Polling of engines and sharing of the reports between gateways.
 #include "gateway/engine_observer.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Engines that answer with a settable report.
+/// Engines that return configurable reports and cache events.
 class FakeEngines : public EngineClient {
  public:
   std::unique_ptr<CallHandle> Generate(const std::string&, GenerateRequest,
@@ -48,7 +48,7 @@
   std::map<std::string, int> resyncs;
 };
 
-class NoHttp : public HttpCaller {
+class UnreachableHttp : public HttpCaller {
  public:
   std::unique_ptr<CallHandle> Start(const std::string&, HttpRequest, HttpCallObserver&) override {
     return nullptr;
@@ -57,7 +57,7 @@
 
 class Gateways;
 
-/// Delivers to the other gateways of a test, at once but not within the call.
+/// Delivers messages to the other gateways of a test after 1 ms.
 class LinkedTransport : public PeerTransport {
  public:
   LinkedTransport(Gateways& gateways, NodeId self) : gateways_(gateways), self_(std::move(self)) {}
@@ -76,7 +76,7 @@
   FakeConfigurationClient configuration;
   EngineRouter router;
   EngineObserver observer;
-  bool deaf = false;
+  bool drops_messages = false;
 };
 
 class Gateways {
@@ -113,7 +113,7 @@
   VirtualScheduler scheduler{1};
   ConfigurationBuilder builder;
   FakeEngines engines;
-  NoHttp http;
+  UnreachableHttp http;
   std::map<std::string, std::unique_ptr<GatewayUnderTest>> nodes;
   int messages = 0;
 };
@@ -144,12 +144,12 @@
   ++gateways_.messages;
   gateways_.scheduler.Schedule(milliseconds(1), [this, to, message] {
     const auto found = gateways_.nodes.find(to.value());
-    if (found == gateways_.nodes.end() || found->second->deaf) return;
+    if (found == gateways_.nodes.end() || found->second->drops_messages) return;
     found->second->observer.Receive(self_, message);
   });
 }
 
-TEST_CASE("gateways of the zone learn from the observers, other zones by summary") {
+TEST_CASE("gateways of the zone get reports from the observers, other zones by summary") {
   Gateways g;
   for (const char* name : {"g1", "g2", "g3", "g4"}) g.Add(name, "z1");
   g.Add("h1", "z2");
@@ -162,7 +162,7 @@
     CHECK(g.Knows(name, "b"));
     CHECK(g.Knows(name, "far"));
   }
-  // Two observers poll four times a second each, whatever the number of gateways.
+  // Two observers poll four times per second each, regardless of the number of gateways.
   CHECK(g.engines.polls["a:1"] < 4 * 4 * 2 + 8);
   g.engines.reports["a:1"] = ReportWith(20);
   g.scheduler.RunFor(seconds(2));
@@ -188,7 +188,7 @@
   CHECK(g.Running(third, "a") == 9);
 }
 
-TEST_CASE("cache events are shared, and whoever missed some reads all blocks anew") {
+TEST_CASE("cache events are shared, and a gateway that missed some reads all blocks again") {
   Gateways g;
   for (const char* name : {"g1", "g2", "g3"}) g.Add(name, "z1");
   EngineReport report = ReportWith(4);
@@ -207,21 +207,21 @@
   };
   for (const char* name : {"g1", "g2", "g3"}) CHECK(held(name) == 2);
 
-  // The gateway that does not observe the engine hears nothing for a while.
+  // The gateway that does not observe the engine loses all messages for a while.
   const auto& observers = g.nodes["g1"]->router.observers().Observers(EngineName("a"));
   std::string third;
   for (const char* name : {"g1", "g2", "g3"}) {
     const NodeId node{std::string(name)};
     if (node != observers[0] && node != observers[1]) third = name;
   }
-  g.nodes[third]->deaf = true;
+  g.nodes[third]->drops_messages = true;
   events.events.push_back({3, true, 13});
   events.newest = 3;
   g.engines.events["a:1"] = events;
   g.engines.reports["a:1"].newest_cache_event = 3;
   g.scheduler.RunFor(seconds(2));
   CHECK(held(third) == 2);
-  g.nodes[third]->deaf = false;
+  g.nodes[third]->drops_messages = false;
   events.events.push_back({4, true, 14});
   events.newest = 4;
   g.engines.events["a:1"] = events;
@@ -231,7 +231,7 @@
   CHECK(g.engines.resyncs["a:1"] >= 1);
 }
 
-TEST_CASE("control nodes hear of changes at once and of what stays now and then") {
+TEST_CASE("changes are reported to the control nodes immediately, unchanged state periodically") {
   Gateways g;
   g.Add("g1", "z1");
   g.Start();
@@ -244,14 +244,14 @@
   g.engines.reports["a:1"] = draining;
   g.scheduler.RunFor(milliseconds(400));
   REQUIRE(reports.size() > before);
-  const auto told = std::find_if(reports.begin(), reports.end(), [](const auto& report) {
+  const auto reported = std::find_if(reports.begin(), reports.end(), [](const auto& report) {
     return report.engine == EngineName("a") && report.leaving;
   });
-  CHECK(told != reports.end());
+  CHECK(reported != reports.end());
   CHECK_FALSE(g.nodes["g1"]->router.MayTakeWork(EngineName("a")));
 }
 
-TEST_CASE("a message that can't be read is counted and changes nothing") {
+TEST_CASE("a malformed message is counted and changes nothing") {
   Gateways g;
   g.Add("g1", "z1");
   g.Start();
@@ -270,7 +270,7 @@
   CHECK(g.nodes["g1"]->router.FindEngine(EngineName("nowhere")) == nullptr);
 }
 
-TEST_CASE("observations survive the wire") {
+TEST_CASE("observations survive encoding and decoding") {
   EngineObservationsMessage message;
   message.relay = true;
   ObservedEngineState state;
