--- a/source/jobs/job_group_bootstrapper.cc
+++ b/source/jobs/job_group_bootstrapper.cc
@@ -60,8 +60,8 @@
 }  // namespace
 
 std::unique_ptr<LeaderTask> MakeJobGroupBootstrapper(Environment& environment,
-                                                JobGroupBootstrapperOptions options,
-                                                std::function<void(ClusterCommand)> propose) {
+                                                     JobGroupBootstrapperOptions options,
+                                                     std::function<void(ClusterCommand)> propose) {
   return std::make_unique<JobGroupBootstrapper>(environment, options, std::move(propose));
 }
 
--- a/source/jobs/job_group_bootstrapper.h
+++ b/source/jobs/job_group_bootstrapper.h
@@ -24,7 +24,7 @@
 
 /// A leader task of the cluster group; proposes through `propose`.
 std::unique_ptr<LeaderTask> MakeJobGroupBootstrapper(Environment& environment,
-                                                JobGroupBootstrapperOptions options,
-                                                std::function<void(ClusterCommand)> propose);
+                                                     JobGroupBootstrapperOptions options,
+                                                     std::function<void(ClusterCommand)> propose);
 
 }  // namespace millstair
--- a/source/jobs/load_scheduler.cc
+++ b/source/jobs/load_scheduler.cc
@@ -426,8 +426,8 @@
   if (found == engines_.end()) return;
   // Every earlier announcement is applied here by now.
   const bool leads = group_ != nullptr && group_->IsLeader();
-  const bool may_order =
-      leads && leases_.MayStillOperateOn(LeaseSubject(instance), group_->CurrentTerm(), announced_at);
+  const bool may_order = leads && leases_.MayStillOperateOn(LeaseSubject(instance),
+                                                            group_->CurrentTerm(), announced_at);
   if (!may_order || target == nullptr) {
     found->second.loading.reset();
     return;
--- a/source/jobs/load_scheduler.h
+++ b/source/jobs/load_scheduler.h
@@ -104,7 +104,9 @@
  private:
   /// Subject of the lease on the orders to a server: the same for all its incarnations, so that two
   /// lease holders never alternate at one server.
-  static std::string LeaseSubject(const InstanceId& instance) { return ServerNameOf(instance).value(); }
+  static std::string LeaseSubject(const InstanceId& instance) {
+    return ServerNameOf(instance).value();
+  }
 
   using EngineGroup = std::vector<EngineLoadState*>;
 
