--- a/source/runtime/arena_pool.cc
+++ b/source/runtime/arena_pool.cc
@@ -18,20 +18,20 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     queue_.push_back(std::move(work));
   }
-  news_.notify_one();
+  work_available_.notify_one();
 }
 
 void ArenaPool::Stop() {
   std::unique_lock<std::mutex> lock(mutex_);
   stopping_ = true;
-  news_.notify_all();
-  ended_.wait(lock, [this] { return running_workers_ == 0; });
+  work_available_.notify_all();
+  workers_ended_.wait(lock, [this] { return running_workers_ == 0; });
 }
 
 void ArenaPool::RunWorker() {
   std::unique_lock<std::mutex> lock(mutex_);
   while (true) {
-    news_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
+    work_available_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
     if (queue_.empty()) break;
     const std::function<void()> work = std::move(queue_.front());
     queue_.pop_front();
@@ -40,7 +40,7 @@
     lock.lock();
   }
   --running_workers_;
-  ended_.notify_all();
+  workers_ended_.notify_all();
 }
 
 }  // namespace millstair
--- a/source/runtime/arena_pool.h
+++ b/source/runtime/arena_pool.h
@@ -32,8 +32,8 @@
   void RunWorker();
 
   std::mutex mutex_;
-  std::condition_variable news_;
-  std::condition_variable ended_;
+  std::condition_variable work_available_;
+  std::condition_variable workers_ended_;
   std::deque<std::function<void()>> queue_;
   int running_workers_;
   bool stopping_ = false;
