--- a/source/jobs/job_codec.cc
+++ b/source/jobs/job_codec.cc
@@ -391,7 +391,7 @@
       DecodedMessage<millstair_JobRecord>::Decode(millstair_JobRecord_fields, field.payload);
   if (!wire.ok()) return wire.status();
   SnapshotJob& job = jobs.emplace_back();
-  job.encoded = std::string(field.whole);
+  job.encoded = std::string(field.encoded);
   if (FromWire(**wire, job.record)) return absl::OkStatus();
   return absl::InvalidArgumentError("job snapshot has an invalid job record");
 }
@@ -404,7 +404,7 @@
       ForEachWireField(bytes, [&snapshot, &head](const WireField& field) -> absl::Status {
         const bool is_job = field.tag == millstair_JobSnapshot_jobs_tag;
         if (is_job) return DecodeSnapshotJob(field, snapshot.jobs);
-        head += field.whole;
+        head += field.encoded;
         return absl::OkStatus();
       });
   if (!read.ok()) return absl::DataLossError(read.message());
--- a/source/wire/nanopb_message.cc
+++ b/source/wire/nanopb_message.cc
@@ -35,14 +35,14 @@
     }
     if (type == PB_WT_STRING) {
       uint32_t size = 0;
-      const bool whole = pb_decode_varint32(&stream, &size) && size <= stream.bytes_left;
-      if (!whole) return absl::InvalidArgumentError("a field is cut short");
+      const bool complete = pb_decode_varint32(&stream, &size) && size <= stream.bytes_left;
+      if (!complete) return absl::InvalidArgumentError("a field is cut short");
       field.payload = bytes.substr(position(), size);
       pb_read(&stream, nullptr, size);
     } else if (!pb_skip_field(&stream, type)) {
       return absl::InvalidArgumentError(std::string("bad field: ") + PB_GET_ERROR(&stream));
     }
-    field.whole = bytes.substr(begin, position() - begin);
+    field.encoded = bytes.substr(begin, position() - begin);
     if (absl::Status status = visit(field); !status.ok()) return status;
   }
   return absl::OkStatus();
--- a/source/wire/nanopb_message.h
+++ b/source/wire/nanopb_message.h
@@ -97,7 +97,7 @@
   /// Of a field with a length (messages, strings, bytes); empty for numbers.
   std::string_view payload;
   /// With its tag and length.
-  std::string_view whole;
+  std::string_view encoded;
 };
 
 /// Calls `visit` for each top-level field of `bytes` in order, until it fails. InvalidArgument if
--- a/test/wire/nanopb_message_test.cc
+++ b/test/wire/nanopb_message_test.cc
@@ -40,7 +40,7 @@
   std::string again;
   std::string node;
   const auto visit = [&](const WireField& field) {
-    again += field.whole;
+    again += field.encoded;
     if (field.tag == millstair_Hello_node_tag) node = std::string(field.payload);
     return absl::OkStatus();
   };
@@ -50,7 +50,7 @@
   for (size_t cut = 1; cut < bytes.size(); ++cut) {
     size_t seen = 0;
     const auto count = [&](const WireField& field) {
-      seen += field.whole.size();
+      seen += field.encoded.size();
       return absl::OkStatus();
     };
     const bool ok = ForEachWireField(bytes.substr(0, cut), count).ok();
