--- a/source/storage/entry_index.cc
+++ b/source/storage/entry_index.cc
@@ -20,7 +20,7 @@
 void EntryIndex::Put(const LogEntry& entry) {
   assert(entry.index > base_ && entry.index <= Next(last()));
   while (last() >= entry.index) {
-    ForgetPayload(entries_.back());
+    DropPayload(entries_.back());
     entries_.pop_back();
   }
   entries_.push_back({entry.term, entry.type, {}, entry.payload});
@@ -40,27 +40,27 @@
   if (!Contains(index)) return;
   base_term_ = TermAt(index);
   while (base_ < index) {
-    ForgetPayload(entries_.front());
+    DropPayload(entries_.front());
     entries_.pop_front();
     base_ = Next(base_);
   }
   first_cached_ = std::max(first_cached_, Next(base_));
 }
 
-void EntryIndex::SetPlace(LogIndex index, EntryPlace place) {
-  if (Contains(index)) At(index).place = place;
+void EntryIndex::SetLocation(LogIndex index, EntryLocation location) {
+  if (Contains(index)) At(index).location = location;
 }
 
 void EntryIndex::ShrinkCache() {
   while (cached_bytes_ > cache_limit_ && Contains(first_cached_)) {
     IndexedEntry& entry = At(first_cached_);
-    if (entry.place.segment == 0) return;
-    ForgetPayload(entry);
+    if (entry.location.segment == 0) return;
+    DropPayload(entry);
     first_cached_ = Next(first_cached_);
   }
 }
 
-void EntryIndex::ForgetPayload(IndexedEntry& entry) {
+void EntryIndex::DropPayload(IndexedEntry& entry) {
   if (entry.payload == nullptr) return;
   cached_bytes_ -= entry.payload->size();
   entry.payload = nullptr;
--- a/source/storage/entry_index.h
+++ b/source/storage/entry_index.h
@@ -1,4 +1,5 @@
-/// Index of the entries of one log: term and place on disk of each, and the payloads of the tail.
+/// Index of the entries of one log: term and location on disk of each, and the payloads of the
+/// tail.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +11,7 @@
 namespace millstair {
 
 /// Where an entry's payload lies; segment 0 while it is not written yet.
-struct EntryPlace {
+struct EntryLocation {
   uint64_t segment = 0;
   uint64_t offset = 0;
   uint32_t size = 0;
@@ -19,7 +20,7 @@
 struct IndexedEntry {
   Term term;
   EntryType type = EntryType::kNoop;
-  EntryPlace place;
+  EntryLocation location;
   /// Null once it was dropped from memory.
   EntryPayload payload;
 };
@@ -44,14 +45,14 @@
   /// Drops the entries up to and including `index`, which becomes the base.
   void DropPrefix(LogIndex index);
   /// Tells where an entry was written; ignored if the entry is gone.
-  void SetPlace(LogIndex index, EntryPlace place);
+  void SetLocation(LogIndex index, EntryLocation location);
   /// Drops the oldest written payloads beyond the cache's limit.
   void ShrinkCache();
 
  private:
   IndexedEntry& At(LogIndex index) { return entries_[index.value() - base_.value() - 1]; }
   bool Contains(LogIndex index) const { return index > base_ && index <= last(); }
-  void ForgetPayload(IndexedEntry& entry);
+  void DropPayload(IndexedEntry& entry);
 
   uint64_t cache_limit_;
   LogIndex base_;
--- a/source/storage/log_record.cc
+++ b/source/storage/log_record.cc
@@ -44,7 +44,7 @@
   return header;
 }
 
-/// The header at `offset`, if it is whole and sound.
+/// The header at `offset`, if it is complete and sound.
 std::optional<RecordHeader> ReadHeader(std::string_view bytes, uint64_t segment, uint64_t offset) {
   if (bytes.size() - offset < kRecordHeaderBytes) return std::nullopt;
   return ParseHeader(bytes.substr(offset, kRecordHeaderBytes), Seed(segment, offset));
@@ -54,12 +54,12 @@
   return std::all_of(bytes.begin(), bytes.end(), [](char byte) { return byte == 0; });
 }
 
-/// Whether a whole sector (or the part of it) in [begin, end) was never written.
+/// Whether a complete sector (or the part of it) in [begin, end) was never written.
 bool HasUnwrittenSector(std::string_view bytes, uint64_t begin, uint64_t end) {
   for (uint64_t at = begin; at < end;) {
     const uint64_t sector_end = std::min<uint64_t>((at / kSectorBytes + 1) * kSectorBytes, end);
-    const bool whole = sector_end - at >= kRecordHeaderBytes;
-    if (whole && AllZero(bytes.substr(at, sector_end - at))) return true;
+    const bool complete = sector_end - at >= kRecordHeaderBytes;
+    if (complete && AllZero(bytes.substr(at, sector_end - at))) return true;
     at = sector_end;
   }
   return false;
@@ -116,10 +116,10 @@
   while (offset < bytes.size()) {
     const auto header = ReadHeader(bytes, segment, offset);
     const uint64_t body_at = offset + kRecordHeaderBytes;
-    const bool whole = header.has_value() && header->length <= bytes.size() - body_at;
+    const bool complete = header.has_value() && header->length <= bytes.size() - body_at;
     std::string_view body;
-    if (whole) body = bytes.substr(body_at, header->length);
-    if (!whole || BodyChecksum(body, Seed(segment, offset)) != header->body_checksum) {
+    if (complete) body = bytes.substr(body_at, header->length);
+    if (!complete || BodyChecksum(body, Seed(segment, offset)) != header->body_checksum) {
       if (last && IsTorn(bytes, segment, offset)) break;
       return absl::DataLossError(absl::StrCat(path, ": damaged at offset ", offset));
     }
--- a/source/storage/log_recovery.cc
+++ b/source/storage/log_recovery.cc
@@ -61,14 +61,14 @@
         if (!position.ok()) return position.status();
         if (position->index <= log_.snapshot.index) return absl::OkStatus();
         log_.snapshot = *position;
-        FollowSnapshot(*position);
+        ApplySnapshot(*position);
         return absl::OkStatus();
       }
     }
     return absl::InvalidArgumentError("unknown record type");
   }
 
-  void FollowSnapshot(const LogPosition& position) {
+  void ApplySnapshot(const LogPosition& position) {
     // Entries from here on were removed because a later snapshot covers them.
     if (position.index < index_.base()) return;
     const bool base_of_gap =
@@ -91,7 +91,7 @@
     entry->payload = std::make_shared<std::string>(record.body.substr(kEntryPrefixBytes));
     index_.Put(*entry);
     const uint64_t at = record.offset + kRecordHeaderBytes + kEntryPrefixBytes;
-    index_.SetPlace(entry->index, {number, at, static_cast<uint32_t>(entry->payload->size())});
+    index_.SetLocation(entry->index, {number, at, static_cast<uint32_t>(entry->payload->size())});
     index_.ShrinkCache();
     return absl::OkStatus();
   }
--- a/source/storage/memory_file_system.cc
+++ b/source/storage/memory_file_system.cc
@@ -24,7 +24,7 @@
     if (stale()) return;
     const Duration delay =
         DrawDuration(disk_.random_, disk_.options_.sync_min, disk_.options_.sync_max);
-    absl::Status status = disk_.TakeSyncFailure();
+    absl::Status status = disk_.ConsumeSyncFailure();
     const uint64_t size = file_->bytes.size();
     disk_.environment_->Schedule(delay, [&disk = disk_, file = file_, generation = generation_,
                                          size, status, done = std::move(done)] {
@@ -36,7 +36,7 @@
 
   absl::Status SyncNow() override {
     if (stale()) return absl::FailedPreconditionError("file of an earlier incarnation");
-    absl::Status status = disk_.TakeSyncFailure();
+    absl::Status status = disk_.ConsumeSyncFailure();
     if (status.ok()) file_->synced = file_->bytes.size();
     return status;
   }
@@ -114,7 +114,7 @@
 
 absl::Status MemoryFileSystem::WriteAtomically(const std::string& path, std::string_view bytes) {
   if (full_) return absl::ResourceExhaustedError("disk full");
-  if (absl::Status status = TakeSyncFailure(); !status.ok()) return status;
+  if (absl::Status status = ConsumeSyncFailure(); !status.ok()) return status;
   auto file = std::make_shared<File>();
   file->bytes = std::string(bytes);
   file->synced = bytes.size();
@@ -162,7 +162,7 @@
   return paths;
 }
 
-absl::Status MemoryFileSystem::TakeSyncFailure() {
+absl::Status MemoryFileSystem::ConsumeSyncFailure() {
   ++syncs_;
   if (failing_syncs_ <= 0) return absl::OkStatus();
   --failing_syncs_;
--- a/source/storage/memory_file_system.h
+++ b/source/storage/memory_file_system.h
@@ -68,7 +68,7 @@
     uint64_t synced = 0;
   };
 
-  absl::Status TakeSyncFailure();
+  absl::Status ConsumeSyncFailure();
 
   Environment* environment_;
   RandomEngine random_;
--- a/source/storage/segmented_log.cc
+++ b/source/storage/segmented_log.cc
@@ -44,9 +44,9 @@
   auto file = files_.OpenAppend(path);
   if (!file.ok()) return file.status();
   active_ = *std::move(file);
-  // The head of the segment may have been torn off. The sync covers what was read too: it may have
-  // been in memory only when the process died.
-  if (absl::Status status = AppendSegmentHead(); !status.ok()) return status;
+  // The header of the segment may have been torn off. The sync covers what was read too: it may
+  // have been in memory only when the process died.
+  if (absl::Status status = AppendSegmentHeader(); !status.ok()) return status;
   if (absl::Status status = active_->SyncNow(); !status.ok()) return status;
   active_durable_ = active_->Size();
   return absl::OkStatus();
@@ -59,18 +59,18 @@
   active_ = *std::move(file);
   active_durable_ = 0;
   segments_.push_back({number, LogIndex(0)});
-  return AppendSegmentHead();
+  return AppendSegmentHeader();
 }
 
-absl::Status SegmentedLog::AppendSegmentHead() {
+absl::Status SegmentedLog::AppendSegmentHeader() {
   const uint64_t number = segments_.back().number;
   const uint64_t base = active_->Size();
-  std::string head;
-  AppendRecord(head, base, number, 0, RecordType::kHardState, EncodeHardState(hard_state_));
+  std::string header;
+  AppendRecord(header, base, number, 0, RecordType::kHardState, EncodeHardState(hard_state_));
   if (snapshot_.index > LogIndex(0) && snapshot_sequence_ == 0) {
-    AppendRecord(head, base, number, 0, RecordType::kSnapshot, EncodeLogPosition(snapshot_));
+    AppendRecord(header, base, number, 0, RecordType::kSnapshot, EncodeLogPosition(snapshot_));
   }
-  return active_->Append(head);
+  return active_->Append(header);
 }
 
 std::optional<EntryType> SegmentedLog::TypeAt(LogIndex index) const {
@@ -89,7 +89,7 @@
     const IndexedEntry* indexed = index_.Find(at);
     if (indexed == nullptr) break;
     const uint64_t size = kEntryOverhead + (indexed->payload != nullptr ? indexed->payload->size()
-                                                                        : indexed->place.size);
+                                                                        : indexed->location.size);
     if (!entries.empty() && bytes + size > max_bytes) break;
     bytes += size;
     LogEntry entry{at, indexed->term, indexed->type, indexed->payload};
@@ -106,13 +106,13 @@
 
 absl::Status SegmentedLog::LoadPayload(LogIndex index, const IndexedEntry& entry,
                                        LogEntry& out) const {
-  const std::string path = SegmentPath(folder_, entry.place.segment);
-  const uint64_t start = entry.place.offset - kEntryPrefixBytes - kRecordHeaderBytes;
-  auto bytes = files_.ReadRange(path, start, entry.place.offset + entry.place.size - start);
+  const std::string path = SegmentPath(folder_, entry.location.segment);
+  const uint64_t start = entry.location.offset - kEntryPrefixBytes - kRecordHeaderBytes;
+  auto bytes = files_.ReadRange(path, start, entry.location.offset + entry.location.size - start);
   if (!bytes.ok()) {
     return absl::DataLossError(absl::StrCat(path, ": ", bytes.status().message()));
   }
-  const auto body = RecordBody(*bytes, entry.place.segment, start);
+  const auto body = RecordBody(*bytes, entry.location.segment, start);
   const auto decoded = DecodeEntryPrefix(body.value_or(std::string_view()));
   if (!decoded.ok() || decoded->index != index || decoded->term != entry.term) {
     return absl::DataLossError(absl::StrCat(path, ": damaged at offset ", start));
@@ -168,8 +168,8 @@
     const LogEntry& entry = record.entry;
     AppendRecord(batch, base, segment.number, active_durable_, record.type,
                  EncodeEntryPrefix(entry), *entry.payload);
-    index_.SetPlace(entry.index, {segment.number, at + kRecordHeaderBytes + kEntryPrefixBytes,
-                                  static_cast<uint32_t>(entry.payload->size())});
+    index_.SetLocation(entry.index, {segment.number, at + kRecordHeaderBytes + kEntryPrefixBytes,
+                                     static_cast<uint32_t>(entry.payload->size())});
     segment.max_index = std::max(segment.max_index, entry.index);
   }
   pending_.clear();
@@ -203,8 +203,8 @@
   snapshot_sequence_ = 0;
   snapshot_done_ = std::move(done);
   const std::string path = SnapshotPath(folder_, position);
-  const std::string head = EncodeSnapshotFileHead(position, state);
-  uint64_t bytes = head.size();
+  const std::string header = EncodeSnapshotFileHeader(position, state);
+  uint64_t bytes = header.size();
   for (const std::string_view part : state) bytes += part.size();
   const auto finish = [this](absl::Status status) {
     const auto callback = std::exchange(snapshot_done_, nullptr);
@@ -216,19 +216,19 @@
   }
   auto file = files_.OpenAppend(path);
   if (!file.ok()) return finish(file.status());
-  if (absl::Status status = (*file)->Append(head); !status.ok()) return finish(status);
-  // The state may be large: its parts are written as they are, without a copy behind the head.
+  if (absl::Status status = (*file)->Append(header); !status.ok()) return finish(status);
+  // The state may be large: its parts are written as they are, without a copy behind the header.
   for (const std::string_view part : state) {
     if (absl::Status status = (*file)->Append(part); !status.ok()) return finish(status);
   }
   snapshot_file_ = *std::move(file);
   snapshot_file_->Sync(alive_.Guard([this, finish, position, bytes](absl::Status status) {
     if (!status.ok()) return finish(status);
-    ReferToSnapshot(position, bytes);
+    RecordSnapshotReference(position, bytes);
   }));
 }
 
-void SegmentedLog::ReferToSnapshot(const LogPosition& position, uint64_t bytes) {
+void SegmentedLog::RecordSnapshotReference(const LogPosition& position, uint64_t bytes) {
   snapshot_file_ = nullptr;
   snapshot_ = position;
   snapshot_bytes_ = bytes;
@@ -271,10 +271,10 @@
 void SegmentedLog::RemoveCoveredFiles() {
   // Until the record that refers to the new snapshot is durable, a restart needs the old files.
   if (saving_snapshot()) return;
-  // The segment after a removed one must hold its head durably.
-  const size_t headed = active_durable_ > 0 ? segments_.size() : segments_.size() - 1;
+  // The segment after a removed one must hold its header durably.
+  const size_t with_header = active_durable_ > 0 ? segments_.size() : segments_.size() - 1;
   size_t covered = 0;
-  while (covered + 1 < headed && segments_[covered].max_index <= index_.base()) {
+  while (covered + 1 < with_header && segments_[covered].max_index <= index_.base()) {
     // A file that stays behind is removed at the next start.
     if (!files_.Remove(SegmentPath(folder_, segments_[covered].number)).ok()) break;
     ++covered;
--- a/source/storage/segmented_log.h
+++ b/source/storage/segmented_log.h
@@ -102,12 +102,12 @@
   absl::Status Recover();
   absl::Status BeginSegment();
   /// What every segment must hold, since the segments before it may go.
-  absl::Status AppendSegmentHead();
+  absl::Status AppendSegmentHeader();
   void AppendPending(std::string& batch, uint64_t base);
   void FinishSync(absl::Status status);
   void Fail(absl::Status status);
   void AddRecord(Pending record);
-  void ReferToSnapshot(const LogPosition& position, uint64_t bytes);
+  void RecordSnapshotReference(const LogPosition& position, uint64_t bytes);
   void FinishSnapshot();
   void RemoveCoveredFiles();
   absl::Status LoadPayload(LogIndex index, const IndexedEntry& entry, LogEntry& out) const;
--- a/source/storage/snapshot_file.cc
+++ b/source/storage/snapshot_file.cc
@@ -35,8 +35,8 @@
   return fmt::format("snapshot-{:020}-{:020}", position.index.value(), position.term.value());
 }
 
-std::string EncodeSnapshotFileHead(const LogPosition& position,
-                                   const std::vector<std::string_view>& state) {
+std::string EncodeSnapshotFileHeader(const LogPosition& position,
+                                     const std::vector<std::string_view>& state) {
   std::string bytes;
   AppendInteger(bytes, kMagic);
   bytes += EncodeLogPosition(position);
--- a/source/storage/snapshot_file.h
+++ b/source/storage/snapshot_file.h
@@ -17,8 +17,8 @@
 
 std::string SnapshotFileName(const LogPosition& position);
 /// What stands before the state in its file; `state` is its parts in order.
-std::string EncodeSnapshotFileHead(const LogPosition& position,
-                                   const std::vector<std::string_view>& state);
+std::string EncodeSnapshotFileHeader(const LogPosition& position,
+                                     const std::vector<std::string_view>& state);
 /// DataLoss naming `path` if the bytes are not a whole, undamaged snapshot.
 absl::StatusOr<Snapshot> DecodeSnapshotFile(const std::string& path, std::string_view bytes);
 
