--- a/simulator/fleet/control_machine.cc
+++ b/simulator/fleet/control_machine.cc
@@ -32,7 +32,7 @@
   surroundings_.http.AddAddress(plan_.http_address, host_);
   surroundings_.peers.AddNode(plan_.node, plan_.peer_address, host_);
   if (plan_.founder) {
-    (void)InitializeFounder(disk_, plan.cluster_id, plan_.node, plan_.peer_address);
+    (void)InitializeInitialMember(disk_, plan.cluster_id, plan_.node, plan_.peer_address);
   }
 }
 
@@ -100,7 +100,7 @@
   for (const NodePlan& control : deployment_.controls) {
     options.control_nodes.push_back({control.node, control.peer_address, control.zone});
     if (!control.founder) continue;
-    options.initial_members.push_back({FounderReplicaId(deployment_.cluster_id, control.node),
+    options.initial_members.push_back({InitialMemberReplicaId(deployment_.cluster_id, control.node),
                                        control.node, control.peer_address, true});
   }
   options.platform_list = deployment_.machine_list;
--- a/source/consensus/group_host.h
+++ b/source/consensus/group_host.h
@@ -27,7 +27,7 @@
   Duration request_timeout = std::chrono::milliseconds(5000);
   /// A replica that comes back waits only from this to three times this for a leader before it
   /// stands for election; 0 is as long as ever.
-  Duration restart_patience{0};
+  Duration restart_election_timeout{0};
 };
 
 struct ConsensusLimits {
@@ -47,10 +47,10 @@
 
 /// Writes the identity of a founding member (its replica id is derived from cluster and node, so
 /// that all founders know each other). FailedPrecondition if the folder already has an identity.
-absl::Status InitializeFounder(FileSystem& files, const std::string& cluster_id, const NodeId& node,
-                               const std::string& address);
+absl::Status InitializeInitialMember(FileSystem& files, const std::string& cluster_id,
+                                     const NodeId& node, const std::string& address);
 /// The founding member id of `node` in `cluster_id`.
-ReplicaId FounderReplicaId(const std::string& cluster_id, const NodeId& node);
+ReplicaId InitialMemberReplicaId(const std::string& cluster_id, const NodeId& node);
 /// The stored identity; if there is none, makes a new random one, which must join as a learner.
 absl::StatusOr<ReplicaIdentity> LoadOrCreateIdentity(FileSystem& files, RandomEngine& random,
                                                      const std::string& cluster_id,
--- a/source/consensus/group_host_impl.cc
+++ b/source/consensus/group_host_impl.cc
@@ -81,18 +81,18 @@
   Entry entry;
   entry.context = std::make_unique<ReplicaContext>(
       ReplicaContext{environment_, files_, identity_.replica, timing_, limits_, faults_,
-                     [this, group] { Mark(group); }});
+                     [this, group] { MarkReady(group); }});
   auto replica =
       GroupReplica::Open(*entry.context, group, absl::StrCat(kGroupsFolder, "/", FolderName(group)),
                          std::move(machine), initial_members);
   if (!replica.ok()) return replica.status();
   entry.replica = *std::move(replica);
   GroupReplica* opened = entry.replica.get();
-  by_key_[opened->key()] = opened;
+  replicas_by_key_[opened->key()] = opened;
   groups_[group] = std::move(entry);
   LogEvent(EventId::kGroupOpened, "group={} term={} last_snapshot={}", group, opened->CurrentTerm(),
            opened->AppliedIndex());
-  Mark(group);
+  MarkReady(group);
   return opened;
 }
 
@@ -124,7 +124,7 @@
   const auto it = groups_.find(group);
   if (it == groups_.end()) return absl::NotFoundError(absl::StrCat("no group ", group.value()));
   const std::string folder = it->second.replica->folder();
-  by_key_.erase(it->second.replica->key());
+  replicas_by_key_.erase(it->second.replica->key());
   ReplicaOutput output;
   it->second.replica->Close(output);
   for (auto& callback : output.callbacks) environment_.Schedule(Duration(0), std::move(callback));
@@ -150,34 +150,34 @@
     GroupReplica* replica = FindForMessage(addressed);
     if (replica == nullptr) continue;
     replica->Receive(from, std::move(addressed.message));
-    Mark(replica->id());
+    MarkReady(replica->id());
   }
 }
 
 GroupReplica* GroupHostImpl::FindForMessage(const AddressedRaftMessage& addressed) {
-  const auto it = by_key_.find(addressed.group_key);
-  if (it != by_key_.end()) return it->second;
+  const auto it = replicas_by_key_.find(addressed.group_key);
+  if (it != replicas_by_key_.end()) return it->second;
   const RaftMessageType type = addressed.message.type;
   // Only a leader that counts this replica as a member makes it open the group.
   const bool from_leader =
       type == RaftMessageType::kAppend || type == RaftMessageType::kSnapshotChunk;
   if (!from_leader || addressed.group.value().empty()) return nullptr;
-  if (unusable_.contains(addressed.group)) return nullptr;
+  if (unusable_groups_.contains(addressed.group)) return nullptr;
   auto replica = Open(addressed.group, {});
   if (replica.ok()) return *replica;
   if (!absl::IsNotFound(replica.status())) {
-    unusable_.insert(addressed.group);
+    unusable_groups_.insert(addressed.group);
     LogEvent(EventId::kReplicaHalted, "group={} error=\"{}\"", addressed.group,
              std::string(replica.status().message()));
   }
   return nullptr;
 }
 
-void GroupHostImpl::Mark(const GroupId& group) {
-  marked_.insert(group);
+void GroupHostImpl::MarkReady(const GroupId& group) {
+  ready_groups_.insert(group);
   if (work_scheduled_) return;
   work_scheduled_ = true;
-  environment_.Schedule(Duration(0), alive_.Guard([this] { Work(); }));
+  environment_.Schedule(Duration(0), alive_.Guard([this] { ProcessReadyGroups(); }));
 }
 
 void GroupHostImpl::Tick() {
@@ -186,21 +186,21 @@
   const TimePoint now = environment_.Now();
   for (auto& [id, entry] : groups_) {
     entry.replica->Tick(now);
-    Mark(id);
+    MarkReady(id);
   }
 }
 
-void GroupHostImpl::Work() {
+void GroupHostImpl::ProcessReadyGroups() {
   work_scheduled_ = false;
   ReplicaOutput output;
-  for (const GroupId& group : std::exchange(marked_, {})) {
+  for (const GroupId& group : std::exchange(ready_groups_, {})) {
     const auto it = groups_.find(group);
     if (it == groups_.end()) continue;
-    it->second.replica->Work(output);
-    NoteChanges(group, it->second);
+    it->second.replica->ProcessPending(output);
+    RecordChanges(group, it->second);
   }
   SendAll(std::move(output.messages));
-  const auto changed = std::exchange(changed_, {});
+  const auto changed = std::exchange(changed_groups_, {});
   const auto listeners = leadership_callbacks_;
   // Any of the callbacks may destroy this host.
   bool alive = true;
@@ -222,7 +222,7 @@
   }
 }
 
-void GroupHostImpl::NoteChanges(const GroupId& group, Entry& entry) {
+void GroupHostImpl::RecordChanges(const GroupId& group, Entry& entry) {
   const bool leader = entry.replica->IsLeader();
   const Term term = entry.replica->CurrentTerm();
   const LogIndex configuration = entry.replica->ConfigurationIndex();
@@ -236,7 +236,7 @@
       if (member.node != identity_.node) transport_.SetAddress(member.node, member.address);
     }
   }
-  if (role_changed || members_changed) changed_.insert(group);
+  if (role_changed || members_changed) changed_groups_.insert(group);
 }
 
 void GroupHostImpl::SendAll(std::vector<OutgoingMessage> messages) {
--- a/source/consensus/group_host_impl.h
+++ b/source/consensus/group_host_impl.h
@@ -1,8 +1,9 @@
 /// The GroupHost of a node: finds, opens and drops groups, ticks them, and joins the messages of
 /// all groups to one node in one batch.
 ///
-/// Work is gathered: whatever happens marks its group, and one callback of the executor then serves
-/// all marked groups, so that proposals of one turn share their messages and their sync.
+/// ProcessReadyGroups is gathered: whatever happens marks its group, and one callback of the
+/// executor then serves all marked groups, so that proposals of one turn share their messages and
+/// their sync.
 #pragma once
 
 #include <map>
@@ -51,12 +52,12 @@
   absl::StatusOr<GroupReplica*> Open(const GroupId& group,
                                      const std::vector<GroupMember>& initial_members);
   GroupReplica* FindForMessage(const AddressedRaftMessage& addressed);
-  void Mark(const GroupId& group);
+  void MarkReady(const GroupId& group);
   void Tick();
-  void Work();
+  void ProcessReadyGroups();
   void SendAll(std::vector<OutgoingMessage> messages);
   void SendBatch(const NodeId& node, const std::vector<AddressedRaftMessage>& batch);
-  void NoteChanges(const GroupId& group, Entry& entry);
+  void RecordChanges(const GroupId& group, Entry& entry);
 
   Environment& environment_;
   PeerTransport& transport_;
@@ -68,11 +69,11 @@
   ConsensusFaults faults_;
 
   std::map<GroupId, Entry> groups_;
-  std::map<uint64_t, GroupReplica*> by_key_;
-  std::set<GroupId> marked_;
-  std::set<GroupId> changed_;
+  std::map<uint64_t, GroupReplica*> replicas_by_key_;
+  std::set<GroupId> ready_groups_;
+  std::set<GroupId> changed_groups_;
   /// Groups whose files could not be opened when a leader called for them.
-  std::set<GroupId> unusable_;
+  std::set<GroupId> unusable_groups_;
   bool work_scheduled_ = false;
   std::vector<std::function<void(const GroupId&)>> leadership_callbacks_;
   ScopedTimer tick_timer_;
--- a/source/consensus/group_replica.cc
+++ b/source/consensus/group_replica.cc
@@ -12,9 +12,9 @@
 /// Entries are applied in pieces of about this size.
 constexpr uint64_t kApplyBytes = 1 << 20;
 /// A snapshot is taken at the latest after this many times the wanted number of entries.
-constexpr uint64_t kMostSnapshotIntervals = 8;
+constexpr uint64_t kMaxSnapshotIntervals = 8;
 /// The first entry of every group is its founders' configuration, in this term.
-constexpr Term kFoundingTerm(1);
+constexpr Term kInitialTerm(1);
 
 }  // namespace
 
@@ -43,14 +43,14 @@
 }
 
 absl::Status GroupReplica::Begin(const std::vector<GroupMember>& initial_members) {
-  const bool fresh = log_->last_index() == LogIndex(0) && log_->hard_state().term == Term(0);
-  const bool founder =
+  const bool new_log = log_->last_index() == LogIndex(0) && log_->hard_state().term == Term(0);
+  const bool is_initial_member =
       std::any_of(initial_members.begin(), initial_members.end(),
                   [&](const GroupMember& member) { return member.replica == context_.self; });
-  if (fresh && founder) {
+  if (new_log && is_initial_member) {
     const auto payload = std::make_shared<std::string>(EncodeMembers(initial_members));
-    log_->SaveHardState({kFoundingTerm, ReplicaId()});
-    log_->Append({{LogIndex(1), kFoundingTerm, EntryType::kConfiguration, payload}});
+    log_->SaveHardState({kInitialTerm, ReplicaId()});
+    log_->Append({{LogIndex(1), kInitialTerm, EntryType::kConfiguration, payload}});
   }
   std::vector<GroupMember> members;
   if (absl::Status status = RestoreSnapshot(members); !status.ok()) return status;
@@ -77,7 +77,7 @@
   options.self = context_.self;
   options.heartbeat = context_.timing.heartbeat;
   options.election_timeout = context_.timing.election_timeout;
-  options.restart_patience = context_.timing.restart_patience;
+  options.restart_election_timeout = context_.timing.restart_election_timeout;
   options.max_batch_bytes = context_.limits.max_batch_bytes;
   options.snapshot_chunk_bytes = context_.limits.snapshot_chunk_bytes;
   options.faults = context_.faults;
@@ -111,25 +111,27 @@
                   absl::StatusOr<std::string>(absl::InvalidArgumentError("command too large")));
   }
   auto payload = std::make_shared<std::string>(std::move(command));
-  Await(core_->Propose(EntryType::kCommand, std::move(payload)), std::move(done));
+  AwaitCommit(core_->Propose(EntryType::kCommand, std::move(payload)), std::move(done));
 }
 
-void GroupReplica::Await(absl::StatusOr<LogPosition> position, ProposeCallback done) {
+void GroupReplica::AwaitCommit(absl::StatusOr<LogPosition> position, ProposeCallback done) {
   if (!position.ok()) {
     return Answer(std::move(done), absl::StatusOr<std::string>(position.status()));
   }
   PendingProposal pending{position->term, Deadline(), std::move(done)};
-  // Leadership may be lost and regained before `NoteRole` sees it.
+  // Leadership may be lost and regained before `UpdateRole` sees it.
   std::swap(proposals_[position->index], pending);
   Answer(std::move(pending.done),
          absl::StatusOr<std::string>(absl::UnavailableError("leadership was lost")));
   context_.wake();
 }
 
-void GroupReplica::AwaitChange(absl::StatusOr<LogPosition> position, StatusCallback done) {
-  Await(std::move(position), [done = std::move(done)](const absl::StatusOr<std::string>& result) {
-    if (done) done(result.status());
-  });
+void GroupReplica::AwaitMembershipChange(absl::StatusOr<LogPosition> position,
+                                         StatusCallback done) {
+  AwaitCommit(std::move(position),
+              [done = std::move(done)](const absl::StatusOr<std::string>& result) {
+                if (done) done(result.status());
+              });
 }
 
 void GroupReplica::ConfirmRead(ReadCallback done) {
@@ -143,13 +145,13 @@
   if (core_->configuration().Find(member.replica) != nullptr) {
     return Answer(std::move(done), absl::OkStatus());
   }
-  AwaitChange(core_->AddLearner(std::move(member)), std::move(done));
+  AwaitMembershipChange(core_->AddLearner(std::move(member)), std::move(done));
 }
 
 void GroupReplica::Promote(ReplicaId replica, StatusCallback done) {
   if (!failure_.ok()) return Answer(std::move(done), failure_);
   if (core_->configuration().IsVoter(replica)) return Answer(std::move(done), absl::OkStatus());
-  AwaitChange(core_->Promote(replica), std::move(done));
+  AwaitMembershipChange(core_->Promote(replica), std::move(done));
 }
 
 void GroupReplica::RemoveMember(ReplicaId replica, StatusCallback done) {
@@ -157,7 +159,7 @@
   if (core_->IsLeader() && core_->configuration().Find(replica) == nullptr) {
     return Answer(std::move(done), absl::OkStatus());
   }
-  AwaitChange(core_->RemoveMember(replica), std::move(done));
+  AwaitMembershipChange(core_->RemoveMember(replica), std::move(done));
 }
 
 void GroupReplica::TransferLeadership(StatusCallback done) {
@@ -189,7 +191,7 @@
   context_.wake();
 }
 
-void GroupReplica::Work(ReplicaOutput& output) {
+void GroupReplica::ProcessPending(ReplicaOutput& output) {
   if (failure_.ok()) {
     core_->Flush(context_.environment.Now());
     log_->Flush();
@@ -198,7 +200,7 @@
     SaveSnapshotIfDue();
     CollectReads();
     AnswerAppliedReads();
-    NoteRole();
+    UpdateRole();
     if (failure_.ok() && !core_->failure().ok()) Halt(core_->failure());
   }
   if (failure_.ok()) CollectMessages(output);
@@ -213,7 +215,7 @@
   auto decoded = snapshot.ok() ? DecodeGroupSnapshot(snapshot->state)
                                : absl::StatusOr<GroupSnapshot>(snapshot.status());
   if (!decoded.ok() || snapshot->position != received->position || log_->saving_snapshot()) {
-    return core_->SnapshotRefused();
+    return core_->SnapshotRejected();
   }
   const auto members = decoded->members;
   const LogPosition position = snapshot->position;
@@ -271,13 +273,13 @@
   // A state much larger than the entries since the last snapshot is written less often, so that
   // snapshots never cost more than the log itself.
   const bool worthwhile =
-      applied_bytes_ >= log_->snapshot_file_bytes() || entries >= kMostSnapshotIntervals * limit;
+      applied_bytes_ >= log_->snapshot_file_bytes() || entries >= kMaxSnapshotIntervals * limit;
   if (entries < limit || !worthwhile) return;
   applied_bytes_ = 0;
   const LogPosition position{applied_, log_->TermAt(applied_).value_or(Term())};
-  const std::string head = EncodeGroupSnapshotHead(core_->MembersAt(applied_));
+  const std::string header = EncodeGroupSnapshotHeader(core_->MembersAt(applied_));
   const SnapshotParts state = machine_->TakeSnapshotParts();
-  std::vector<std::string_view> parts = {head};
+  std::vector<std::string_view> parts = {header};
   for (const auto& part : state) parts.emplace_back(*part);
   // Entries that followers may still need stay for a while: they are cheaper than a snapshot.
   const LogIndex compact_to(position.index.value() - limit / 2);
@@ -307,14 +309,14 @@
 }
 
 void GroupReplica::ExpireRequests(TimePoint now) {
-  const auto late = absl::DeadlineExceededError("no quorum answered in time");
+  const auto timeout_error = absl::DeadlineExceededError("no quorum answered in time");
   while (!proposals_.empty() && proposals_.begin()->second.deadline <= now) {
-    Answer(std::move(proposals_.begin()->second.done), absl::StatusOr<std::string>(late));
+    Answer(std::move(proposals_.begin()->second.done), absl::StatusOr<std::string>(timeout_error));
     proposals_.erase(proposals_.begin());
   }
   while (!reads_.empty() && reads_.begin()->second.deadline <= now) {
     core_->ForgetRead(reads_.begin()->first);
-    Answer(std::move(reads_.begin()->second.done), absl::StatusOr<LogIndex>(late));
+    Answer(std::move(reads_.begin()->second.done), absl::StatusOr<LogIndex>(timeout_error));
     reads_.erase(reads_.begin());
   }
   for (auto it = applying_reads_.begin(); it != applying_reads_.end();) {
@@ -322,41 +324,42 @@
       ++it;
       continue;
     }
-    Answer(std::move(it->second.done), absl::StatusOr<LogIndex>(late));
+    Answer(std::move(it->second.done), absl::StatusOr<LogIndex>(timeout_error));
     it = applying_reads_.erase(it);
   }
 }
 
-void GroupReplica::NoteRole() {
+void GroupReplica::UpdateRole() {
   const bool leads = IsLeader();
   if (transfer_done_ && !(leads && core_->transferring())) {
     Answer(std::exchange(transfer_done_, nullptr),
            leads ? absl::DeadlineExceededError("the hand-over did not finish") : absl::OkStatus());
   }
-  if (led_ && !leads) {
+  if (was_leader_ && !leads) {
     for (auto& [index, pending] : proposals_) {
       Answer(std::move(pending.done),
              absl::StatusOr<std::string>(absl::UnavailableError("leadership was lost")));
     }
     proposals_.clear();
   }
-  if (led_ != leads) {
+  if (was_leader_ != leads) {
     LogEvent(leads ? EventId::kLeadershipGained : EventId::kLeadershipLost, "group={} term={}", id_,
              CurrentTerm());
   }
-  led_ = leads;
+  was_leader_ = leads;
 }
 
 void GroupReplica::CollectMessages(ReplicaOutput& output) {
-  while (!gated_.empty() && gated_.front().after <= log_->durable_sequence()) {
-    Emit(std::move(gated_.front()), output);
-    gated_.pop_front();
+  while (!messages_awaiting_sync_.empty() &&
+         messages_awaiting_sync_.front().after <= log_->durable_sequence()) {
+    Emit(std::move(messages_awaiting_sync_.front()), output);
+    messages_awaiting_sync_.pop_front();
   }
   for (RaftMessage& message : core_->TakeMessages()) {
     if (message.after <= log_->durable_sequence()) {
       Emit(std::move(message), output);
     } else {
-      gated_.push_back(std::move(message));
+      messages_awaiting_sync_.push_back(std::move(message));
     }
   }
 }
@@ -401,7 +404,7 @@
   LogEvent(EventId::kReplicaHalted, "group={} error=\"{}\"", id_, std::string(status.message()));
   failure_ = absl::UnavailableError(absl::StrCat("replica stopped: ", status.message()));
   FailAll(failure_);
-  gated_.clear();
+  messages_awaiting_sync_.clear();
   context_.wake();
 }
 
--- a/source/consensus/group_replica.h
+++ b/source/consensus/group_replica.h
@@ -29,7 +29,7 @@
   ConsensusTiming timing;
   ConsensusLimits limits;
   ConsensusFaults faults;
-  /// Asks the host to call `Work` soon.
+  /// Asks the host to call `ProcessPending` soon.
   std::function<void()> wake;
 };
 
@@ -39,8 +39,8 @@
   AddressedRaftMessage addressed;
 };
 
-/// What `Work` hands to the host: messages to send, then callbacks to run. A callback may destroy
-/// the replica.
+/// What `ProcessPending` hands to the host: messages to send, then callbacks to run. A callback may
+/// destroy the replica.
 struct ReplicaOutput {
   std::vector<OutgoingMessage> messages;
   std::vector<std::function<void()>> callbacks;
@@ -57,7 +57,7 @@
   void Tick(TimePoint now);
   void Receive(const NodeId& from, RaftMessage message);
   /// Does all that is due and adds to `output`.
-  void Work(ReplicaOutput& output);
+  void ProcessPending(ReplicaOutput& output);
 
   /// The group is about to be dropped: adds to `output` the answers to all that still wait.
   void Close(ReplicaOutput& output);
@@ -103,8 +103,8 @@
   absl::Status RestoreSnapshot(std::vector<GroupMember>& members);
   RaftOptions CoreOptions() const;
 
-  void Await(absl::StatusOr<LogPosition> position, ProposeCallback done);
-  void AwaitChange(absl::StatusOr<LogPosition> position, StatusCallback done);
+  void AwaitCommit(absl::StatusOr<LogPosition> position, ProposeCallback done);
+  void AwaitMembershipChange(absl::StatusOr<LogPosition> position, StatusCallback done);
   TimePoint Deadline() const;
   template <class Callback, class Result>
   void Answer(Callback done, Result result);
@@ -119,7 +119,7 @@
   void CollectReads();
   void AnswerAppliedReads();
   void ExpireRequests(TimePoint now);
-  void NoteRole();
+  void UpdateRole();
   void CollectMessages(ReplicaOutput& output);
   void Emit(RaftMessage message, ReplicaOutput& output);
   void FailAll(const absl::Status& status);
@@ -135,7 +135,7 @@
   LogIndex applied_;
   /// Bytes of commands applied since the last snapshot.
   uint64_t applied_bytes_ = 0;
-  bool led_ = false;
+  bool was_leader_ = false;
 
   /// Deadlines grow with the index and with the ticket.
   std::map<LogIndex, PendingProposal> proposals_;
@@ -144,7 +144,7 @@
   std::multimap<LogIndex, PendingRead> applying_reads_;
   StatusCallback transfer_done_;
   /// Messages that wait for the log to become durable, by `after`.
-  std::deque<RaftMessage> gated_;
+  std::deque<RaftMessage> messages_awaiting_sync_;
   /// Nodes of replicas that wrote to us but are in no configuration we know.
   std::map<ReplicaId, NodeId> senders_;
   std::vector<std::function<void()>> callbacks_;
--- a/source/consensus/raft_codec.cc
+++ b/source/consensus/raft_codec.cc
@@ -183,7 +183,7 @@
   return members;
 }
 
-std::string EncodeGroupSnapshotHead(const std::vector<GroupMember>& members) {
+std::string EncodeGroupSnapshotHeader(const std::vector<GroupMember>& members) {
   const std::string encoded = EncodeMembers(members);
   std::string bytes;
   AppendInteger(bytes, static_cast<uint32_t>(encoded.size()));
--- a/source/consensus/raft_codec.h
+++ b/source/consensus/raft_codec.h
@@ -37,7 +37,7 @@
   std::string_view state;
 };
 /// What stands before the state of the state machine in a snapshot of its group.
-std::string EncodeGroupSnapshotHead(const std::vector<GroupMember>& members);
+std::string EncodeGroupSnapshotHeader(const std::vector<GroupMember>& members);
 /// The result points into `bytes`.
 absl::StatusOr<GroupSnapshot> DecodeGroupSnapshot(std::string_view bytes);
 
--- a/source/consensus/raft_core.cc
+++ b/source/consensus/raft_core.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /// A quiet group sends only every so many heartbeats; well below the election timeout.
-constexpr int kQuietHeartbeats = 3;
+constexpr int kIdleHeartbeatMultiplier = 3;
 
 }  // namespace
 
@@ -27,10 +27,10 @@
 
 RaftCore::RaftCore(RaftOptions options, SegmentedLog& log, RandomEngine& random, TimePoint now)
     : options_(options), log_(log), random_(random), now_(now), commit_(log.snapshot().index) {
-  leader_heard_ = now - options.election_timeout;
+  leader_last_seen_ = now - options.election_timeout;
   // An answer to a request of an earlier life must not pass for one to a request of this one.
-  ask_number_ = random();
-  restarted_ = options_.restart_patience > Duration(0) && log.last_index() != LogIndex();
+  read_request_number_ = random();
+  restarted_ = options_.restart_election_timeout > Duration(0) && log.last_index() != LogIndex();
   ResetElectionTimer();
 }
 
@@ -62,7 +62,7 @@
     }
     return;
   }
-  if (!asked_reads_.empty() && now_ >= ask_due_) AskLeader();
+  if (!requested_reads_.empty() && now_ >= read_request_due_) SendReadRequest();
   if (now_ < election_due_) return;
   ResetElectionTimer();
   const bool may_campaign = !installing_ && !removed_ && configuration().IsVoter(options_.self);
@@ -109,7 +109,7 @@
       message.type == RaftMessageType::kPreVote || message.type == RaftMessageType::kVote;
   if (message.term > term()) {
     // A replica that was cut off must not depose a leader that the others hear.
-    if (vote_request && !message.transfer && HearsLeader()) {
+    if (vote_request && !message.transfer && HasLiveLeader()) {
       HandleNonMember(message);
       return false;
     }
@@ -187,59 +187,62 @@
   role_ = RaftRole::kLeader;
   restarted_ = false;
   leader_ = options_.self;
-  led_since_ = now_;
+  leader_since_ = now_;
   heartbeat_due_ = NextHeartbeat();
   removed_ = false;
   progress_.clear();
   votes_.clear();
   SyncProgressWithMembers();
-  first_own_entry_ = Next(log_.last_index());
+  first_entry_of_term_ = Next(log_.last_index());
   MoveReadsToNewLeader();
-  AppendOwn(EntryType::kNoop, std::make_shared<std::string>());
+  AppendAsLeader(EntryType::kNoop, std::make_shared<std::string>());
 }
 
 void RaftCore::ResetElectionTimer() {
-  const Duration least = restarted_ ? options_.restart_patience : options_.election_timeout;
-  const Duration most = restarted_ ? 3 * options_.restart_patience : 2 * options_.election_timeout;
-  election_due_ = now_ + DrawDuration(random_, least, most);
+  const Duration min_timeout =
+      restarted_ ? options_.restart_election_timeout : options_.election_timeout;
+  const Duration max_timeout =
+      restarted_ ? 3 * options_.restart_election_timeout : 2 * options_.election_timeout;
+  election_due_ = now_ + DrawDuration(random_, min_timeout, max_timeout);
 }
 
-void RaftCore::NoteActivity() {
+void RaftCore::OnActivity() {
   last_activity_ = now_;
   heartbeat_due_ = std::min(heartbeat_due_, now_ + options_.heartbeat);
 }
 
-bool RaftCore::IsQuiet() const {
+bool RaftCore::IsIdle() const {
   if (now_ - last_activity_ < options_.election_timeout || commit_ != log_.last_index())
     return false;
   return std::all_of(progress_.begin(), progress_.end(), [&](const auto& item) {
-    return item.second.match() == log_.last_index() && item.second.told_commit == commit_;
+    return item.second.match() == log_.last_index() && item.second.sent_commit == commit_;
   });
 }
 
 TimePoint RaftCore::NextHeartbeat() const {
   const Duration since_epoch = now_.time_since_epoch();
-  const Duration period = IsQuiet() ? kQuietHeartbeats * options_.heartbeat : options_.heartbeat;
+  const Duration period =
+      IsIdle() ? kIdleHeartbeatMultiplier * options_.heartbeat : options_.heartbeat;
   return TimePoint((since_epoch / period + 1) * period);
 }
 
-void RaftCore::NoteLeader(ReplicaId leader) {
+void RaftCore::OnLeaderMessage(ReplicaId leader) {
   if (role_ != RaftRole::kFollower || leader_ != leader) BecomeFollower(term(), leader);
-  leader_heard_ = now_;
+  leader_last_seen_ = now_;
   restarted_ = false;
   removed_ = false;
   ResetElectionTimer();
 }
 
-bool RaftCore::HearsLeader() const {
+bool RaftCore::HasLiveLeader() const {
   if (IsLeader()) return true;
-  return leader_ != ReplicaId() && now_ - leader_heard_ < options_.election_timeout;
+  return leader_ != ReplicaId() && now_ - leader_last_seen_ < options_.election_timeout;
 }
 
 absl::StatusOr<LogPosition> RaftCore::Propose(EntryType type, EntryPayload payload) {
   if (!IsLeader()) return absl::UnavailableError("not the leader");
   if (transferee_.has_value()) return absl::UnavailableError("leadership is being handed over");
-  AppendOwn(type, std::move(payload));
+  AppendAsLeader(type, std::move(payload));
   return LastPosition();
 }
 
@@ -250,13 +253,13 @@
 void RaftCore::Flush(TimePoint now) {
   now_ = now;
   if (!IsLeader()) {
-    if (!waiting_reads_.empty() && asked_reads_.empty()) AskLeader();
+    if (!waiting_reads_.empty() && requested_reads_.empty()) SendReadRequest();
     return;
   }
   for (auto& [replica, progress] : progress_) {
     SendEntries(replica, progress);
     const LogIndex known = std::min(progress.match(), commit_);
-    if (progress.told_commit < known) SendHeartbeat(replica, progress, 0);
+    if (progress.sent_commit < known) SendHeartbeat(replica, progress, 0);
   }
   StartReadRound();
 }
--- a/source/consensus/raft_core.h
+++ b/source/consensus/raft_core.h
@@ -36,7 +36,7 @@
   Duration election_timeout = std::chrono::milliseconds(1000);
   /// The same for the first election after a restart, up to three times this; 0 makes no
   /// difference.
-  Duration restart_patience{0};
+  Duration restart_election_timeout{0};
   uint64_t max_batch_bytes = 256 * 1024;
   uint64_t snapshot_chunk_bytes = 256 * 1024;
   /// Append messages on their way to one follower.
@@ -87,7 +87,7 @@
   /// A received snapshot was saved to the log and restored.
   void SnapshotInstalled(const LogPosition& position, std::vector<GroupMember> members);
   /// A received snapshot could not be used; the leader will send again.
-  void SnapshotRefused() { installing_ = false; }
+  void SnapshotRejected() { installing_ = false; }
   void Compacted(LogIndex index) { configurations_.Compact(index); }
 
   std::vector<RaftMessage> TakeMessages() { return std::exchange(messages_, {}); }
@@ -132,11 +132,11 @@
   /// Heartbeats of all groups of a node fall due together, so that they travel in one batch.
   TimePoint NextHeartbeat() const;
   /// A quiet group beats at its normal pace again.
-  void NoteActivity();
+  void OnActivity();
   /// Nothing was asked for a while and all members have everything.
-  bool IsQuiet() const;
-  void NoteLeader(ReplicaId leader);
-  bool HearsLeader() const;
+  bool IsIdle() const;
+  void OnLeaderMessage(ReplicaId leader);
+  bool HasLiveLeader() const;
 
   // raft_election.cc
   void Campaign(bool transfer);
@@ -152,7 +152,7 @@
   void TryTimeoutNow(ReplicaId replica);
 
   // raft_replication.cc
-  void AppendOwn(EntryType type, EntryPayload payload);
+  void AppendAsLeader(EntryType type, EntryPayload payload);
   void SendAppend(ReplicaId to, Progress& progress, uint64_t max_bytes);
   void SendEntries(ReplicaId to, Progress& progress);
   /// With `context` 0 it only tells the commit index and gets no reply.
@@ -169,7 +169,7 @@
   void AdvanceCommit();
   void SetCommit(LogIndex index);
   void SyncProgressWithMembers();
-  LogIndex OwnMatch() const;
+  LogIndex LocalMatch() const;
 
   // raft_snapshot_transfer.cc
   void SendSnapshotChunk(ReplicaId to, Progress& progress);
@@ -180,7 +180,7 @@
   void StartReadRound();
   void FinishReadRound();
   void CompleteRead(const WaitingRead& read, LogIndex index);
-  void AskLeader();
+  void SendReadRequest();
   void HandleReadRequest(const RaftMessage& message);
   void HandleReadReply(const RaftMessage& message);
   void MoveReadsToNewLeader();
@@ -196,7 +196,7 @@
 
   RaftRole role_ = RaftRole::kFollower;
   ReplicaId leader_;
-  TimePoint leader_heard_;
+  TimePoint leader_last_seen_;
   /// It came back and has not heard of a leader in this life: there is none to be patient with. If
   /// there is one after all, those that hear it refuse the pre-vote. After a fault of all replicas
   /// a try that fails because others are not back yet is so repeated soon, and not an election
@@ -204,7 +204,7 @@
   bool restarted_ = false;
   TimePoint election_due_;
   TimePoint heartbeat_due_;
-  TimePoint led_since_;
+  TimePoint leader_since_;
   /// Last entry or read, while leader.
   TimePoint last_activity_;
   LogIndex commit_;
@@ -219,7 +219,7 @@
   /// Other members, while leader.
   std::map<ReplicaId, Progress> progress_;
   /// First entry of the own term, while leader.
-  LogIndex first_own_entry_;
+  LogIndex first_entry_of_term_;
   std::optional<ReplicaId> transferee_;
   TimePoint transfer_deadline_;
 
@@ -231,9 +231,9 @@
   uint64_t round_ = 1;
   bool round_under_way_ = false;
   /// Follower: reads covered by the request under way.
-  std::vector<WaitingRead> asked_reads_;
-  uint64_t ask_number_ = 0;
-  TimePoint ask_due_;
+  std::vector<WaitingRead> requested_reads_;
+  uint64_t read_request_number_ = 0;
+  TimePoint read_request_due_;
   uint64_t next_ticket_ = 1;
 
   /// Follower: the snapshot being received.
--- a/source/consensus/raft_election.cc
+++ b/source/consensus/raft_election.cc
@@ -46,11 +46,11 @@
 void RaftCore::HandleVoteRequest(const RaftMessage& message) {
   const bool pre_vote = message.type == RaftMessageType::kPreVote;
   // A pre-vote is for a term still to come; at the own term it is out of date.
-  const bool free = pre_vote
-                        ? message.term > term()
-                        : log_.hard_state().vote == message.from ||
-                              (log_.hard_state().vote == ReplicaId() && leader_ == ReplicaId());
-  const bool granted = free && LogIsUpToDate(message.position);
+  const bool can_vote = pre_vote
+                            ? message.term > term()
+                            : log_.hard_state().vote == message.from ||
+                                  (log_.hard_state().vote == ReplicaId() && leader_ == ReplicaId());
+  const bool granted = can_vote && LogIsUpToDate(message.position);
   RaftMessage reply = MakeMessage(
       pre_vote ? RaftMessageType::kPreVoteReply : RaftMessageType::kVoteReply, message.from);
   reply.reject = !granted;
@@ -105,7 +105,7 @@
 }
 
 void RaftCore::CheckQuorum() {
-  if (now_ - led_since_ < options_.election_timeout) return;
+  if (now_ - leader_since_ < options_.election_timeout) return;
   if (!QuorumActive(configuration())) BecomeFollower(term(), ReplicaId());
 }
 
--- a/source/consensus/raft_membership.cc
+++ b/source/consensus/raft_membership.cc
@@ -28,9 +28,9 @@
   if (it == progress_.end()) return absl::NotFoundError("no such member");
   const Progress& progress = it->second;
   const bool active = now_ - progress.last_active() < options_.election_timeout;
-  const bool near = progress.state() == ProgressState::kReplicate &&
-                    progress.match().value() + kPromotionLag >= log_.last_index().value();
-  if (!active || !near) {
+  const bool caught_up = progress.state() == ProgressState::kReplicate &&
+                         progress.match().value() + kPromotionLag >= log_.last_index().value();
+  if (!active || !caught_up) {
     return absl::FailedPreconditionError(absl::StrCat(
         "learner is at entry ", progress.match().value(), " of ", log_.last_index().value()));
   }
@@ -53,7 +53,7 @@
   Configuration next{Next(log_.last_index()), members};
   if (next.VoterCount() == 0) return absl::FailedPreconditionError("no voter would be left");
   if (!options_.faults.unchecked_membership_change) {
-    if (commit_ < first_own_entry_) {
+    if (commit_ < first_entry_of_term_) {
       return absl::FailedPreconditionError("no entry of this term is committed yet");
     }
     if (configuration().index > commit_) {
@@ -63,7 +63,7 @@
       return absl::FailedPreconditionError("the voters that answer would be no quorum");
     }
   }
-  AppendOwn(EntryType::kConfiguration, std::make_shared<std::string>(EncodeMembers(members)));
+  AppendAsLeader(EntryType::kConfiguration, std::make_shared<std::string>(EncodeMembers(members)));
   configurations_.Add(log_.last_index(), std::move(members));
   SyncProgressWithMembers();
   if (options_.faults.ack_before_sync) AdvanceCommit();
@@ -71,7 +71,7 @@
 }
 
 void RaftCore::HandleNonMember(const RaftMessage& message) {
-  if (!IsLeader() || configuration().index > commit_ || commit_ < first_own_entry_) return;
+  if (!IsLeader() || configuration().index > commit_ || commit_ < first_entry_of_term_) return;
   if (configuration().Find(message.from) != nullptr) return;
   RaftMessage reply = MakeMessage(RaftMessageType::kRemoved, message.from);
   Send(std::move(reply));
--- a/source/consensus/raft_progress.cc
+++ b/source/consensus/raft_progress.cc
@@ -4,7 +4,7 @@
 
 namespace millstair {
 
-void Progress::NoteSent(LogIndex last) {
+void Progress::RecordSent(LogIndex last) {
   next_ = Next(last);
   in_flight_.push_back(last);
 }
@@ -12,7 +12,7 @@
 bool Progress::Acknowledge(LogIndex index) {
   probe_sent_ = false;
   while (!in_flight_.empty() && in_flight_.front() <= index) in_flight_.pop_front();
-  const bool news = index > match_;
+  const bool advanced = index > match_;
   match_ = std::max(match_, index);
   next_ = std::max(next_, Next(index));
   const bool snapshot_done = state_ == ProgressState::kSnapshot && match_ >= snapshot.index;
@@ -21,14 +21,14 @@
     next_ = Next(match_);
     in_flight_.clear();
   }
-  return news;
+  return advanced;
 }
 
-bool Progress::Refuse(LogIndex refused, LogIndex hint) {
+bool Progress::Reject(LogIndex refused, LogIndex hint) {
   if (state_ == ProgressState::kSnapshot) return false;
   if (state_ == ProgressState::kReplicate) {
     if (refused <= match_) return false;
-    BackToProbe();
+    ResetToProbe();
     return true;
   }
   if (Next(refused) != next_) return false;
@@ -45,7 +45,7 @@
   chunk_sent = now;
 }
 
-void Progress::BackToProbe() {
+void Progress::ResetToProbe() {
   state_ = ProgressState::kProbe;
   next_ = Next(match_);
   probe_sent_ = false;
--- a/source/consensus/raft_progress.h
+++ b/source/consensus/raft_progress.h
@@ -30,27 +30,27 @@
     return state_ == ProgressState::kReplicate && in_flight_.size() < window;
   }
 
-  void NoteProbe() { probe_sent_ = true; }
+  void RecordProbe() { probe_sent_ = true; }
   /// A lost probe is sent again after the next heartbeat.
   void AllowProbe() { probe_sent_ = false; }
   /// Entries up to `last` were sent.
-  void NoteSent(LogIndex last);
+  void RecordSent(LogIndex last);
   /// The follower has `index` durably. Whether that is news.
   bool Acknowledge(LogIndex index);
   /// The follower refused entries after `refused`; it may agree at `hint`. False if outdated.
-  bool Refuse(LogIndex refused, LogIndex hint);
+  bool Reject(LogIndex refused, LogIndex hint);
   void BeginSnapshot(const LogPosition& position, TimePoint now);
-  void BackToProbe();
+  void ResetToProbe();
 
   TimePoint last_active() const { return last_active_; }
-  void NoteActive(TimePoint now) { last_active_ = now; }
+  void RecordActivity(TimePoint now) { last_active_ = now; }
   /// Whether nothing was acknowledged since the last call, though something is on its way.
   bool Stalled();
 
   /// Largest confirmed round of read confirmation.
   uint64_t confirmed_round = 0;
   /// Commit index that the follower was told.
-  LogIndex told_commit;
+  LogIndex sent_commit;
   /// Snapshot on its way; meaningful in kSnapshot.
   LogPosition snapshot;
   uint64_t snapshot_offset = 0;
--- a/source/consensus/raft_reads.cc
+++ b/source/consensus/raft_reads.cc
@@ -23,14 +23,14 @@
   };
   std::erase_if(waiting_reads_, matches);
   std::erase_if(round_reads_, matches);
-  std::erase_if(asked_reads_, matches);
+  std::erase_if(requested_reads_, matches);
 }
 
 void RaftCore::StartReadRound() {
   // Until an entry of the own term is committed, the leader does not know what is committed.
-  if (round_under_way_ || waiting_reads_.empty() || commit_ < first_own_entry_) return;
+  if (round_under_way_ || waiting_reads_.empty() || commit_ < first_entry_of_term_) return;
   round_under_way_ = true;
-  NoteActivity();
+  OnActivity();
   ++round_;
   round_index_ = commit_;
   round_reads_ = std::exchange(waiting_reads_, {});
@@ -65,15 +65,15 @@
   Send(std::move(reply));
 }
 
-void RaftCore::AskLeader() {
-  asked_reads_.insert(asked_reads_.end(), waiting_reads_.begin(), waiting_reads_.end());
+void RaftCore::SendReadRequest() {
+  requested_reads_.insert(requested_reads_.end(), waiting_reads_.begin(), waiting_reads_.end());
   waiting_reads_.clear();
-  ask_due_ = now_ + 2 * options_.heartbeat;
+  read_request_due_ = now_ + 2 * options_.heartbeat;
   if (leader_ == ReplicaId()) return;
   // A new number: the answer to an older request may predate the reads that were added.
-  ++ask_number_;
+  ++read_request_number_;
   RaftMessage request = MakeMessage(RaftMessageType::kReadRequest, leader_);
-  request.context = ask_number_;
+  request.context = read_request_number_;
   Send(std::move(request));
 }
 
@@ -90,14 +90,14 @@
 
 void RaftCore::HandleReadReply(const RaftMessage& message) {
   // After a refusal the request is repeated when it is due, perhaps to another leader.
-  if (message.context != ask_number_ || message.reject) return;
-  const auto reads = std::exchange(asked_reads_, {});
+  if (message.context != read_request_number_ || message.reject) return;
+  const auto reads = std::exchange(requested_reads_, {});
   for (const WaitingRead& read : reads) CompleteRead(read, message.position.index);
 }
 
 void RaftCore::MoveReadsToNewLeader() {
   std::vector<WaitingRead> own;
-  for (auto* reads : {&asked_reads_, &round_reads_, &waiting_reads_}) {
+  for (auto* reads : {&requested_reads_, &round_reads_, &waiting_reads_}) {
     for (const WaitingRead& read : *reads) {
       if (read.from == ReplicaId()) own.push_back(read);
     }
@@ -105,7 +105,7 @@
   }
   waiting_reads_ = std::move(own);
   round_under_way_ = false;
-  ++ask_number_;
+  ++read_request_number_;
 }
 
 }  // namespace millstair
--- a/source/consensus/raft_replication.cc
+++ b/source/consensus/raft_replication.cc
@@ -14,17 +14,17 @@
 
 /// A learner neither votes nor counts for a quorum. Its heartbeats only show it lost messages and
 /// the leader's life, for which as many as a quiet group sends are enough.
-constexpr int kHeartbeatsPerLearnerHeartbeat = 3;
+constexpr int kLearnerHeartbeatMultiplier = 3;
 
 }  // namespace
 
-void RaftCore::AppendOwn(EntryType type, EntryPayload payload) {
-  NoteActivity();
+void RaftCore::AppendAsLeader(EntryType type, EntryPayload payload) {
+  OnActivity();
   log_.Append({{Next(log_.last_index()), term(), type, std::move(payload)}});
   if (options_.faults.ack_before_sync) AdvanceCommit();
 }
 
-LogIndex RaftCore::OwnMatch() const {
+LogIndex RaftCore::LocalMatch() const {
   return options_.faults.ack_before_sync ? log_.last_index() : log_.durable_index();
 }
 
@@ -65,11 +65,11 @@
     message.entries = *std::move(entries);
   }
   const LogIndex last(previous.value() + message.entries.size());
-  progress.told_commit = std::max(progress.told_commit, std::min(commit_, last));
+  progress.sent_commit = std::max(progress.sent_commit, std::min(commit_, last));
   if (progress.state() == ProgressState::kProbe) {
-    progress.NoteProbe();
+    progress.RecordProbe();
   } else if (!message.entries.empty()) {
-    progress.NoteSent(last);
+    progress.RecordSent(last);
   }
   Send(std::move(message));
 }
@@ -78,14 +78,14 @@
   RaftMessage message = MakeMessage(RaftMessageType::kHeartbeat, to);
   message.commit = std::min(progress.match(), commit_);
   message.context = context;
-  progress.told_commit = message.commit;
+  progress.sent_commit = message.commit;
   Send(std::move(message));
 }
 
 bool RaftCore::HeartbeatDue(ReplicaId to, const Progress& progress) const {
   if (configuration().IsVoter(to) || !progress.heartbeat_sent) return true;
   // Ticks come a little late: half a heartbeat early counts as in time.
-  const Duration period = kHeartbeatsPerLearnerHeartbeat * options_.heartbeat;
+  const Duration period = kLearnerHeartbeatMultiplier * options_.heartbeat;
   return now_ - *progress.heartbeat_sent >= period - options_.heartbeat / 2;
 }
 
@@ -98,8 +98,9 @@
       SendAppend(replica, progress, 0);
     }
     SendHeartbeat(replica, progress, round_);
-    const Duration patience = options_.election_timeout / 2;
-    if (progress.state() == ProgressState::kSnapshot && now_ - progress.chunk_sent > patience) {
+    const Duration chunk_timeout = options_.election_timeout / 2;
+    if (progress.state() == ProgressState::kSnapshot &&
+        now_ - progress.chunk_sent > chunk_timeout) {
       SendSnapshotChunk(replica, progress);
     }
   }
@@ -110,7 +111,7 @@
     failure_ = absl::InternalError(absl::StrCat("two leaders in term ", term().value()));
     return;
   }
-  NoteLeader(message.from);
+  OnLeaderMessage(message.from);
   if (installing_) return;
   RaftMessage reply = MakeMessage(RaftMessageType::kAppendReply, message.from);
   if (message.position.index < commit_) {
@@ -169,13 +170,13 @@
   const auto it = progress_.find(message.from);
   if (it == progress_.end()) return;
   Progress& progress = it->second;
-  progress.NoteActive(now_);
+  progress.RecordActivity(now_);
   if (message.reject) {
     LogIndex hint = message.hint.index;
     while (hint > log_.base_index() && log_.TermAt(hint).value_or(Term()) > message.hint.term) {
       hint = LogIndex(hint.value() - 1);
     }
-    progress.Refuse(message.position.index, hint);
+    progress.Reject(message.position.index, hint);
     return;
   }
   if (message.position.index > log_.last_index()) return;
@@ -186,7 +187,7 @@
 
 void RaftCore::HandleHeartbeat(const RaftMessage& message) {
   if (IsLeader()) return;
-  NoteLeader(message.from);
+  OnLeaderMessage(message.from);
   if (!installing_) SetCommit(std::min(message.commit, log_.last_index()));
   if (message.context == 0) return;
   RaftMessage reply = MakeMessage(RaftMessageType::kHeartbeatReply, message.from);
@@ -199,7 +200,7 @@
   const auto it = progress_.find(message.from);
   if (it == progress_.end()) return;
   Progress& progress = it->second;
-  progress.NoteActive(now_);
+  progress.RecordActivity(now_);
   progress.AllowProbe();
   progress.confirmed_round = std::max(progress.confirmed_round, message.context);
   // If the last messages were lost, the follower refuses this one, which starts a probe.
@@ -212,7 +213,7 @@
   for (const GroupMember& member : configuration().members) {
     if (!member.voter && !options_.faults.count_learners) continue;
     if (member.replica == options_.self) {
-      matches.push_back(OwnMatch());
+      matches.push_back(LocalMatch());
       continue;
     }
     const auto it = progress_.find(member.replica);
@@ -224,7 +225,7 @@
   std::sort(matches.begin(), matches.end(), std::greater<>());
   const LogIndex agreed = matches[std::min(quorum, matches.size()) - 1];
   // Entries of earlier terms are committed only by way of one of the own term.
-  if (agreed < first_own_entry_ && !options_.faults.commit_earlier_terms) return;
+  if (agreed < first_entry_of_term_ && !options_.faults.commit_earlier_terms) return;
   SetCommit(agreed);
   // A leader that has removed itself leads until that is committed.
   const bool settled = configuration().index <= commit_;
--- a/source/consensus/raft_snapshot_transfer.cc
+++ b/source/consensus/raft_snapshot_transfer.cc
@@ -24,7 +24,7 @@
 
 void RaftCore::HandleSnapshotChunk(RaftMessage message) {
   if (IsLeader()) return;
-  NoteLeader(message.from);
+  OnLeaderMessage(message.from);
   if (installing_) return;
   if (message.position.index <= commit_) {
     RaftMessage reply = MakeMessage(RaftMessageType::kAppendReply, message.from);
@@ -51,7 +51,7 @@
   const auto it = progress_.find(message.from);
   if (it == progress_.end()) return;
   Progress& progress = it->second;
-  progress.NoteActive(now_);
+  progress.RecordActivity(now_);
   if (progress.state() != ProgressState::kSnapshot || message.position != progress.snapshot) return;
   if (message.offset == progress.snapshot_offset) return;
   progress.snapshot_offset = std::min(message.offset, log_.snapshot_file_bytes());
--- a/source/consensus/replica_identity.cc
+++ b/source/consensus/replica_identity.cc
@@ -40,20 +40,21 @@
 
 }  // namespace
 
-ReplicaId FounderReplicaId(const std::string& cluster_id, const NodeId& node) {
+ReplicaId InitialMemberReplicaId(const std::string& cluster_id, const NodeId& node) {
   const std::string name = absl::StrCat(cluster_id, "\n", node.value());
   // Never 0, which is "none".
   return ReplicaId(XXH3_64bits(name.data(), name.size()) | 1);
 }
 
-absl::Status InitializeFounder(FileSystem& files, const std::string& cluster_id, const NodeId& node,
-                               const std::string& address) {
+absl::Status InitializeInitialMember(FileSystem& files, const std::string& cluster_id,
+                                     const NodeId& node, const std::string& address) {
   const auto existing = files.Read(kIdentityPath);
   if (existing.ok()) {
     return absl::FailedPreconditionError("the data folder already has an identity");
   }
   if (!absl::IsNotFound(existing.status())) return existing.status();
-  const ReplicaIdentity identity{FounderReplicaId(cluster_id, node), node, address, cluster_id};
+  const ReplicaIdentity identity{InitialMemberReplicaId(cluster_id, node), node, address,
+                                 cluster_id};
   return files.WriteAtomically(kIdentityPath, EncodeIdentity(identity));
 }
 
--- a/source/server/node_options.cc
+++ b/source/server/node_options.cc
@@ -19,7 +19,7 @@
     const auto& names = settings.founders;
     if (std::find(names.begin(), names.end(), node.node) == names.end()) continue;
     const NodeId id(node.node);
-    founders.push_back({FounderReplicaId(settings.cluster, id), id, node.address, true});
+    founders.push_back({InitialMemberReplicaId(settings.cluster, id), id, node.address, true});
   }
   return founders;
 }
@@ -45,7 +45,7 @@
   ConsensusTiming consensus;
   consensus.heartbeat = timing.raft_heartbeat;
   consensus.election_timeout = timing.election_timeout;
-  consensus.restart_patience = timing.restart_patience;
+  consensus.restart_election_timeout = timing.restart_patience;
   return consensus;
 }
 
--- a/source/server/server_node.cc
+++ b/source/server/server_node.cc
@@ -128,8 +128,8 @@
                       std::find(founders.begin(), founders.end(), settings_.node) != founders.end();
   if (!founds) return;
   // A folder that has an identity was founded before.
-  const absl::Status written =
-      InitializeFounder(*files_, settings_.cluster, NodeId(settings_.node), settings_.peer_address);
+  const absl::Status written = InitializeInitialMember(
+      *files_, settings_.cluster, NodeId(settings_.node), settings_.peer_address);
   if (written.ok()) LogEvent(EventId::kFounderInitialized, "node={}", settings_.node);
 }
 
--- a/source/server/server_process.cc
+++ b/source/server/server_process.cc
@@ -74,8 +74,8 @@
     return fail(locked ? ExitCode::kFolderLocked : ExitCode::kFolderUnusable,
                 std::string(files.status().message()));
   }
-  const absl::Status written =
-      InitializeFounder(**files, settings.cluster, NodeId(settings.node), settings.peer_address);
+  const absl::Status written = InitializeInitialMember(
+      **files, settings.cluster, NodeId(settings.node), settings.peer_address);
   if (written.ok()) {
     LogEvent(EventId::kFounderInitialized, "node={} data={}", settings.node, settings.data_folder);
     return ExitCode::kOk;
--- a/test/cluster/cluster_fleet.cc
+++ b/test/cluster/cluster_fleet.cc
@@ -128,7 +128,7 @@
     const std::string name = fmt::format("c{}", i);
     disks_[name] = std::make_unique<MemoryFileSystem>(*disk_environment_, options.seed * 31 + i);
     if (i <= kInitialMembers) {
-      REQUIRE(InitializeFounder(*disks_[name], kCluster, NodeId(name), AddressOf(name)).ok());
+      REQUIRE(InitializeInitialMember(*disks_[name], kCluster, NodeId(name), AddressOf(name)).ok());
     }
   }
   const int started = options.know_initial_members_only ? options.control_nodes : kInitialMembers;
@@ -158,7 +158,7 @@
   for (int i = 1; i <= 3; ++i) {
     const std::string name = fmt::format("c{}", i);
     options.initial_members.push_back(
-        {FounderReplicaId(kCluster, NodeId(name)), NodeId(name), AddressOf(name), true});
+        {InitialMemberReplicaId(kCluster, NodeId(name)), NodeId(name), AddressOf(name), true});
   }
   options.membership_timing = options_.membership;
   options.consensus_limits.snapshot_after_entries = options_.snapshot_after_entries;
--- a/test/consensus/chaos_run.cc
+++ b/test/consensus/chaos_run.cc
@@ -22,7 +22,7 @@
 
 ChaosRun::ChaosRun(ChaosOptions options)
     : options_(options),
-      fleet_(options.founders, options.seed, OptionsOf(options)),
+      fleet_(options.initial_members, options.seed, OptionsOf(options)),
       random_(options.seed * 7919 + 1) {
   fleet_.network.options.loss = 0.02;
   fleet_.network.options.duplication = 0.02;
@@ -33,7 +33,7 @@
   const Duration end = fleet_.scheduler.Now() + options_.span;
   Duration next_fault = fleet_.scheduler.Now() + seconds(2);
   while (fleet_.scheduler.Now() < end && !Violated()) {
-    Work();
+    RunWorkload();
     if (fleet_.scheduler.Now() < next_fault) continue;
     CauseFault();
     next_fault = fleet_.scheduler.Now() + DrawDuration(random_, milliseconds(20), seconds(2));
@@ -51,11 +51,11 @@
                      [](const auto& item) { return !item.second.violations.empty(); });
 }
 
-void ChaosRun::Work() {
-  if (DrawChance(random_, 0.5)) ProposeSome();
-  if (DrawChance(random_, 0.5)) ReadSome();
+void ChaosRun::RunWorkload() {
+  if (DrawChance(random_, 0.5)) ProposeAtLeaders();
+  if (DrawChance(random_, 0.5)) ReadAtRandomNode();
   fleet_.scheduler.RunFor(DrawDuration(random_, milliseconds(1), milliseconds(8)));
-  WatchLeaders();
+  CheckLeaders();
 }
 
 std::vector<NodeId> ChaosRun::Alive() {
@@ -71,7 +71,7 @@
   return alive.empty() ? NodeId() : alive[DrawBelow(random_, alive.size())];
 }
 
-void ChaosRun::ProposeSome() {
+void ChaosRun::ProposeAtLeaders() {
   // Any node that believes to lead, so that deposed leaders are asked too.
   for (const NodeId& id : Alive()) {
     RaftGroup* group = fleet_.Group(id);
@@ -89,7 +89,7 @@
   }
 }
 
-void ChaosRun::ReadSome() {
+void ChaosRun::ReadAtRandomNode() {
   const NodeId id = RandomNode();
   RaftGroup* group = id == NodeId() ? nullptr : fleet_.Group(id);
   if (group == nullptr) return;
@@ -105,7 +105,7 @@
   });
 }
 
-void ChaosRun::WatchLeaders() {
+void ChaosRun::CheckLeaders() {
   for (const NodeId& id : Alive()) {
     RaftGroup* group = fleet_.Group(id);
     if (group == nullptr || !group->IsLeader()) continue;
@@ -126,13 +126,13 @@
       return LosePower();
     case 3:
     case 4:
-      return CutSomething();
+      return CutRandomLinks();
     case 5:
       return fleet_.network.Heal();
     case 6:
-      return SlowSomeDisk();
+      return SlowRandomDisk();
     case 7:
-      return LoseSomeDisk();
+      return LoseRandomDisk();
     case 8:
       return ChangeMembers();
     case 9: {
@@ -142,7 +142,7 @@
       return leader->TransferLeadership(nullptr);
     }
     default:
-      RestartDead();
+      RestartCrashed();
       return RepairMembers();
   }
 }
@@ -152,30 +152,30 @@
   if (id == NodeId()) return;
   ++counts_.crashes;
   fleet_.Crash(id);
-  dead_.insert(id);
-  if (DrawChance(random_, 0.5)) RestartDead();
+  crashed_.insert(id);
+  if (DrawChance(random_, 0.5)) RestartCrashed();
 }
 
 void ChaosRun::LosePower() {
   ++counts_.power_losses;
   for (const NodeId& id : Alive()) {
     fleet_.Crash(id);
-    dead_.insert(id);
+    crashed_.insert(id);
   }
-  RestartDead();
+  RestartCrashed();
 }
 
-void ChaosRun::RestartDead() {
-  for (const NodeId& id : dead_) {
+void ChaosRun::RestartCrashed() {
+  for (const NodeId& id : crashed_) {
     fleet_.Restart(id);
     if (!fleet_.nodes.at(id)->start_status.ok()) {
       Violation("restart: " + fleet_.nodes.at(id)->start_status.ToString());
     }
   }
-  dead_.clear();
+  crashed_.clear();
 }
 
-void ChaosRun::CutSomething() {
+void ChaosRun::CutRandomLinks() {
   ++counts_.cuts;
   const NodeId leader = fleet_.LeaderNode();
   const NodeId target = DrawChance(random_, 0.5) && leader != NodeId() ? leader : RandomNode();
@@ -190,7 +190,7 @@
   }
 }
 
-void ChaosRun::SlowSomeDisk() {
+void ChaosRun::SlowRandomDisk() {
   const NodeId id = RandomNode();
   if (id == NodeId()) return;
   const bool slow = DrawChance(random_, 0.6);
@@ -198,11 +198,11 @@
   fleet_.nodes.at(id)->files->SetSyncTime(std::chrono::microseconds(100), max);
 }
 
-void ChaosRun::LoseSomeDisk() {
+void ChaosRun::LoseRandomDisk() {
   RaftGroup* leader = fleet_.Leader();
-  if (!options_.membership_changes || leader == nullptr || !dead_.empty()) return;
+  if (!options_.membership_changes || leader == nullptr || !crashed_.empty()) return;
   // A replica is only lost while the others still make a quorum that is up to date.
-  constexpr int kFewestVoters = 3;
+  constexpr int kMinVoters = 3;
   int voters = 0;
   for (const GroupMember& member : leader->Members()) {
     if (member.voter) ++voters;
@@ -213,7 +213,7 @@
     if (group->AppliedIndex().value() + 5 < leader->AppliedIndex().value()) return;
   }
   const NodeId id = RandomNode();
-  if (voters < kFewestVoters || fleet_.LeaderNode() == id) return;
+  if (voters < kMinVoters || fleet_.LeaderNode() == id) return;
   ++counts_.lost_disks;
   fleet_.LoseDisk(id);
   fleet_.Restart(id);
@@ -227,7 +227,7 @@
                                     [](const GroupMember& member) { return member.voter; });
   if (fleet_.nodes.size() < 6 && DrawChance(random_, 0.5)) fleet_.AddNode();
   RepairMembers();
-  if (voters <= options_.founders) return;
+  if (voters <= options_.initial_members) return;
   const GroupMember& victim = members[DrawBelow(random_, members.size())];
   if (victim.node == fleet_.LeaderNode()) return;
   leader->RemoveMember(victim.replica, [this](const absl::Status& status) {
@@ -265,26 +265,28 @@
   }
 }
 
-void ChaosRun::Stuck(const std::string& text) {
+void ChaosRun::LivenessViolation(const std::string& text) {
   if (!options_.safety_only) Violation(text);
 }
 
 void ChaosRun::CheckEnd() {
   fleet_.network.Heal();
   fleet_.network.options.loss = 0;
-  RestartDead();
+  RestartCrashed();
   for (auto& [id, node] : fleet_.nodes) {
     node->files->SetSyncTime(std::chrono::microseconds(100), milliseconds(1));
   }
-  if (!fleet_.RunUntilLeader(seconds(30))) return Stuck("no leader after the faults healed");
-  const Duration patience = fleet_.scheduler.Now() + seconds(30);
+  if (!fleet_.RunUntilLeader(seconds(30)))
+    return LivenessViolation("no leader after the faults healed");
+  const Duration deadline = fleet_.scheduler.Now() + seconds(30);
   absl::Status proposed = fleet_.Propose("last").status();
-  for (int attempt = 1; !proposed.ok() && fleet_.scheduler.Now() < patience; ++attempt) {
+  for (int attempt = 1; !proposed.ok() && fleet_.scheduler.Now() < deadline; ++attempt) {
     // A hand-over that was under way ends; nothing else may refuse a proposal for long.
     fleet_.scheduler.RunFor(milliseconds(100));
     proposed = fleet_.Propose(fmt::format("last{}", attempt)).status();
   }
-  if (!proposed.ok()) return Stuck("no proposal after the faults healed: " + proposed.ToString());
+  if (!proposed.ok())
+    return LivenessViolation("no proposal after the faults healed: " + proposed.ToString());
   const auto settled = [&] {
     RaftGroup* leader = fleet_.Leader();
     if (leader == nullptr) return false;
@@ -297,7 +299,7 @@
     return true;
   };
   if (!fleet_.scheduler.RunUntilTrue(settled, seconds(30))) {
-    return Stuck("replicas did not converge");
+    return LivenessViolation("replicas did not converge");
   }
   const auto& commands = fleet_.Machine(fleet_.LeaderNode())->commands;
   for (const auto& [position, command] : acknowledged_) {
--- a/test/consensus/chaos_run.h
+++ b/test/consensus/chaos_run.h
@@ -13,7 +13,7 @@
 
 struct ChaosOptions {
   uint64_t seed = 1;
-  int founders = 3;
+  int initial_members = 3;
   Duration span = std::chrono::seconds(60);
   ConsensusFaults faults;
   /// Replace lost disks and change members.
@@ -45,21 +45,21 @@
   const ChaosCounts& counts() const { return counts_; }
 
  private:
-  void Work();
-  void ProposeSome();
-  void ReadSome();
+  void RunWorkload();
+  void ProposeAtLeaders();
+  void ReadAtRandomNode();
   void CauseFault();
   void CrashOne();
   void LosePower();
-  void CutSomething();
-  void SlowSomeDisk();
-  void LoseSomeDisk();
+  void CutRandomLinks();
+  void SlowRandomDisk();
+  void LoseRandomDisk();
   void ChangeMembers();
   void RepairMembers();
-  void RestartDead();
-  void WatchLeaders();
+  void RestartCrashed();
+  void CheckLeaders();
   void CheckEnd();
-  void Stuck(const std::string& text);
+  void LivenessViolation(const std::string& text);
   void Violation(const std::string& text) { violations_.push_back(text); }
   bool Violated();
   NodeId RandomNode();
@@ -70,7 +70,7 @@
   RandomEngine random_;
   ChaosCounts counts_;
   std::vector<std::string> violations_;
-  std::set<NodeId> dead_;
+  std::set<NodeId> crashed_;
   /// Whoever led in each term.
   std::map<Term, ReplicaId> leaders_;
   /// Position and text of acknowledged commands.
--- a/test/consensus/chaos_test.cc
+++ b/test/consensus/chaos_test.cc
@@ -12,7 +12,7 @@
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     ChaosOptions options;
     options.seed = seed;
-    options.founders = 3 + static_cast<int>(seed % 3);
+    options.initial_members = 3 + static_cast<int>(seed % 3);
     ChaosRun run(options);
     const auto violations = run.Run();
     INFO("seed " << seed);
@@ -32,11 +32,11 @@
 }
 
 /// Seed that catches the variant, 0 if none of `seeds` does.
-uint64_t CatchingSeed(const ConsensusFaults& faults, uint64_t seeds) {
+uint64_t FindDetectingSeed(const ConsensusFaults& faults, uint64_t seeds) {
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     ChaosOptions options;
     options.seed = seed;
-    options.founders = 3;
+    options.initial_members = 3;
     options.safety_only = true;
     options.faults = faults;
     ChaosRun run(options);
@@ -60,7 +60,7 @@
                Variant{"count_learners", &ConsensusFaults::count_learners});
   ConsensusFaults faults;
   faults.*variant.fault = true;
-  const uint64_t seed = CatchingSeed(faults, 60);
+  const uint64_t seed = FindDetectingSeed(faults, 60);
   INFO(variant.name);
   CHECK(seed != 0);
 }
--- a/test/consensus/consensus_fleet.cc
+++ b/test/consensus/consensus_fleet.cc
@@ -58,20 +58,24 @@
   }
 }
 
-ConsensusFleet::ConsensusFleet(int founders, uint64_t seed, FleetOptions options)
-    : scheduler(seed), network(scheduler), options_(std::move(options)), founders_(founders) {
+ConsensusFleet::ConsensusFleet(int initial_members, uint64_t seed, FleetOptions options)
+    : scheduler(seed),
+      network(scheduler),
+      options_(std::move(options)),
+      initial_member_count_(initial_members) {
   network.nodes = &nodes;
-  for (int i = 0; i < founders; ++i) {
+  for (int i = 0; i < initial_members; ++i) {
     const NodeId id = AddNode();
     FleetNode& node = *nodes.at(id);
     Crash(id);
     node.files->LoseDisk();
-    (void)InitializeFounder(*node.files, kTestCluster, id, AddressOf(id));
+    (void)InitializeInitialMember(*node.files, kTestCluster, id, AddressOf(id));
   }
-  for (int i = 0; i < founders; ++i) {
+  for (int i = 0; i < initial_members; ++i) {
     FleetNode& node = Node(i);
     Restart(node.id);
-    for (const GroupId& group : options_.groups) (void)node.host->OpenGroup(group, Founders());
+    for (const GroupId& group : options_.groups)
+      (void)node.host->OpenGroup(group, InitialMembers());
   }
 }
 
@@ -121,10 +125,11 @@
   StartNode(node);
 }
 
-std::vector<GroupMember> ConsensusFleet::Founders() const {
+std::vector<GroupMember> ConsensusFleet::InitialMembers() const {
   std::vector<GroupMember> members;
-  for (int i = 0; i < founders_; ++i) {
-    members.push_back({FounderReplicaId(kTestCluster, Name(i)), Name(i), AddressOf(Name(i)), true});
+  for (int i = 0; i < initial_member_count_; ++i) {
+    members.push_back(
+        {InitialMemberReplicaId(kTestCluster, Name(i)), Name(i), AddressOf(Name(i)), true});
   }
   return members;
 }
--- a/test/consensus/consensus_fleet.h
+++ b/test/consensus/consensus_fleet.h
@@ -134,7 +134,7 @@
 
 class ConsensusFleet {
  public:
-  ConsensusFleet(int founders, uint64_t seed, FleetOptions options = {});
+  ConsensusFleet(int initial_members, uint64_t seed, FleetOptions options = {});
 
   VirtualScheduler scheduler;
   TestNetwork network;
@@ -145,7 +145,7 @@
   FleetNode& Node(int number) { return *nodes.at(Name(number)); }
   RaftGroup* Group(const NodeId& id, const GroupId& group = kTestGroup);
   ListMachine* Machine(const NodeId& id, const GroupId& group = kTestGroup);
-  std::vector<GroupMember> Founders() const;
+  std::vector<GroupMember> InitialMembers() const;
 
   /// The process dies; unsynced bytes are lost or torn.
   void Crash(const NodeId& id);
@@ -169,7 +169,7 @@
   void StartNode(FleetNode& node);
 
   FleetOptions options_;
-  int founders_;
+  int initial_member_count_;
   int next_node_ = 0;
 };
 
--- a/test/consensus/fault_scenarios_test.cc
+++ b/test/consensus/fault_scenarios_test.cc
@@ -20,7 +20,7 @@
 
 /// A voter grants its vote, dies before the vote is durable, and is asked again after its restart.
 /// Whether two leaders were seen in one term.
-bool VoterForgets(const ConsensusFaults& faults) {
+bool VoterLosesVote(const ConsensusFaults& faults) {
   ConsensusFleet fleet(3, 11, WithFaults(faults));
   const NodeId first = fleet.Name(0);
   const NodeId voter = fleet.Name(1);
@@ -52,9 +52,9 @@
 
 TEST_CASE("a vote that is not durable elects two leaders of one term") {
   ConsensusFaults faults;
-  REQUIRE_FALSE(VoterForgets(faults));
+  REQUIRE_FALSE(VoterLosesVote(faults));
   faults.vote_not_synced = true;
-  REQUIRE(VoterForgets(faults));
+  REQUIRE(VoterLosesVote(faults));
 }
 
 /// All nodes lose power while their disks are slow. Whether an acknowledged command was lost.
@@ -124,13 +124,13 @@
 }
 
 /// A leader that is cut off removes the others. Whether it committed alone.
-bool LeaderShrinksAlone(const ConsensusFaults& faults) {
+bool IsolatedLeaderRemovesMembers(const ConsensusFaults& faults) {
   ConsensusFleet fleet(3, 13, WithFaults(faults));
   if (!fleet.RunUntilLeader()) return false;
   fleet.scheduler.RunFor(seconds(1));
   const NodeId old = fleet.LeaderNode();
   fleet.network.Isolate(old);
-  for (const GroupMember& member : fleet.Founders()) {
+  for (const GroupMember& member : fleet.InitialMembers()) {
     if (member.node != old) fleet.Group(old)->RemoveMember(member.replica, nullptr);
   }
   bool committed = false;
@@ -142,9 +142,9 @@
 
 TEST_CASE("a leader without a quorum can't remove the others") {
   ConsensusFaults faults;
-  REQUIRE_FALSE(LeaderShrinksAlone(faults));
+  REQUIRE_FALSE(IsolatedLeaderRemovesMembers(faults));
   faults.unchecked_membership_change = true;
-  REQUIRE(LeaderShrinksAlone(faults));
+  REQUIRE(IsolatedLeaderRemovesMembers(faults));
 }
 
 }  // namespace
--- a/test/consensus/group_host_test.cc
+++ b/test/consensus/group_host_test.cc
@@ -119,17 +119,17 @@
   VirtualEnvironment environment(scheduler, 1);
   MemoryFileSystem files(environment, 1);
   const NodeId node("a");
-  REQUIRE(InitializeFounder(files, "c", node, "127.0.0.1:1").ok());
-  REQUIRE(absl::IsFailedPrecondition(InitializeFounder(files, "c", node, "127.0.0.1:1")));
+  REQUIRE(InitializeInitialMember(files, "c", node, "127.0.0.1:1").ok());
+  REQUIRE(absl::IsFailedPrecondition(InitializeInitialMember(files, "c", node, "127.0.0.1:1")));
   auto identity = LoadOrCreateIdentity(files, environment.Random(), "c", node, "127.0.0.1:2");
   REQUIRE(identity.ok());
-  REQUIRE(identity->replica == FounderReplicaId("c", node));
+  REQUIRE(identity->replica == InitialMemberReplicaId("c", node));
   REQUIRE(identity->address == "127.0.0.1:2");
   REQUIRE(absl::IsFailedPrecondition(
       LoadOrCreateIdentity(files, environment.Random(), "d", node, "").status()));
   files.LoseDisk();
   const auto fresh = LoadOrCreateIdentity(files, environment.Random(), "c", node, "");
-  REQUIRE(fresh->replica != FounderReplicaId("c", node));
+  REQUIRE(fresh->replica != InitialMemberReplicaId("c", node));
   REQUIRE(LoadOrCreateIdentity(files, environment.Random(), "c", node, "")->replica ==
           fresh->replica);
   REQUIRE(files.Damage("identity", 3, 4).ok());
--- a/test/consensus/raft_codec_test.cc
+++ b/test/consensus/raft_codec_test.cc
@@ -47,7 +47,7 @@
   const std::vector<GroupMember> members = {{ReplicaId(5), NodeId("a"), "127.0.0.1:1", true},
                                             {ReplicaId(6), NodeId("b"), "127.0.0.1:2", false}};
   REQUIRE(*DecodeMembers(EncodeMembers(members)) == members);
-  const std::string bytes = EncodeGroupSnapshotHead(members) + "state";
+  const std::string bytes = EncodeGroupSnapshotHeader(members) + "state";
   const auto snapshot = DecodeGroupSnapshot(bytes);
   REQUIRE(snapshot->members == members);
   REQUIRE(snapshot->state == "state");
@@ -68,7 +68,7 @@
     message.group = kTestGroup;
     message.message.type = static_cast<RaftMessageType>(1 + DrawBelow(random, 14));
     message.message.to = host.identity().replica;
-    message.message.from = fleet.Founders()[DrawBelow(random, 3)].replica;
+    message.message.from = fleet.InitialMembers()[DrawBelow(random, 3)].replica;
     message.message.term = Term(DrawBelow(random, 3));
     message.message.position.index = LogIndex(random() >> DrawBelow(random, 64));
     std::string bytes = EncodeRaftBatch({message});
--- a/test/consensus/raft_core_test.cc
+++ b/test/consensus/raft_core_test.cc
@@ -24,7 +24,7 @@
           {kThird, NodeId("c"), "", true}};
 }
 
-/// Replica 1 of three, whose log starts with the founders' configuration.
+/// Replica 1 of three, whose log starts with the initial_members' configuration.
 struct Replica {
   explicit Replica(uint64_t seed = 1, const std::vector<GroupMember>& members = ThreeVoters())
       : scheduler(seed), environment(scheduler, seed), files(environment, seed) {
@@ -223,7 +223,7 @@
 }
 
 /// Number of the read request that a follower of the second replica sends.
-uint64_t AskForRead(Replica& replica) {
+uint64_t ReadRequestNumber(Replica& replica) {
   replica.Step(replica.Message(RaftMessageType::kHeartbeat, kSecond, 3));
   replica.core->RequestRead();
   replica.core->Flush(replica.environment.Now());
@@ -251,10 +251,10 @@
   };
   replica.core->RequestRead();
   replica.core->Flush(replica.environment.Now());
-  auto asked = heartbeats();
-  CHECK(asked[kSecond] == 1);
-  CHECK(asked[kThird] == 1);
-  CHECK(asked[learner] == 0);
+  auto read_round = heartbeats();
+  CHECK(read_round[kSecond] == 1);
+  CHECK(read_round[kThird] == 1);
+  CHECK(read_round[learner] == 0);
   // A read that is not confirmed keeps the group from being quiet.
   for (int tick = 0; tick < 50; ++tick) {
     replica.scheduler.RunFor(milliseconds(100));
@@ -263,10 +263,10 @@
     replica.Acknowledge(kThird, replica.log->last_index());
     replica.core->Tick(replica.environment.Now());
   }
-  auto beats = heartbeats();
-  CHECK(beats[kSecond] >= 40);
-  CHECK(beats[learner] >= 10);
-  CHECK(beats[learner] <= beats[kSecond] / 2);
+  auto heartbeat_counts = heartbeats();
+  CHECK(heartbeat_counts[kSecond] >= 40);
+  CHECK(heartbeat_counts[learner] >= 10);
+  CHECK(heartbeat_counts[learner] <= heartbeat_counts[kSecond] / 2);
 }
 
 TEST_CASE("an answer to a read of an earlier life is not taken for one of this life") {
@@ -274,8 +274,8 @@
   Replica later(2);
   RaftMessage reply = later.Message(RaftMessageType::kReadReply, kSecond, 3);
   reply.position.index = LogIndex(1);
-  reply.context = AskForRead(earlier);
-  const uint64_t number = AskForRead(later);
+  reply.context = ReadRequestNumber(earlier);
+  const uint64_t number = ReadRequestNumber(later);
   later.Step(reply);
   REQUIRE(later.core->TakeReads().empty());
   reply.context = number;
--- a/test/consensus/start_election_test.cc
+++ b/test/consensus/start_election_test.cc
@@ -10,16 +10,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-FleetOptions ImpatientAfterRestart() {
+FleetOptions ShortRestartTimeout() {
   FleetOptions options;
-  options.timing.restart_patience = milliseconds(150);
+  options.timing.restart_election_timeout = milliseconds(150);
   return options;
 }
 
 TEST_CASE("a group whose replicas all come back has a leader within one election timeout") {
   Duration longest{0};
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    ConsensusFleet fleet(3, seed, ImpatientAfterRestart());
+    ConsensusFleet fleet(3, seed, ShortRestartTimeout());
     REQUIRE(fleet.RunUntilLeader());
     REQUIRE(fleet.Propose("before").ok());
     fleet.scheduler.RunFor(seconds(2));
@@ -35,7 +35,7 @@
 TEST_CASE("a replica that came back alone tries again soon after another one is back") {
   Duration longest{0};
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    ConsensusFleet fleet(3, seed, ImpatientAfterRestart());
+    ConsensusFleet fleet(3, seed, ShortRestartTimeout());
     REQUIRE(fleet.RunUntilLeader());
     const NodeId leader = fleet.LeaderNode();
     const NodeId behind = leader == fleet.Name(0) ? fleet.Name(1) : fleet.Name(0);
@@ -57,7 +57,7 @@
 
 TEST_CASE("a replica that comes back does not disturb a leader that the others hear") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    ConsensusFleet fleet(3, seed, ImpatientAfterRestart());
+    ConsensusFleet fleet(3, seed, ShortRestartTimeout());
     REQUIRE(fleet.RunUntilLeader());
     fleet.scheduler.RunFor(seconds(2));
     const NodeId leader = fleet.LeaderNode();
--- a/test/jobs/ingress_fleet.cc
+++ b/test/jobs/ingress_fleet.cc
@@ -50,7 +50,7 @@
   for (int i = 1; i <= kControlNodes; ++i) {
     const std::string name = ControlName(i);
     disks_[name] = std::make_unique<MemoryFileSystem>(*disk_environment_, seed * 31 + i);
-    REQUIRE(InitializeFounder(*disks_[name], kClusterName, NodeId(name), name).ok());
+    REQUIRE(InitializeInitialMember(*disks_[name], kClusterName, NodeId(name), name).ok());
   }
   for (int i = 1; i <= kControlNodes; ++i) Start(ControlName(i));
   REQUIRE(scheduler.RunUntilTrue([this] { return Leader() != nullptr; }, std::chrono::seconds(30)));
@@ -111,7 +111,7 @@
   for (int i = 1; i <= kControlNodes; ++i) {
     const NodeId name(ControlName(i));
     options.initial_members.push_back(
-        {FounderReplicaId(kClusterName, name), name, ControlName(i), true});
+        {InitialMemberReplicaId(kClusterName, name), name, ControlName(i), true});
   }
   MemoryFileSystem& disk = *disks_.at(self.node.value());
   disk.Attach(*process.environment);
--- a/test/server/server_node_test.cc
+++ b/test/server/server_node_test.cc
@@ -86,8 +86,8 @@
     {
       const auto files = PosixFileSystem::Open(settings.data_folder, {});
       REQUIRE(files.ok());
-      REQUIRE(
-          InitializeFounder(**files, "test", NodeId(settings.node), settings.peer_address).ok());
+      REQUIRE(InitializeInitialMember(**files, "test", NodeId(settings.node), settings.peer_address)
+                  .ok());
     }
     nodes.push_back(std::make_unique<ServerNode>(runtime, stats[index], settings));
     REQUIRE(nodes.back()->Start().message.empty());
