--- a/source/consensus/consensus_faults.h
+++ b/source/consensus/consensus_faults.h
@@ -1,23 +1,23 @@
-/// Switches that break consensus on purpose. Only tests and the simulator set them, to show that
-/// their checks catch each of these faults.
+/// Injected consensus faults. Set only by tests and the simulator, to verify that their checks
+/// detect each fault.
 #pragma once
 
 namespace millstair {
 
 struct ConsensusFaults {
-  /// Votes leave before they are durable.
+  /// Votes are sent before they are durable.
   bool vote_not_synced = false;
-  /// Followers acknowledge entries, and leaders count their own, before they are durable.
+  /// Followers acknowledge entries, and leaders count their own copy, before they are durable.
   bool ack_before_sync = false;
-  /// A leader answers reads without confirming that it still leads.
+  /// A leader serves reads without confirming its leadership.
   bool read_without_confirmation = false;
-  /// A follower answers reads from what it knows without asking the leader.
+  /// A follower serves reads at its own commit index without a request to the leader.
   bool local_follower_reads = false;
-  /// Membership changes skip the quorum and one-at-a-time rules.
+  /// Membership changes skip the quorum check and may overlap.
   bool unchecked_membership_change = false;
-  /// Votes are granted to candidates whose log is behind.
+  /// Votes are granted to candidates whose log is not up to date.
   bool vote_without_log_check = false;
-  /// A leader counts replicas of entries of earlier terms as committed.
+  /// A leader commits entries of earlier terms by counting replicas.
   bool commit_earlier_terms = false;
   /// Learners count towards the quorum.
   bool count_learners = false;
--- a/source/consensus/group_host_impl.cc
+++ b/source/consensus/group_host_impl.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr char kGroupsFolder[] = "groups";
-/// A batch is sent once it holds about this much.
+/// A batch is sent once its estimated size reaches this.
 constexpr uint64_t kBatchBytes = 512 * 1024;
 
 bool IsPlain(char letter) {
@@ -18,7 +18,7 @@
          (letter >= '0' && letter <= '9') || letter == '-' || letter == '_';
 }
 
-/// Group names may hold '/' and more; the folder's name may not.
+/// Folder name of a group, with characters that are unsafe in file names percent-encoded.
 std::string FolderName(const GroupId& group) {
   std::string name;
   for (const char letter : group.value()) {
@@ -66,7 +66,7 @@
   for (const std::string& name : *names) {
     const GroupId group = GroupOfFolder(name);
     auto replica = Open(group, {});
-    // The factory does not know the group any more; its files stay.
+    // The factory refuses the group; its files are left in place.
     if (absl::IsNotFound(replica.status())) continue;
     if (!replica.ok()) return replica.status();
   }
@@ -128,7 +128,7 @@
   ReplicaOutput output;
   it->second.replica->Close(output);
   for (auto& callback : output.callbacks) environment_.Schedule(Duration(0), std::move(callback));
-  // The entry goes after the map is consistent: destructors may call back.
+  // Destroys the entry after its removal from the map: destructors may call back.
   const auto dropped = groups_.extract(it);
   auto names = files_.List(folder);
   if (!names.ok()) return names.status();
@@ -158,7 +158,7 @@
   const auto it = replicas_by_key_.find(addressed.group_key);
   if (it != replicas_by_key_.end()) return it->second;
   const RaftMessageType type = addressed.message.type;
-  // Only a leader that counts this replica as a member makes it open the group.
+  // Only messages that a leader sends to members open a group.
   const bool from_leader =
       type == RaftMessageType::kAppend || type == RaftMessageType::kSnapshotChunk;
   if (!from_leader || addressed.group.value().empty()) return nullptr;
@@ -181,7 +181,7 @@
 }
 
 void GroupHostImpl::Tick() {
-  // Elections are timed finer than heartbeats, so that candidates seldom collide.
+  // Election timeouts need a finer resolution than heartbeats to avoid split votes.
   tick_timer_.Arm(timing_.heartbeat / 2, [this] { Tick(); });
   const TimePoint now = environment_.Now();
   for (auto& [id, entry] : groups_) {
@@ -202,7 +202,7 @@
   SendAll(std::move(output.messages));
   const auto changed = std::exchange(changed_groups_, {});
   const auto listeners = leadership_callbacks_;
-  // Any of the callbacks may destroy this host.
+  // Each callback may destroy this host.
   bool alive = true;
   auto check = alive_.Guard([&alive] { alive = true; });
   const auto still_alive = [&] {
--- a/source/consensus/group_host_impl.h
+++ b/source/consensus/group_host_impl.h
@@ -1,9 +1,8 @@
-/// The GroupHost of a node: finds, opens and drops groups, ticks them, and joins the messages of
-/// all groups to one node in one batch.
+/// Implementation of GroupHost: opens, drops and ticks groups, and batches the messages of all
+/// groups by destination node.
 ///
-/// ProcessReadyGroups is gathered: whatever happens marks its group, and one callback of the
-/// executor then serves all marked groups, so that proposals of one turn share their messages and
-/// their sync.
+/// An event marks its group as ready; one executor callback then processes all ready groups, so
+/// that proposals made together share messages and a sync.
 #pragma once
 
 #include <map>
@@ -39,9 +38,9 @@
   }
 
  private:
-  /// A group and what the listeners last heard of it.
+  /// A group and the state last reported to the listeners.
   struct Entry {
-    /// Outlived by nothing of the replica, which refers to it.
+    /// Referenced by `replica`, so declared before it.
     std::unique_ptr<ReplicaContext> context;
     std::unique_ptr<GroupReplica> replica;
     bool leader = false;
@@ -72,7 +71,7 @@
   std::map<uint64_t, GroupReplica*> replicas_by_key_;
   std::set<GroupId> ready_groups_;
   std::set<GroupId> changed_groups_;
-  /// Groups whose files could not be opened when a leader called for them.
+  /// Groups whose files could not be opened on a message from a leader; not tried again.
   std::set<GroupId> unusable_groups_;
   bool work_scheduled_ = false;
   std::vector<std::function<void(const GroupId&)>> leadership_callbacks_;
--- a/source/consensus/replica_identity.cc
+++ b/source/consensus/replica_identity.cc
@@ -1,4 +1,4 @@
-/// The identity file of a replica's disk: checksum, then a nanopb message.
+/// Replica identity file: a checksum followed by a nanopb message.
 #include <xxhash.h>
 
 #include "absl/strings/str_cat.h"
@@ -29,7 +29,7 @@
   ByteReader reader(bytes);
   const auto checksum = reader.Read<uint64_t>();
   const std::string_view body = reader.rest();
-  const auto damaged = absl::DataLossError("identity: damaged");
+  const auto damaged = absl::DataLossError("identity: file is corrupted");
   if (!reader.ok() || checksum != XXH3_64bits(body.data(), body.size())) return damaged;
   auto file = DecodedMessage<millstair_ReplicaIdentityFile>::Decode(
       millstair_ReplicaIdentityFile_fields, body);
@@ -42,7 +42,7 @@
 
 ReplicaId InitialMemberReplicaId(const std::string& cluster_id, const NodeId& node) {
   const std::string name = absl::StrCat(cluster_id, "\n", node.value());
-  // Never 0, which is "none".
+  // 0 is reserved for "none".
   return ReplicaId(XXH3_64bits(name.data(), name.size()) | 1);
 }
 
