--- a/source/consensus/group_replica.cc
+++ b/source/consensus/group_replica.cc
@@ -9,11 +9,11 @@
 namespace millstair {
 namespace {
 
-/// Entries are applied in pieces of about this size.
+/// Committed entries are read and applied in batches of about this size.
 constexpr uint64_t kApplyBytes = 1 << 20;
-/// A snapshot is taken at the latest after this many times the wanted number of entries.
+/// A snapshot is taken at the latest after this multiple of `snapshot_after_entries`.
 constexpr uint64_t kMaxSnapshotIntervals = 8;
-/// The first entry of every group is its founders' configuration, in this term.
+/// Term of the first entry of every group, the configuration of its initial members.
 constexpr Term kInitialTerm(1);
 
 }  // namespace
@@ -119,7 +119,7 @@
     return Answer(std::move(done), absl::StatusOr<std::string>(position.status()));
   }
   PendingProposal pending{position->term, Deadline(), std::move(done)};
-  // Leadership may be lost and regained before `UpdateRole` sees it.
+  // A proposal may be pending at this index if leadership was lost and regained since `UpdateRole`.
   std::swap(proposals_[position->index], pending);
   Answer(std::move(pending.done),
          absl::StatusOr<std::string>(absl::UnavailableError("leadership was lost")));
@@ -165,7 +165,8 @@
 void GroupReplica::TransferLeadership(StatusCallback done) {
   if (!failure_.ok()) return Answer(std::move(done), failure_);
   if (transfer_done_) {
-    return Answer(std::move(done), absl::FailedPreconditionError("a hand-over is under way"));
+    return Answer(std::move(done),
+                  absl::FailedPreconditionError("a leadership transfer is already in progress"));
   }
   absl::Status status = core_->TransferLeadership(context_.environment.Now());
   if (!status.ok()) return Answer(std::move(done), std::move(status));
@@ -263,15 +264,15 @@
   }
   Answer(
       std::move(pending.done),
-      absl::StatusOr<std::string>(absl::UnavailableError("another leader's entry took the place")));
+      absl::StatusOr<std::string>(absl::UnavailableError("entry was replaced by another leader")));
 }
 
 void GroupReplica::SaveSnapshotIfDue() {
   const uint64_t limit = context_.limits.snapshot_after_entries;
   if (!failure_.ok() || log_->saving_snapshot()) return;
   const uint64_t entries = applied_.value() - log_->snapshot().index.value();
-  // A state much larger than the entries since the last snapshot is written less often, so that
-  // snapshots never cost more than the log itself.
+  // A large state is written less often, so that snapshots write no more bytes than the log, up to
+  // the maximum interval.
   const bool worthwhile =
       applied_bytes_ >= log_->snapshot_file_bytes() || entries >= kMaxSnapshotIntervals * limit;
   if (entries < limit || !worthwhile) return;
@@ -281,7 +282,7 @@
   const SnapshotParts state = machine_->TakeSnapshotParts();
   std::vector<std::string_view> parts = {header};
   for (const auto& part : state) parts.emplace_back(*part);
-  // Entries that followers may still need stay for a while: they are cheaper than a snapshot.
+  // Keeps recent entries for slow followers, which is cheaper than sending a snapshot.
   const LogIndex compact_to(position.index.value() - limit / 2);
   log_->SaveSnapshot(position, parts,
                      alive_.Guard([this, position, compact_to](const absl::Status& status) {
@@ -309,7 +310,7 @@
 }
 
 void GroupReplica::ExpireRequests(TimePoint now) {
-  const auto timeout_error = absl::DeadlineExceededError("no quorum answered in time");
+  const auto timeout_error = absl::DeadlineExceededError("no quorum replied before the deadline");
   while (!proposals_.empty() && proposals_.begin()->second.deadline <= now) {
     Answer(std::move(proposals_.begin()->second.done), absl::StatusOr<std::string>(timeout_error));
     proposals_.erase(proposals_.begin());
@@ -333,7 +334,7 @@
   const bool leads = IsLeader();
   if (transfer_done_ && !(leads && core_->transferring())) {
     Answer(std::exchange(transfer_done_, nullptr),
-           leads ? absl::DeadlineExceededError("the hand-over did not finish") : absl::OkStatus());
+           leads ? absl::DeadlineExceededError("leadership transfer timed out") : absl::OkStatus());
   }
   if (was_leader_ && !leads) {
     for (auto& [index, pending] : proposals_) {
--- a/source/consensus/group_replica.h
+++ b/source/consensus/group_replica.h
@@ -1,5 +1,5 @@
-/// One Raft group of this node: core, log and state machine put together, and the calls that wait
-/// for their results.
+/// The local replica of one Raft group: combines core, log and state machine, and tracks pending
+/// requests.
 #pragma once
 
 #include <deque>
@@ -21,7 +21,7 @@
 
 namespace millstair {
 
-/// What a replica gets from its host; all of it outlives the replica.
+/// Dependencies that the host provides; they outlive the replica.
 struct ReplicaContext {
   Environment& environment;
   FileSystem& files;
@@ -29,18 +29,18 @@
   ConsensusTiming timing;
   ConsensusLimits limits;
   ConsensusFaults faults;
-  /// Asks the host to call `ProcessPending` soon.
+  /// Requests a call of `ProcessPending` from the host.
   std::function<void()> wake;
 };
 
-/// A message and the node that it goes to.
+/// A message and its destination node.
 struct OutgoingMessage {
   NodeId node;
   AddressedRaftMessage addressed;
 };
 
-/// What `ProcessPending` hands to the host: messages to send, then callbacks to run. A callback may
-/// destroy the replica.
+/// Output of `ProcessPending`: messages to send, then callbacks to run. A callback may destroy the
+/// replica.
 struct ReplicaOutput {
   std::vector<OutgoingMessage> messages;
   std::vector<std::function<void()>> callbacks;
@@ -49,25 +49,27 @@
 class GroupReplica : public RaftGroup {
  public:
   /// Opens the group's log in `folder`. A new log starts with `initial_members` if this replica is
-  /// one of them; else it waits for the leader. DataLoss names the damaged file.
+  /// one of them; otherwise it stays empty until a leader sends entries. DataLoss names the damaged
+  /// file.
   static absl::StatusOr<std::unique_ptr<GroupReplica>> Open(
       const ReplicaContext& context, const GroupId& id, const std::string& folder,
       std::unique_ptr<StateMachine> machine, const std::vector<GroupMember>& initial_members);
 
   void Tick(TimePoint now);
   void Receive(const NodeId& from, RaftMessage message);
-  /// Does all that is due and adds to `output`.
+  /// Processes all pending work and appends messages and callbacks to `output`.
   void ProcessPending(ReplicaOutput& output);
 
-  /// The group is about to be dropped: adds to `output` the answers to all that still wait.
+  /// Called before the group is dropped: fails all pending requests and adds their callbacks to
+  /// `output`.
   void Close(ReplicaOutput& output);
 
   StateMachine& machine() { return *machine_; }
   uint64_t key() const { return key_; }
   const std::string& folder() const { return log_->folder(); }
-  /// Index of the entry that holds the current members.
+  /// Index of the entry with the current members.
   LogIndex ConfigurationIndex() const { return core_->configuration().index; }
-  /// Whether the replica stopped because of its disk; it answers nothing any more.
+  /// Not OK once the replica has stopped on an error; it then sends no more messages.
   const absl::Status& failure() const { return failure_; }
 
   const GroupId& id() const override { return id_; }
@@ -137,15 +139,15 @@
   uint64_t applied_bytes_ = 0;
   bool was_leader_ = false;
 
-  /// Deadlines grow with the index and with the ticket.
+  /// Deadlines increase with the index (proposals) and the ticket (reads).
   std::map<LogIndex, PendingProposal> proposals_;
   std::map<uint64_t, PendingRead> reads_;
-  /// Confirmed reads that wait until their index is applied here.
+  /// Confirmed reads that wait for their index to be applied locally.
   std::multimap<LogIndex, PendingRead> applying_reads_;
   StatusCallback transfer_done_;
-  /// Messages that wait for the log to become durable, by `after`.
+  /// Messages held back until the log is durable up to their `after`.
   std::deque<RaftMessage> messages_awaiting_sync_;
-  /// Nodes of replicas that wrote to us but are in no configuration we know.
+  /// Nodes of replicas that sent a message but are not in the current configuration.
   std::map<ReplicaId, NodeId> senders_;
   std::vector<std::function<void()>> callbacks_;
   AliveFlag alive_;
--- a/source/consensus/raft_group.h
+++ b/source/consensus/raft_group.h
@@ -14,17 +14,17 @@
 
 namespace millstair {
 
-/// A member of a group. Members are told apart by their disk, not by their name.
+/// A member of a group, identified by the replica id of its disk rather than by its node.
 struct GroupMember {
   ReplicaId replica;
   NodeId node;
-  /// Where the node listens for peers, "ip:port".
+  /// Peer listener of the node, "ip:port".
   std::string address;
   bool voter = true;
   friend bool operator==(const GroupMember&, const GroupMember&) = default;
 };
 
-/// Index of the member on `node`; none if there is none.
+/// Index of the member on `node`, or nullopt.
 inline std::optional<size_t> IndexOf(const std::vector<GroupMember>& members, const NodeId& node) {
   for (size_t i = 0; i < members.size(); ++i) {
     if (members[i].node == node) return i;
@@ -43,26 +43,26 @@
 
   virtual const GroupId& id() const = 0;
   virtual bool IsLeader() const = 0;
-  /// Node of the leader as far as this replica knows.
+  /// Node of the leader known to this replica.
   virtual std::optional<NodeId> Leader() const = 0;
   virtual Term CurrentTerm() const = 0;
   virtual LogIndex AppliedIndex() const = 0;
   virtual std::vector<GroupMember> Members() const = 0;
 
-  /// Appends `command`; `done` gets the state machine's result once it is applied here.
+  /// Appends `command`; `done` receives the state machine's result once it is applied locally.
   /// InvalidArgument if it is larger than kMaxCommandBytes.
   virtual void Propose(std::string command,
                        std::function<void(absl::StatusOr<std::string>)> done) = 0;
-  /// Confirms with a quorum that no newer entry was committed elsewhere; works on followers too
-  /// (they ask the leader). `done` gets an index that was committed at some moment after the call,
-  /// once it is applied here.
+  /// Linearizable read: `done` receives an index that covers all entries committed before the call,
+  /// once it is applied locally. A quorum confirms it; a follower requests it from the leader.
   virtual void ConfirmRead(std::function<void(absl::StatusOr<LogIndex>)> done) = 0;
 
   virtual void AddLearner(GroupMember member, std::function<void(absl::Status)> done) = 0;
-  /// FailedPrecondition while the learner is not caught up.
+  /// FailedPrecondition until the learner has caught up.
   virtual void Promote(ReplicaId replica, std::function<void(absl::Status)> done) = 0;
   virtual void RemoveMember(ReplicaId replica, std::function<void(absl::Status)> done) = 0;
-  /// Hands leadership to the most caught-up other voter; `done` once this replica leads no more.
+  /// Transfers leadership to the most up-to-date other voter; `done` runs once this replica no
+  /// longer leads.
   virtual void TransferLeadership(std::function<void(absl::Status)> done) = 0;
 };
 
--- a/source/consensus/state_machine.h
+++ b/source/consensus/state_machine.h
@@ -1,5 +1,5 @@
-/// What a replicated log drives. Implementations are deterministic: the same entries in the same
-/// order give the same state, results and snapshots on every replica.
+/// Interface of replicated state machines. Implementations must be deterministic: the same entries
+/// in the same order give the same state, results and snapshots on every replica.
 #pragma once
 
 #include <memory>
@@ -12,18 +12,18 @@
 
 namespace millstair {
 
-/// Put together in order, they are a snapshot.
+/// Parts of a snapshot, to be concatenated in order.
 using SnapshotParts = std::vector<std::shared_ptr<const std::string>>;
 
 class StateMachine {
  public:
   virtual ~StateMachine() = default;
-  /// Applies a committed command and returns its encoded result. Malformed commands are answered
-  /// with an encoded error; they never stop the replica.
+  /// Applies a committed command and returns its encoded result. A malformed command
+  /// returns an encoded error and does not stop the replica.
   virtual std::string Apply(LogIndex index, std::string_view command) = 0;
-  /// The whole state, as of the last applied entry.
+  /// Serializes the complete state as of the last applied entry.
   virtual std::string TakeSnapshot() const = 0;
-  /// The same in parts, which may be shared with the state, so that a large one is not copied.
+  /// Like TakeSnapshot, in parts that may be shared with the state to avoid copying it.
   virtual SnapshotParts TakeSnapshotParts() const {
     return {std::make_shared<const std::string>(TakeSnapshot())};
   }
