--- a/source/consensus/raft_core.cc
+++ b/source/consensus/raft_core.cc
@@ -10,7 +10,8 @@
 namespace millstair {
 namespace {
 
-/// A quiet group sends only every so many heartbeats; well below the election timeout.
+/// Heartbeat interval of an idle group in multiples of the normal one; must stay well below the
+/// election timeout.
 constexpr int kIdleHeartbeatMultiplier = 3;
 
 }  // namespace
@@ -28,7 +29,7 @@
 RaftCore::RaftCore(RaftOptions options, SegmentedLog& log, RandomEngine& random, TimePoint now)
     : options_(options), log_(log), random_(random), now_(now), commit_(log.snapshot().index) {
   leader_last_seen_ = now - options.election_timeout;
-  // An answer to a request of an earlier life must not pass for one to a request of this one.
+  // A random start keeps replies to requests of an earlier incarnation from matching.
   read_request_number_ = random();
   restarted_ = options_.restart_election_timeout > Duration(0) && log.last_index() != LogIndex();
   ResetElectionTimer();
@@ -108,7 +109,7 @@
   const bool vote_request =
       message.type == RaftMessageType::kPreVote || message.type == RaftMessageType::kVote;
   if (message.term > term()) {
-    // A replica that was cut off must not depose a leader that the others hear.
+    // A replica that was isolated must not depose a leader that is still active.
     if (vote_request && !message.transfer && HasLiveLeader()) {
       HandleNonMember(message);
       return false;
@@ -136,7 +137,7 @@
     case RaftMessageType::kAppend:
     case RaftMessageType::kHeartbeat:
     case RaftMessageType::kSnapshotChunk: {
-      // Tells a deposed leader of the newer term.
+      // Notifies a deposed leader of the newer term.
       RaftMessage reply = MakeMessage(RaftMessageType::kAppendReply, message.from);
       reply.reject = true;
       reply.position = message.position;
@@ -241,7 +242,7 @@
 
 absl::StatusOr<LogPosition> RaftCore::Propose(EntryType type, EntryPayload payload) {
   if (!IsLeader()) return absl::UnavailableError("not the leader");
-  if (transferee_.has_value()) return absl::UnavailableError("leadership is being handed over");
+  if (transferee_.has_value()) return absl::UnavailableError("leadership transfer in progress");
   AppendAsLeader(type, std::move(payload));
   return LastPosition();
 }
--- a/source/consensus/raft_core.h
+++ b/source/consensus/raft_core.h
@@ -1,12 +1,14 @@
-/// The Raft algorithm of one replica, without I/O: messages and time go in, messages come out.
+/// The Raft algorithm of one replica, without network or timers of its own.
 ///
-/// The caller feeds `Step`, `Tick` and `LogBecameDurable`, calls `Flush` once it has fed what there
-/// was, then takes `TakeMessages`, `TakeReads` and `commit`. Each message tells by `after` up to
-/// where the own log must be durable before it leaves, so nothing is promised that a crash undoes.
+/// The caller passes events to `Step`, `Tick` and `LogBecameDurable`, calls `Flush` after each
+/// batch of events, then collects `TakeMessages`, `TakeReads` and `commit`. A message must not be
+/// sent before the local log is durable up to its `after`, so that a crash cannot revoke a vote or
+/// an acknowledgement.
 ///
-/// Invariants: a replica votes once a term and keeps the vote durably; it acknowledges only durable
-/// entries; a leader counts only replicas of entries of its own term; a read is answered only after
-/// a quorum of voters answered a heartbeat that was sent later than the read was asked.
+/// Invariants: a replica votes at most once per term and stores the vote durably; it acknowledges
+/// only durable entries; a leader commits by counting replicas only for entries of its own term; a
+/// read is confirmed only after a quorum of voters replied to a heartbeat sent after the read was
+/// requested.
 #pragma once
 
 #include <cstdint>
@@ -34,23 +36,23 @@
   ReplicaId self;
   Duration heartbeat = std::chrono::milliseconds(100);
   Duration election_timeout = std::chrono::milliseconds(1000);
-  /// The same for the first election after a restart, up to three times this; 0 makes no
-  /// difference.
+  /// Replaces `election_timeout` after a restart until a leader is known; the upper bound is three
+  /// times this. 0 disables it.
   Duration restart_election_timeout{0};
   uint64_t max_batch_bytes = 256 * 1024;
   uint64_t snapshot_chunk_bytes = 256 * 1024;
-  /// Append messages on their way to one follower.
+  /// Maximum number of append messages in flight to one follower.
   size_t window = 32;
   ConsensusFaults faults;
 };
 
-/// A read of this replica that was confirmed.
+/// A confirmed read of this replica.
 struct ConfirmedRead {
   uint64_t ticket = 0;
   LogIndex index;
 };
 
-/// A whole snapshot file that came from the leader.
+/// A complete snapshot file received from the leader.
 struct ReceivedSnapshot {
   LogPosition position;
   std::string bytes;
@@ -58,7 +60,7 @@
 
 class RaftCore {
  public:
-  /// `log` and `random` must outlive it. `members` hold as of the log's snapshot (or are empty).
+  /// `log` and `random` must outlive the core. `members` are those of the log's snapshot, if any.
   /// DataLoss if a configuration entry of the log does not decode.
   static absl::StatusOr<std::unique_ptr<RaftCore>> Create(RaftOptions options, SegmentedLog& log,
                                                           RandomEngine& random, TimePoint now,
@@ -67,26 +69,27 @@
   void Tick(TimePoint now);
   void Step(TimePoint now, RaftMessage message);
   void LogBecameDurable();
-  /// Sends what is due: entries, a commit index that moved, a round of read confirmation.
+  /// Sends pending entries, an advanced commit index and a round of read confirmation.
   void Flush(TimePoint now);
 
-  /// Position of the new entry. Unavailable if this replica does not lead or hands over.
+  /// Returns the position of the new entry. Unavailable if this replica is not the leader or is
+  /// transferring leadership.
   absl::StatusOr<LogPosition> Propose(EntryType type, EntryPayload payload);
-  /// The answer comes by TakeReads with the returned ticket, perhaps never.
+  /// The confirmed read is returned by TakeReads with this ticket; it may never be confirmed.
   uint64_t RequestRead();
   void ForgetRead(uint64_t ticket);
 
-  /// Proposes the members that follow from adding, promoting or removing one.
+  /// Proposes a configuration in which one member is added, promoted or removed.
   absl::StatusOr<LogPosition> AddLearner(GroupMember member);
   absl::StatusOr<LogPosition> Promote(ReplicaId replica);
   absl::StatusOr<LogPosition> RemoveMember(ReplicaId replica);
-  /// Starts to hand over. FailedPrecondition if no other voter is fit.
+  /// Starts a leadership transfer. FailedPrecondition if no other voter is reachable.
   absl::Status TransferLeadership(TimePoint now);
   bool transferring() const { return transferee_.has_value(); }
 
-  /// A received snapshot was saved to the log and restored.
+  /// Called once a received snapshot was saved to the log and restored.
   void SnapshotInstalled(const LogPosition& position, std::vector<GroupMember> members);
-  /// A received snapshot could not be used; the leader will send again.
+  /// Called if a received snapshot could not be installed; the leader will send it again.
   void SnapshotRejected() { installing_ = false; }
   void Compacted(LogIndex index) { configurations_.Compact(index); }
 
@@ -103,9 +106,9 @@
   const std::vector<GroupMember>& MembersAt(LogIndex index) const {
     return configurations_.At(index).members;
   }
-  /// Told by the leader that this replica is no member any more.
+  /// Whether this replica was removed from the group.
   bool removed() const { return removed_; }
-  /// The log gave an error or contradicts what was committed; the replica must stop.
+  /// Not OK after a log error or a violated invariant; the replica must then stop.
   const absl::Status& failure() const { return failure_; }
 
  private:
@@ -129,11 +132,11 @@
   void BecomeFollower(Term term, ReplicaId leader);
   void BecomeLeader();
   void ResetElectionTimer();
-  /// Heartbeats of all groups of a node fall due together, so that they travel in one batch.
+  /// Heartbeats of all groups of a node are aligned in time, so that they share a batch.
   TimePoint NextHeartbeat() const;
-  /// A quiet group beats at its normal pace again.
+  /// Returns an idle group to the normal heartbeat interval.
   void OnActivity();
-  /// Nothing was asked for a while and all members have everything.
+  /// Whether there were no recent requests and all members are up to date.
   bool IsIdle() const;
   void OnLeaderMessage(ReplicaId leader);
   bool HasLiveLeader() const;
@@ -155,9 +158,9 @@
   void AppendAsLeader(EntryType type, EntryPayload payload);
   void SendAppend(ReplicaId to, Progress& progress, uint64_t max_bytes);
   void SendEntries(ReplicaId to, Progress& progress);
-  /// With `context` 0 it only tells the commit index and gets no reply.
+  /// With `context` 0 the heartbeat only carries the commit index and gets no reply.
   void SendHeartbeat(ReplicaId to, Progress& progress, uint64_t context);
-  /// Whether a replica is to get the next periodic heartbeat: voters get all, learners some.
+  /// Whether to send the periodic heartbeat to a replica; learners get them less often.
   bool HeartbeatDue(ReplicaId to, const Progress& progress) const;
   void BroadcastHeartbeats();
   void HandleAppend(RaftMessage message);
@@ -197,15 +200,14 @@
   RaftRole role_ = RaftRole::kFollower;
   ReplicaId leader_;
   TimePoint leader_last_seen_;
-  /// It came back and has not heard of a leader in this life: there is none to be patient with. If
-  /// there is one after all, those that hear it refuse the pre-vote. After a fault of all replicas
-  /// a try that fails because others are not back yet is so repeated soon, and not an election
-  /// timeout later (0.6 to 1.2 s where it is set to 600 ms).
+  /// Restarted and no leader seen since; `restart_election_timeout` then applies. This shortens the
+  /// recovery after a restart of all replicas. If a leader exists, its followers refuse the
+  /// pre-vote.
   bool restarted_ = false;
   TimePoint election_due_;
   TimePoint heartbeat_due_;
   TimePoint leader_since_;
-  /// Last entry or read, while leader.
+  /// Time of the last entry or read, while leader.
   TimePoint last_activity_;
   LogIndex commit_;
   ConfigurationHistory configurations_;
@@ -218,19 +220,19 @@
 
   /// Other members, while leader.
   std::map<ReplicaId, Progress> progress_;
-  /// First entry of the own term, while leader.
+  /// First entry of the current term, while leader.
   LogIndex first_entry_of_term_;
   std::optional<ReplicaId> transferee_;
   TimePoint transfer_deadline_;
 
-  /// Leader: reads that wait for the next round, and those of the round under way.
+  /// Reads that wait for the next round, and (leader) those of the current round.
   std::vector<WaitingRead> waiting_reads_;
   std::vector<WaitingRead> round_reads_;
   LogIndex round_index_;
-  /// Numbers of rounds start after 1, so that every heartbeat with a reply has a context.
+  /// Starts at 1: a heartbeat with context 0 gets no reply.
   uint64_t round_ = 1;
   bool round_under_way_ = false;
-  /// Follower: reads covered by the request under way.
+  /// Follower: reads covered by the outstanding request to the leader.
   std::vector<WaitingRead> requested_reads_;
   uint64_t read_request_number_ = 0;
   TimePoint read_request_due_;
--- a/source/consensus/raft_election.cc
+++ b/source/consensus/raft_election.cc
@@ -1,4 +1,4 @@
-/// Elections: pre-vote, vote, check-quorum and hand-over.
+/// Elections: pre-vote, vote, quorum check and leadership transfer.
 #include <algorithm>
 #include <utility>
 
@@ -45,7 +45,7 @@
 
 void RaftCore::HandleVoteRequest(const RaftMessage& message) {
   const bool pre_vote = message.type == RaftMessageType::kPreVote;
-  // A pre-vote is for a term still to come; at the own term it is out of date.
+  // A pre-vote asks for a future term; one for the current term is stale.
   const bool can_vote = pre_vote
                             ? message.term > term()
                             : log_.hard_state().vote == message.from ||
@@ -83,7 +83,7 @@
   }
   if (granted >= members.Quorum()) {
     if (role_ == RaftRole::kPreCandidate) return Campaign(false);
-    // The own vote must be as durable as the others'.
+    // Other voters receive the request only after the local vote is durable.
     if (role_ == RaftRole::kCandidate) return BecomeLeader();
   }
   if (refused >= members.Quorum()) BecomeFollower(term(), ReplicaId());
--- a/source/consensus/raft_membership.cc
+++ b/source/consensus/raft_membership.cc
@@ -1,4 +1,4 @@
-/// Membership changes: one member at a time, each in an entry of its own.
+/// Membership changes: one member at a time, each in its own entry.
 #include <algorithm>
 #include <utility>
 
@@ -9,7 +9,7 @@
 namespace millstair {
 namespace {
 
-/// A learner counts as caught up when it lacks at most this many entries.
+/// Maximum lag in entries at which a learner may be promoted.
 constexpr uint64_t kPromotionLag = 64;
 
 }  // namespace
@@ -49,18 +49,19 @@
 }
 
 absl::StatusOr<LogPosition> RaftCore::ProposeMembers(std::vector<GroupMember> members) {
-  if (transferee_.has_value()) return absl::UnavailableError("leadership is being handed over");
+  if (transferee_.has_value()) return absl::UnavailableError("leadership transfer in progress");
   Configuration next{Next(log_.last_index()), members};
-  if (next.VoterCount() == 0) return absl::FailedPreconditionError("no voter would be left");
+  if (next.VoterCount() == 0)
+    return absl::FailedPreconditionError("the configuration would have no voter");
   if (!options_.faults.unchecked_membership_change) {
     if (commit_ < first_entry_of_term_) {
       return absl::FailedPreconditionError("no entry of this term is committed yet");
     }
     if (configuration().index > commit_) {
-      return absl::FailedPreconditionError("another membership change is under way");
+      return absl::FailedPreconditionError("another membership change is in progress");
     }
     if (!QuorumActive(next)) {
-      return absl::FailedPreconditionError("the voters that answer would be no quorum");
+      return absl::FailedPreconditionError("the reachable voters would not form a quorum");
     }
   }
   AppendAsLeader(EntryType::kConfiguration, std::make_shared<std::string>(EncodeMembers(members)));
--- a/source/consensus/raft_reads.cc
+++ b/source/consensus/raft_reads.cc
@@ -1,4 +1,5 @@
-/// Confirmed reads: a leader has a quorum answer a heartbeat first, a follower asks the leader.
+/// Linearizable reads: a leader confirms them by a heartbeat round to a quorum, a follower sends a
+/// request to the leader.
 #include <algorithm>
 #include <utility>
 
@@ -27,14 +28,14 @@
 }
 
 void RaftCore::StartReadRound() {
-  // Until an entry of the own term is committed, the leader does not know what is committed.
+  // The commit index may be behind until an entry of the current term is committed.
   if (round_under_way_ || waiting_reads_.empty() || commit_ < first_entry_of_term_) return;
   round_under_way_ = true;
   OnActivity();
   ++round_;
   round_index_ = commit_;
   round_reads_ = std::exchange(waiting_reads_, {});
-  // Learners confirm nothing, and there may be many of them.
+  // Learners do not count for the quorum.
   for (auto& [replica, progress] : progress_) {
     if (configuration().IsVoter(replica)) SendHeartbeat(replica, progress, round_);
   }
@@ -70,7 +71,7 @@
   waiting_reads_.clear();
   read_request_due_ = now_ + 2 * options_.heartbeat;
   if (leader_ == ReplicaId()) return;
-  // A new number: the answer to an older request may predate the reads that were added.
+  // A new number: a reply to an earlier request may predate the added reads.
   ++read_request_number_;
   RaftMessage request = MakeMessage(RaftMessageType::kReadRequest, leader_);
   request.context = read_request_number_;
@@ -89,7 +90,7 @@
 }
 
 void RaftCore::HandleReadReply(const RaftMessage& message) {
-  // After a refusal the request is repeated when it is due, perhaps to another leader.
+  // A rejected request is sent again when `read_request_due_` is reached.
   if (message.context != read_request_number_ || message.reject) return;
   const auto reads = std::exchange(requested_reads_, {});
   for (const WaitingRead& read : reads) CompleteRead(read, message.position.index);
