--- a/source/consensus/raft_codec.cc
+++ b/source/consensus/raft_codec.cc
@@ -11,7 +11,7 @@
 namespace millstair {
 namespace {
 
-/// Fixed part of an envelope, and of an entry in it.
+/// Estimated overhead of an envelope and of an entry in it.
 constexpr uint64_t kEnvelopeBytes = 80;
 constexpr uint64_t kEntryBytes = 16;
 
--- a/source/consensus/raft_codec.h
+++ b/source/consensus/raft_codec.h
@@ -12,7 +12,7 @@
 
 namespace millstair {
 
-/// Short name of a group in heartbeats.
+/// Numeric key that identifies a group in heartbeats.
 uint64_t GroupKey(const GroupId& group);
 
 /// A message with its group. `group` is empty in decoded heartbeats, which carry only the key.
@@ -22,21 +22,21 @@
   RaftMessage message;
 };
 
-/// Bytes that `message` adds to a batch, about.
+/// Estimated size of `message` in a batch.
 uint64_t EncodedSize(const RaftMessage& message);
 std::string EncodeRaftBatch(const std::vector<AddressedRaftMessage>& messages);
-/// InvalidArgument if any part is malformed; nothing of the batch is then used.
+/// InvalidArgument if any message of the batch is malformed.
 absl::StatusOr<std::vector<AddressedRaftMessage>> DecodeRaftBatch(std::string_view bytes);
 
 std::string EncodeMembers(const std::vector<GroupMember>& members);
 absl::StatusOr<std::vector<GroupMember>> DecodeMembers(std::string_view bytes);
 
-/// The state of a group's snapshot: its members and the state machine's own snapshot.
+/// Contents of a group's snapshot: its members and the state machine's snapshot.
 struct GroupSnapshot {
   std::vector<GroupMember> members;
   std::string_view state;
 };
-/// What stands before the state of the state machine in a snapshot of its group.
+/// Encodes the part of a group's snapshot that precedes the state machine's snapshot.
 std::string EncodeGroupSnapshotHeader(const std::vector<GroupMember>& members);
 /// The result points into `bytes`.
 absl::StatusOr<GroupSnapshot> DecodeGroupSnapshot(std::string_view bytes);
--- a/source/consensus/raft_configuration.h
+++ b/source/consensus/raft_configuration.h
@@ -19,19 +19,19 @@
   size_t Quorum() const { return VoterCount() / 2 + 1; }
 };
 
-/// The configuration in force is the newest one in the log, committed or not; truncation of the
-/// log brings the one before back.
+/// The current configuration is the newest one in the log, committed or not; truncating the log
+/// reverts to the previous one.
 class ConfigurationHistory {
  public:
   const Configuration& Current() const { return history_.back(); }
   /// The configuration as of `index`.
   const Configuration& At(LogIndex index) const;
   void Add(LogIndex index, std::vector<GroupMember> members);
-  /// Forgets configurations from `index` on.
+  /// Removes configurations at and after `index`.
   void TruncateFrom(LogIndex index);
-  /// Forgets what is older than the configuration as of `index`.
+  /// Removes configurations older than the one as of `index`.
   void Compact(LogIndex index);
-  /// Starts anew, from a snapshot.
+  /// Replaces the history with the configuration of a snapshot.
   void Reset(LogIndex index, std::vector<GroupMember> members);
 
  private:
--- a/source/consensus/raft_progress.h
+++ b/source/consensus/raft_progress.h
@@ -1,4 +1,4 @@
-/// What a leader knows of one follower, and how much it may send it.
+/// A leader's view of one follower: replication state and flow control.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +12,8 @@
 namespace millstair {
 
 enum class ProgressState : uint8_t {
-  kProbe,      ///< looks for the place where the logs agree, one message at a time
-  kReplicate,  ///< sends ahead of acknowledgements, up to a window
+  kProbe,      ///< searches for the last matching entry, one message at a time
+  kReplicate,  ///< pipelines entries up to a window of unacknowledged messages
   kSnapshot,   ///< sends a snapshot, one chunk at a time
 };
 
@@ -22,7 +22,7 @@
   Progress(LogIndex next, TimePoint now) : next_(next), last_active_(now) {}
 
   ProgressState state() const { return state_; }
-  /// Durable at the follower and equal to the leader's log up to here.
+  /// Index up to which the follower's log is durable and matches the leader's.
   LogIndex match() const { return match_; }
   LogIndex next() const { return next_; }
   bool CanProbe() const { return state_ == ProgressState::kProbe && !probe_sent_; }
@@ -31,31 +31,32 @@
   }
 
   void RecordProbe() { probe_sent_ = true; }
-  /// A lost probe is sent again after the next heartbeat.
+  /// Allows another probe, in case the last one was lost.
   void AllowProbe() { probe_sent_ = false; }
-  /// Entries up to `last` were sent.
+  /// Records that entries up to `last` were sent.
   void RecordSent(LogIndex last);
-  /// The follower has `index` durably. Whether that is news.
+  /// Records that the follower has `index` durably. Returns whether `match` advanced.
   bool Acknowledge(LogIndex index);
-  /// The follower refused entries after `refused`; it may agree at `hint`. False if outdated.
+  /// Records that the follower rejected entries after `refused`; the logs may match at `hint`.
+  /// Returns false if the rejection is stale.
   bool Reject(LogIndex refused, LogIndex hint);
   void BeginSnapshot(const LogPosition& position, TimePoint now);
   void ResetToProbe();
 
   TimePoint last_active() const { return last_active_; }
   void RecordActivity(TimePoint now) { last_active_ = now; }
-  /// Whether nothing was acknowledged since the last call, though something is on its way.
+  /// Whether nothing was acknowledged since the last call although messages are in flight.
   bool Stalled();
 
-  /// Largest confirmed round of read confirmation.
+  /// Latest read confirmation round that the follower replied to.
   uint64_t confirmed_round = 0;
-  /// Commit index that the follower was told.
+  /// Commit index last sent to the follower.
   LogIndex sent_commit;
-  /// Snapshot on its way; meaningful in kSnapshot.
+  /// Snapshot being sent; valid in kSnapshot.
   LogPosition snapshot;
   uint64_t snapshot_offset = 0;
   TimePoint chunk_sent;
-  /// When the last periodic heartbeat was sent; none before the first.
+  /// Time of the last periodic heartbeat; nullopt before the first.
   std::optional<TimePoint> heartbeat_sent;
 
  private:
@@ -63,7 +64,7 @@
   LogIndex match_;
   LogIndex next_;
   bool probe_sent_ = false;
-  /// Last index of each message that is on its way.
+  /// Last index of each message in flight.
   std::deque<LogIndex> in_flight_;
   TimePoint last_active_;
   LogIndex match_at_check_;
--- a/source/consensus/raft_replication.cc
+++ b/source/consensus/raft_replication.cc
@@ -9,11 +9,12 @@
 namespace millstair {
 namespace {
 
-/// Entries sent along with a probe, so that a follower that agrees goes on at once.
+/// Maximum size of the entries sent with a probe.
 constexpr uint64_t kProbeBytes = 4096;
 
-/// A learner neither votes nor counts for a quorum. Its heartbeats only show it lost messages and
-/// the leader's life, for which as many as a quiet group sends are enough.
+/// Heartbeat interval of learners in multiples of the normal one. Learners do not count for a
+/// quorum; their heartbeats only serve to detect lost messages and to show that the leader is
+/// alive.
 constexpr int kLearnerHeartbeatMultiplier = 3;
 
 }  // namespace
@@ -84,7 +85,7 @@
 
 bool RaftCore::HeartbeatDue(ReplicaId to, const Progress& progress) const {
   if (configuration().IsVoter(to) || !progress.heartbeat_sent) return true;
-  // Ticks come a little late: half a heartbeat early counts as in time.
+  // Allows half a heartbeat of tick jitter.
   const Duration period = kLearnerHeartbeatMultiplier * options_.heartbeat;
   return now_ - *progress.heartbeat_sent >= period - options_.heartbeat / 2;
 }
@@ -94,7 +95,7 @@
     if (!HeartbeatDue(replica, progress)) continue;
     progress.heartbeat_sent = now_;
     if (progress.state() == ProgressState::kProbe) {
-      // Also tells a replica that lacks the group of it: a heartbeat names no group.
+      // A replica without the group opens it on an append; heartbeats do not name the group.
       SendAppend(replica, progress, 0);
     }
     SendHeartbeat(replica, progress, round_);
@@ -115,7 +116,7 @@
   if (installing_) return;
   RaftMessage reply = MakeMessage(RaftMessageType::kAppendReply, message.from);
   if (message.position.index < commit_) {
-    // What is committed is equal everywhere, so this follower has it.
+    // Committed entries are identical on all replicas, so these entries match.
     reply.position.index = commit_;
     return SendDurable(std::move(reply));
   }
@@ -145,7 +146,7 @@
   if (first <= commit_) {
     failure_ =
         absl::DataLossError(absl::StrCat("leader ", leader_.value(), " of term ", term().value(),
-                                         " contradicts committed entry ", first.value()));
+                                         " conflicts with committed entry ", first.value()));
     return;
   }
   configurations_.TruncateFrom(first);
@@ -203,7 +204,7 @@
   progress.RecordActivity(now_);
   progress.AllowProbe();
   progress.confirmed_round = std::max(progress.confirmed_round, message.context);
-  // If the last messages were lost, the follower refuses this one, which starts a probe.
+  // If messages were lost, the follower rejects this append, which starts a probe.
   if (progress.Stalled()) SendAppend(message.from, progress, 0);
   FinishReadRound();
 }
@@ -224,10 +225,10 @@
       options_.faults.count_learners ? configuration().Quorum() : matches.size() / 2 + 1;
   std::sort(matches.begin(), matches.end(), std::greater<>());
   const LogIndex agreed = matches[std::min(quorum, matches.size()) - 1];
-  // Entries of earlier terms are committed only by way of one of the own term.
+  // Entries of earlier terms are committed only together with one of the current term.
   if (agreed < first_entry_of_term_ && !options_.faults.commit_earlier_terms) return;
   SetCommit(agreed);
-  // A leader that has removed itself leads until that is committed.
+  // A leader that removed itself steps down once the removal is committed.
   const bool settled = configuration().index <= commit_;
   if (settled && configuration().Find(options_.self) == nullptr) {
     BecomeFollower(term(), ReplicaId());
--- a/source/consensus/raft_snapshot_transfer.cc
+++ b/source/consensus/raft_snapshot_transfer.cc
@@ -1,4 +1,4 @@
-/// Snapshots on their way from the leader to a follower that is too far behind for entries.
+/// Snapshot transfer to a follower whose next entry was already compacted.
 #include <algorithm>
 #include <utility>
 
@@ -56,7 +56,7 @@
   if (message.offset == progress.snapshot_offset) return;
   progress.snapshot_offset = std::min(message.offset, log_.snapshot_file_bytes());
   progress.chunk_sent = now_;
-  // The last chunk was taken: the follower acknowledges the position once it has installed it.
+  // All chunks were received; the follower acknowledges the position after the installation.
   if (progress.snapshot_offset == log_.snapshot_file_bytes()) {
     progress.snapshot_offset = 0;
     return;
@@ -68,7 +68,7 @@
   installing_ = false;
   SetCommit(position.index);
   configurations_.Reset(position.index, std::move(members));
-  // Entries after the snapshot may have stayed in the log.
+  // Entries after the snapshot may remain in the log.
   if (absl::Status status = LoadConfigurations(configurations_.Current().members); !status.ok()) {
     failure_ = status;
     return;
