--- a/test/consensus/chaos_run.cc
+++ b/test/consensus/chaos_run.cc
@@ -72,7 +72,7 @@
 }
 
 void ChaosRun::ProposeAtLeaders() {
-  // Any node that believes to lead, so that deposed leaders are asked too.
+  // Includes deposed leaders that have not noticed yet.
   for (const NodeId& id : Alive()) {
     RaftGroup* group = fleet_.Group(id);
     if (group == nullptr || !group->IsLeader()) continue;
@@ -83,7 +83,8 @@
       const uint64_t position = std::stoull(*result);
       const auto [it, first] = acknowledged_.emplace(position, command);
       if (!first)
-        Violation(fmt::format("{} and {} got position {}", it->second, command, position));
+        Violation(fmt::format("{} and {} were both acknowledged at position {}", it->second,
+                              command, position));
       visible_ = std::max(visible_, position);
     });
   }
@@ -201,7 +202,7 @@
 void ChaosRun::LoseRandomDisk() {
   RaftGroup* leader = fleet_.Leader();
   if (!options_.membership_changes || leader == nullptr || !crashed_.empty()) return;
-  // A replica is only lost while the others still make a quorum that is up to date.
+  // Loses a disk only while the remaining voters include an up-to-date quorum.
   constexpr int kMinVoters = 3;
   int voters = 0;
   for (const GroupMember& member : leader->Members()) {
@@ -277,16 +278,17 @@
     node->files->SetSyncTime(std::chrono::microseconds(100), milliseconds(1));
   }
   if (!fleet_.RunUntilLeader(seconds(30)))
-    return LivenessViolation("no leader after the faults healed");
+    return LivenessViolation("no leader after the faults were cleared");
   const Duration deadline = fleet_.scheduler.Now() + seconds(30);
   absl::Status proposed = fleet_.Propose("last").status();
   for (int attempt = 1; !proposed.ok() && fleet_.scheduler.Now() < deadline; ++attempt) {
-    // A hand-over that was under way ends; nothing else may refuse a proposal for long.
+    // Only a leadership transfer in progress may refuse proposals, and only for a short time.
     fleet_.scheduler.RunFor(milliseconds(100));
     proposed = fleet_.Propose(fmt::format("last{}", attempt)).status();
   }
   if (!proposed.ok())
-    return LivenessViolation("no proposal after the faults healed: " + proposed.ToString());
+    return LivenessViolation("no proposal succeeded after the faults were cleared: " +
+                             proposed.ToString());
   const auto settled = [&] {
     RaftGroup* leader = fleet_.Leader();
     if (leader == nullptr) return false;
@@ -304,7 +306,7 @@
   const auto& commands = fleet_.Machine(fleet_.LeaderNode())->commands;
   for (const auto& [position, command] : acknowledged_) {
     if (position > commands.size() || commands[position - 1] != command) {
-      Violation(fmt::format("acknowledged {} at {} is lost", command, position));
+      Violation(fmt::format("acknowledged command {} at position {} was lost", command, position));
     }
   }
   if (std::set<std::string>(commands.begin(), commands.end()).size() != commands.size()) {
--- a/test/consensus/chaos_run.h
+++ b/test/consensus/chaos_run.h
@@ -1,4 +1,4 @@
-/// One seeded run of a fleet under faults, with its safety and liveness checks.
+/// A seeded run of a cluster under random faults, with safety and liveness checks.
 #pragma once
 
 #include <map>
@@ -16,10 +16,9 @@
   int initial_members = 3;
   Duration span = std::chrono::seconds(60);
   ConsensusFaults faults;
-  /// Replace lost disks and change members.
+  /// Whether the run loses disks and changes members.
   bool membership_changes = true;
-  /// A fleet that does not recover is no violation: broken variants must be caught for what they
-  /// break, not for being stuck.
+  /// Ignores liveness violations, so that injected faults are detected only by safety checks.
   bool safety_only = false;
 };
 
@@ -40,7 +39,7 @@
  public:
   explicit ChaosRun(ChaosOptions options);
 
-  /// Runs it; what was violated, empty if nothing. Stops at the first violation.
+  /// Runs until the time span ends or the first violation; returns the violations.
   std::vector<std::string> Run();
   const ChaosCounts& counts() const { return counts_; }
 
@@ -71,11 +70,11 @@
   ChaosCounts counts_;
   std::vector<std::string> violations_;
   std::set<NodeId> crashed_;
-  /// Whoever led in each term.
+  /// Leader of each term.
   std::map<Term, ReplicaId> leaders_;
-  /// Position and text of acknowledged commands.
+  /// Acknowledged commands by position.
   std::map<uint64_t, std::string> acknowledged_;
-  /// Commands known to be visible: no later read may show fewer.
+  /// Number of commands known to be visible; no later read may return fewer.
   uint64_t visible_ = 0;
   uint64_t next_command_ = 0;
 };
--- a/test/consensus/chaos_test.cc
+++ b/test/consensus/chaos_test.cc
@@ -1,5 +1,5 @@
-/// Seeded runs under faults: the sound product violates nothing, broken variants are caught. The
-/// variants that need rarer schedules are in fault_scenarios_test.
+/// Seeded runs under random faults: without injected consensus faults no check fails; with one, a
+/// check does. Faults that need rarer schedules are covered by fault_scenarios_test.
 #include <catch2/catch.hpp>
 
 #include "chaos_run.h"
@@ -7,7 +7,7 @@
 namespace millstair {
 namespace {
 
-TEST_CASE("no fault breaks safety, and the fleet recovers") {
+TEST_CASE("random faults do not violate safety, and the cluster recovers") {
   ChaosCounts sum;
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     ChaosOptions options;
@@ -23,7 +23,7 @@
     sum.members_promoted += run.counts().members_promoted;
     sum.members_removed += run.counts().members_removed;
   }
-  // The runs did something.
+  // Guards against runs that exercise nothing.
   REQUIRE(sum.acknowledged > 10000);
   REQUIRE(sum.reads > 10000);
   REQUIRE(sum.lost_disks > 10);
@@ -31,7 +31,7 @@
   REQUIRE(sum.members_removed > 10);
 }
 
-/// Seed that catches the variant, 0 if none of `seeds` does.
+/// Returns the first seed that detects the fault, or 0.
 uint64_t FindDetectingSeed(const ConsensusFaults& faults, uint64_t seeds) {
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     ChaosOptions options;
@@ -52,7 +52,7 @@
   bool ConsensusFaults::*fault;
 };
 
-TEST_CASE("broken variants are caught by random faults") {
+TEST_CASE("injected consensus faults are detected by random runs") {
   const auto variant =
       GENERATE(Variant{"read_without_confirmation", &ConsensusFaults::read_without_confirmation},
                Variant{"local_follower_reads", &ConsensusFaults::local_follower_reads},
--- a/test/consensus/consensus_fleet.cc
+++ b/test/consensus/consensus_fleet.cc
@@ -32,7 +32,8 @@
     }
     ++position;
   }
-  if (position != commands.size()) violations.push_back("snapshot holds unknown commands");
+  if (position != commands.size())
+    violations.push_back("snapshot contains commands that were never applied");
 }
 
 void TestNetwork::Send(const NodeId& from, const NodeId& to, PeerMessage message) {
@@ -190,7 +191,7 @@
   leader->Propose(command,
                   [answer](const absl::StatusOr<std::string>& result) { *answer = result; });
   scheduler.RunUntilTrue([&] { return answer->has_value(); }, std::chrono::seconds(30));
-  if (!answer->has_value()) return absl::DeadlineExceededError("never answered");
+  if (!answer->has_value()) return absl::DeadlineExceededError("proposal was not completed");
   return **answer;
 }
 
--- a/test/consensus/consensus_fleet.h
+++ b/test/consensus/consensus_fleet.h
@@ -1,4 +1,4 @@
-/// A fleet of consensus nodes in virtual time, with a network and disks that fail on command.
+/// A cluster of consensus nodes in virtual time, with a network and disks that inject faults.
 #pragma once
 
 #include <map>
@@ -18,16 +18,16 @@
 inline const GroupId kTestGroup{"cluster"};
 inline const std::string kTestCluster = "test";
 
-/// What any replica of a group ever applied; two replicas must never differ.
+/// All commands that any replica of a group applied; detects replicas that diverge.
 struct Ledger {
-  /// Whether `commands` are all that was ever applied.
+  /// Whether `commands` equals the complete applied history.
   bool Holds(const std::vector<std::string>& commands) const;
 
   std::map<LogIndex, std::string> applied;
   std::vector<std::string> violations;
 
   void Apply(LogIndex index, const std::string& command);
-  /// A replica was restored to `commands` as of `index`.
+  /// Checks a replica that was restored to `commands` as of `index`.
   void Restore(LogIndex index, const std::vector<std::string>& commands);
 };
 
@@ -74,8 +74,8 @@
 
 struct FleetNode;
 
-/// Delivers between live nodes; each message takes its own time, so they overtake each other. A cut
-/// also drops what is on its way.
+/// Delivers messages between running nodes with random delays, so messages may be reordered. A cut
+/// also drops messages in flight.
 class TestNetwork {
  public:
   explicit TestNetwork(VirtualScheduler& scheduler) : scheduler_(scheduler) {}
@@ -147,20 +147,20 @@
   ListMachine* Machine(const NodeId& id, const GroupId& group = kTestGroup);
   std::vector<GroupMember> InitialMembers() const;
 
-  /// The process dies; unsynced bytes are lost or torn.
+  /// Crashes the process; unsynced bytes are lost or torn.
   void Crash(const NodeId& id);
-  /// Starts it again. A node without an identity gets a new one.
+  /// Restarts a crashed node. A node without an identity gets a new one.
   void Restart(const NodeId& id);
-  /// Adds a node with an empty disk and a random identity; it is no member yet.
+  /// Adds a node with an empty disk and a random identity that is not yet a member.
   NodeId AddNode();
   void LoseDisk(const NodeId& id);
 
-  /// Node that leads in the highest term, if any live node leads.
+  /// Leader with the highest term; null if there is none.
   RaftGroup* Leader(const GroupId& group = kTestGroup);
   NodeId LeaderNode(const GroupId& group = kTestGroup);
-  /// Runs until a leader has committed a command in its term. Whether it did within `span`.
+  /// Runs until a leader confirms a read; returns whether one did within `span`.
   bool RunUntilLeader(Duration span = std::chrono::seconds(30), const GroupId& group = kTestGroup);
-  /// Proposes at the current leader and runs until it is answered.
+  /// Proposes at the current leader and runs until the proposal completes.
   absl::StatusOr<std::string> Propose(const std::string& command,
                                       const GroupId& group = kTestGroup);
   GroupMember MemberOf(const NodeId& id);
--- a/test/consensus/fault_scenarios_test.cc
+++ b/test/consensus/fault_scenarios_test.cc
@@ -1,5 +1,5 @@
-/// Schedules that are too rare for random runs: each shows that a rule of the algorithm matters, by
-/// leading to a violation without it, and to none with it.
+/// Schedules that are too rare for random runs. Each violates safety if one rule of the algorithm
+/// is disabled, and does not if it is enabled.
 #include <catch2/catch.hpp>
 #include <map>
 #include <optional>
@@ -18,8 +18,8 @@
   return options;
 }
 
-/// A voter grants its vote, dies before the vote is durable, and is asked again after its restart.
-/// Whether two leaders were seen in one term.
+/// A voter grants its vote, crashes before the vote is durable, and gets another request after its
+/// restart. Returns whether two leaders were seen in one term.
 bool VoterLosesVote(const ConsensusFaults& faults) {
   ConsensusFleet fleet(3, 11, WithFaults(faults));
   const NodeId first = fleet.Name(0);
@@ -45,7 +45,7 @@
   fleet.network.Heal();
   fleet.network.Isolate(first);
   fleet.Restart(voter);
-  // The voter refuses to be a candidate itself only by chance, so either may win.
+  // The restarted voter may become a candidate itself, so either node may win.
   fleet.scheduler.RunUntilTrue(watch, seconds(20));
   return violated;
 }
@@ -57,7 +57,8 @@
   REQUIRE(VoterLosesVote(faults));
 }
 
-/// All nodes lose power while their disks are slow. Whether an acknowledged command was lost.
+/// All nodes lose power while their disks are slow. Returns whether an acknowledged command was
+/// lost.
 bool AcknowledgedIsLost(const ConsensusFaults& faults) {
   ConsensusFleet fleet(3, 14, WithFaults(faults));
   if (!fleet.RunUntilLeader()) return false;
@@ -84,24 +85,24 @@
 }
 
 /// Figure 8 of the Raft paper with three replicas: an entry of an earlier term reaches a quorum and
-/// is overwritten later. Whether an applied command was lost.
+/// is overwritten later. Returns whether an applied command was lost.
 bool EarlierTermIsOverwritten(const ConsensusFaults& faults) {
   ConsensusFleet fleet(3, 12, WithFaults(faults));
   if (!fleet.RunUntilLeader()) return false;
   fleet.scheduler.RunFor(seconds(1));
   const NodeId first = fleet.LeaderNode();
-  // An entry that is on the first leader only, and too large to travel with the one after it.
+  // An entry that only the first leader has, too large to share an append with the next one.
   fleet.network.Isolate(first);
   fleet.Group(first)->Propose(std::string(5000, 'a'), [](const absl::StatusOr<std::string>&) {});
   const LogIndex entry(fleet.Group(first)->AppliedIndex().value() + 1);
   const auto other_leads = [&] { return fleet.Leader() != nullptr && fleet.LeaderNode() != first; };
   if (!fleet.scheduler.RunUntilTrue(other_leads, seconds(10))) return false;
-  // A second leader writes an entry of its own in that place and is cut off too.
+  // A second leader writes a different entry at the same index and is isolated too.
   const NodeId second = fleet.LeaderNode();
   fleet.network.Isolate(second);
   fleet.Group(second)->Propose("b", [](const absl::StatusOr<std::string>&) {});
   fleet.scheduler.RunFor(seconds(3));
-  // The first one leads again and gives its old entry to the third replica.
+  // The first one leads again and replicates its old entry to the third replica.
   fleet.network.Heal();
   fleet.network.Isolate(second);
   fleet.scheduler.RunUntilTrue([&] { return fleet.Group(first)->AppliedIndex() >= entry; },
@@ -123,7 +124,7 @@
   REQUIRE(EarlierTermIsOverwritten(faults));
 }
 
-/// A leader that is cut off removes the others. Whether it committed alone.
+/// An isolated leader removes the other members. Returns whether it committed alone.
 bool IsolatedLeaderRemovesMembers(const ConsensusFaults& faults) {
   ConsensusFleet fleet(3, 13, WithFaults(faults));
   if (!fleet.RunUntilLeader()) return false;
--- a/test/consensus/group_host_test.cc
+++ b/test/consensus/group_host_test.cc
@@ -99,7 +99,7 @@
       [&] { return fleet.Machine(behind)->commands.size() == 700; }, seconds(10)));
 }
 
-TEST_CASE("leadership is handed over without an election timeout") {
+TEST_CASE("leadership transfer does not wait for an election timeout") {
   ConsensusFleet fleet(3, 6);
   REQUIRE(fleet.RunUntilLeader());
   REQUIRE(fleet.Propose("a").ok());
@@ -114,7 +114,7 @@
   REQUIRE(fleet.Propose("b").ok());
 }
 
-TEST_CASE("identities are kept, and belong to one node of one cluster") {
+TEST_CASE("an identity is persistent and belongs to one node of one cluster") {
   VirtualScheduler scheduler(1);
   VirtualEnvironment environment(scheduler, 1);
   MemoryFileSystem files(environment, 1);
--- a/test/consensus/membership_test.cc
+++ b/test/consensus/membership_test.cc
@@ -1,4 +1,4 @@
-/// Members that come, go, lose their disks and are replaced.
+/// Adding, removing and replacing members, also after the loss of a disk.
 #include <catch2/catch.hpp>
 #include <optional>
 
@@ -12,7 +12,7 @@
 
 using Change = std::function<void(RaftGroup&, std::function<void(absl::Status)>)>;
 
-/// Asks the leader for a change and waits for the answer.
+/// Requests a change from the leader and waits for its result.
 absl::Status Await(ConsensusFleet& fleet, const Change& change) {
   std::optional<absl::Status> result;
   RaftGroup* leader = fleet.Leader();
@@ -99,7 +99,7 @@
         return machine != nullptr && machine->commands.size() == 200;
       },
       seconds(5)));
-  // Two of three voters die: the learner must not help to elect or commit.
+  // Two of three voters crash: the learner must not count for elections or commits.
   for (int i = 0; i < 3; ++i) {
     if (fleet.Name(i) != fleet.LeaderNode()) fleet.Crash(fleet.Name(i));
   }
@@ -141,7 +141,7 @@
   REQUIRE(fleet.Leader()->CurrentTerm() == term);
 }
 
-TEST_CASE("a leader that removes itself gives way") {
+TEST_CASE("a leader that removes itself steps down") {
   ConsensusFleet fleet(3, 25);
   REQUIRE(fleet.RunUntilLeader());
   const NodeId old = fleet.LeaderNode();
@@ -153,7 +153,7 @@
   REQUIRE(fleet.Propose("x").ok());
 }
 
-TEST_CASE("many groups share batches, and a dropped group is gone") {
+TEST_CASE("many groups share batches, and a dropped group is removed with its files") {
   FleetOptions options;
   options.groups.clear();
   for (int i = 0; i < 20; ++i) options.groups.push_back(GroupId("stream/s" + std::to_string(i)));
@@ -165,7 +165,7 @@
   fleet.scheduler.RunFor(seconds(1));
   const uint64_t before = fleet.network.messages;
   fleet.scheduler.RunFor(seconds(10));
-  // Ten heartbeats a second each way between a leader and its followers, if all nodes lead some.
+  // At most ten heartbeat batches and ten replies a second per ordered pair of nodes, plus 10%.
   REQUIRE(fleet.network.messages - before < 3 * 2 * 2 * 10 * 11);
   std::optional<absl::Status> waiting;
   fleet.Group(fleet.Name(0), options.groups[3])
@@ -180,7 +180,7 @@
   }
 }
 
-TEST_CASE("a replica whose disk fails stops, the group goes on") {
+TEST_CASE("a replica whose disk fails stops, and the group continues") {
   ConsensusFleet fleet(3, 27);
   REQUIRE(fleet.RunUntilLeader());
   const NodeId broken = fleet.LeaderNode();
--- a/test/consensus/raft_core_test.cc
+++ b/test/consensus/raft_core_test.cc
@@ -1,4 +1,4 @@
-/// One RaftCore on a log in memory, with messages made by hand.
+/// Tests of one RaftCore on an in-memory log with constructed messages.
 #include "consensus/raft_core.h"
 
 #include <catch2/catch.hpp>
@@ -24,7 +24,7 @@
           {kThird, NodeId("c"), "", true}};
 }
 
-/// Replica 1 of three, whose log starts with the initial_members' configuration.
+/// Replica 1 of three, whose log starts with the configuration of the initial members.
 struct Replica {
   explicit Replica(uint64_t seed = 1, const std::vector<GroupMember>& members = ThreeVoters())
       : scheduler(seed), environment(scheduler, seed), files(environment, seed) {
@@ -84,7 +84,7 @@
   std::unique_ptr<RaftCore> core;
 };
 
-TEST_CASE("a pre-vote asks without raising the term") {
+TEST_CASE("a pre-vote does not raise the term") {
   Replica replica;
   replica.LetElectionTimePass();
   REQUIRE(replica.core->role() == RaftRole::kPreCandidate);
@@ -124,7 +124,7 @@
   REQUIRE(replica.core->TakeMessages()[0].reject);
 }
 
-TEST_CASE("who hears a leader ignores candidates, but not in a hand-over") {
+TEST_CASE("a replica with a live leader ignores candidates, except in a leadership transfer") {
   Replica replica;
   replica.Step(replica.Message(RaftMessageType::kHeartbeat, kSecond, 3));
   replica.core->TakeMessages();
@@ -158,7 +158,7 @@
   REQUIRE(replica.log->TermAt(LogIndex(2)) == Term(3));
 }
 
-TEST_CASE("what is committed is never rewritten") {
+TEST_CASE("committed entries are never overwritten") {
   Replica replica;
   RaftMessage append = replica.Message(RaftMessageType::kAppend, kSecond, 2);
   append.position = {LogIndex(1), Term(1)};
@@ -166,7 +166,7 @@
   replica.Step(append);
   REQUIRE(replica.core->commit() == LogIndex(1));
   replica.StepAppend(kThird, 3, {LogIndex(0), Term(0)}, 3);
-  // What lies before the commit index is not looked at, so the log is as it was.
+  // Entries up to the commit index are ignored, so the log is unchanged.
   REQUIRE(replica.log->TermAt(LogIndex(1)) == Term(1));
   REQUIRE(replica.core->failure().ok());
 }
@@ -190,7 +190,7 @@
   REQUIRE(replica.core->commit() == Next(own));
 }
 
-TEST_CASE("a leader that hears no quorum gives up") {
+TEST_CASE("a leader without contact to a quorum steps down") {
   Replica replica;
   replica.Lead();
   REQUIRE(replica.core->IsLeader());
@@ -198,7 +198,7 @@
   REQUIRE_FALSE(replica.core->IsLeader());
 }
 
-TEST_CASE("a read waits for a quorum that answers a later heartbeat") {
+TEST_CASE("a read waits for a quorum that replies to a later heartbeat") {
   Replica replica;
   replica.Lead();
   replica.Acknowledge(kSecond, replica.log->last_index());
@@ -222,7 +222,7 @@
   REQUIRE(reads[0].index == replica.core->commit());
 }
 
-/// Number of the read request that a follower of the second replica sends.
+/// Requests a read at a follower of the second replica; returns the number of its read request.
 uint64_t ReadRequestNumber(Replica& replica) {
   replica.Step(replica.Message(RaftMessageType::kHeartbeat, kSecond, 3));
   replica.core->RequestRead();
@@ -233,7 +233,7 @@
   return 0;
 }
 
-TEST_CASE("learners are asked for no confirmation and hear fewer heartbeats") {
+TEST_CASE("learners get no confirmation requests and fewer heartbeats") {
   const ReplicaId learner{4};
   std::vector<GroupMember> members = ThreeVoters();
   members.push_back({learner, NodeId("d"), "", false});
@@ -255,7 +255,7 @@
   CHECK(read_round[kSecond] == 1);
   CHECK(read_round[kThird] == 1);
   CHECK(read_round[learner] == 0);
-  // A read that is not confirmed keeps the group from being quiet.
+  // An unconfirmed read keeps the group from becoming idle.
   for (int tick = 0; tick < 50; ++tick) {
     replica.scheduler.RunFor(milliseconds(100));
     replica.core->RequestRead();
@@ -269,7 +269,7 @@
   CHECK(heartbeat_counts[learner] <= heartbeat_counts[kSecond] / 2);
 }
 
-TEST_CASE("an answer to a read of an earlier life is not taken for one of this life") {
+TEST_CASE("a reply to a read request of an earlier incarnation is ignored") {
   Replica earlier(1);
   Replica later(2);
   RaftMessage reply = later.Message(RaftMessageType::kReadReply, kSecond, 3);
--- a/test/consensus/start_election_test.cc
+++ b/test/consensus/start_election_test.cc
@@ -1,4 +1,4 @@
-/// How soon a group has a leader again after all of its replicas were started anew.
+/// Time until a group has a leader again after its replicas were restarted.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -16,7 +16,7 @@
   return options;
 }
 
-TEST_CASE("a group whose replicas all come back has a leader within one election timeout") {
+TEST_CASE("a group whose replicas all restart has a leader within one election timeout") {
   Duration longest{0};
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     ConsensusFleet fleet(3, seed, ShortRestartTimeout());
@@ -32,7 +32,7 @@
   CHECK(longest < ConsensusTiming().election_timeout);
 }
 
-TEST_CASE("a replica that came back alone tries again soon after another one is back") {
+TEST_CASE("a replica that restarted alone is elected soon after a second one restarts") {
   Duration longest{0};
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     ConsensusFleet fleet(3, seed, ShortRestartTimeout());
@@ -45,7 +45,8 @@
       if (fleet.Name(i) != behind) fleet.Crash(fleet.Name(i));
     }
     fleet.Restart(leader);
-    // Its first tries find nobody; the replica that is behind can't be the leader.
+    // Its first pre-votes reach nobody, and the other replica's log is too old for it to be
+    // elected.
     fleet.scheduler.RunFor(milliseconds(700));
     fleet.Restart(behind);
     const Duration started = fleet.scheduler.Now();
@@ -55,7 +56,7 @@
   CHECK(longest < ConsensusTiming().election_timeout);
 }
 
-TEST_CASE("a replica that comes back does not disturb a leader that the others hear") {
+TEST_CASE("a restarted replica does not disturb an active leader") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     ConsensusFleet fleet(3, seed, ShortRestartTimeout());
     REQUIRE(fleet.RunUntilLeader());
