--- a/source/storage/byte_codec.h
+++ b/source/storage/byte_codec.h
@@ -1,4 +1,4 @@
-/// Fixed little-endian integers in byte strings, for the on-disk formats.
+/// Fixed-width little-endian integers for the on-disk formats.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,8 @@
   }
 }
 
-/// Reads from the front; after a read beyond the end `ok` is false and all values are 0.
+/// Reads from the front. After a read beyond the end, `ok` is false and all reads return 0 or
+/// empty.
 class ByteReader {
  public:
   explicit ByteReader(std::string_view bytes) : bytes_(bytes) {}
--- a/source/storage/entry_index.h
+++ b/source/storage/entry_index.h
@@ -10,7 +10,7 @@
 
 namespace millstair {
 
-/// Where an entry's payload lies; segment 0 while it is not written yet.
+/// Location of an entry's payload on disk; segment 0 while it is not written yet.
 struct EntryLocation {
   uint64_t segment = 0;
   uint64_t offset = 0;
@@ -21,32 +21,32 @@
   Term term;
   EntryType type = EntryType::kNoop;
   EntryLocation location;
-  /// Null once it was dropped from memory.
+  /// Null once dropped from memory.
   EntryPayload payload;
 };
 
-/// Entries (base, last]. Indices outside are answered with "none".
+/// Index of the entries (base, last].
 class EntryIndex {
  public:
   explicit EntryIndex(uint64_t cache_bytes) : cache_limit_(cache_bytes) {}
 
   LogIndex base() const { return base_; }
   LogIndex last() const { return LogIndex(base_.value() + entries_.size()); }
-  /// Also known at the base, unless the base was found by recovery in the middle of the log.
+  /// Nullopt outside of [base, last], and at the base if recovery has not found its term.
   std::optional<Term> TermAt(LogIndex index) const;
   /// Null outside of (base, last].
   const IndexedEntry* Find(LogIndex index) const;
 
-  /// Adds `entry`, dropping all entries from its index on. It must not leave a gap.
+  /// Adds `entry` and drops all later entries. It must not leave a gap.
   void Put(const LogEntry& entry);
-  /// Forgets all entries and goes on after `base`.
+  /// Drops all entries and continues after `base`.
   void Reset(LogIndex base, std::optional<Term> term);
   void SetBaseTerm(Term term) { base_term_ = term; }
   /// Drops the entries up to and including `index`, which becomes the base.
   void DropPrefix(LogIndex index);
-  /// Tells where an entry was written; ignored if the entry is gone.
+  /// Sets where an entry was written; ignored if the entry was dropped.
   void SetLocation(LogIndex index, EntryLocation location);
-  /// Drops the oldest written payloads beyond the cache's limit.
+  /// Drops the oldest written payloads from memory until the cache is within its limit.
   void ShrinkCache();
 
  private:
--- a/source/storage/log_entry.h
+++ b/source/storage/log_entry.h
@@ -1,4 +1,4 @@
-/// What a replicated log stores: entries, the hard state of Raft, and the position of snapshots.
+/// Data types of the replicated log: entries, the Raft hard state and log positions.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,10 @@
 enum class EntryType : uint8_t {
   kNoop = 0,           ///< first entry of a new leader; no payload
   kCommand = 1,        ///< for the state machine
-  kConfiguration = 2,  ///< the whole member list that holds from this entry on
+  kConfiguration = 2,  ///< complete member list, effective from this entry on
 };
 
-/// The payload is shared between log, messages and state machine, so that it is copied once.
+/// Shared between log, messages and state machine to avoid copies.
 using EntryPayload = std::shared_ptr<const std::string>;
 
 struct LogEntry {
@@ -26,15 +26,15 @@
   EntryPayload payload;
 };
 
-/// What a replica must not forget between two messages.
+/// Raft state that must be durable before a message that depends on it is sent.
 struct HardState {
   Term term;
-  /// Replica that got this one's vote in `term`; 0 is none.
+  /// Replica voted for in `term`; 0 is none.
   ReplicaId vote;
   friend bool operator==(const HardState&, const HardState&) = default;
 };
 
-/// A place in the log: the entry at `index` has term `term`.
+/// A position in the log: the entry at `index` has term `term`.
 struct LogPosition {
   LogIndex index;
   Term term;
--- a/source/storage/log_record.cc
+++ b/source/storage/log_record.cc
@@ -44,7 +44,7 @@
   return header;
 }
 
-/// The header at `offset`, if it is complete and sound.
+/// Returns the header at `offset` if it is complete and its checksum matches.
 std::optional<RecordHeader> ReadHeader(std::string_view bytes, uint64_t segment, uint64_t offset) {
   if (bytes.size() - offset < kRecordHeaderBytes) return std::nullopt;
   return ParseHeader(bytes.substr(offset, kRecordHeaderBytes), Seed(segment, offset));
@@ -54,7 +54,7 @@
   return std::all_of(bytes.begin(), bytes.end(), [](char byte) { return byte == 0; });
 }
 
-/// Whether a complete sector (or the part of it) in [begin, end) was never written.
+/// Whether [begin, end) contains a sector, or a part of one at its ends, that was never written.
 bool HasUnwrittenSector(std::string_view bytes, uint64_t begin, uint64_t end) {
   for (uint64_t at = begin; at < end;) {
     const uint64_t sector_end = std::min<uint64_t>((at / kSectorBytes + 1) * kSectorBytes, end);
@@ -65,7 +65,7 @@
   return false;
 }
 
-/// Whether a later sound header tells that the bytes at `offset` had been made durable.
+/// Whether a later valid header shows that the bytes at `offset` were durable when it was written.
 bool KnownDurable(std::string_view bytes, uint64_t segment, uint64_t offset) {
   for (uint64_t at = offset + 1; at + kRecordHeaderBytes <= bytes.size(); ++at) {
     const auto header = ReadHeader(bytes, segment, at);
@@ -74,7 +74,7 @@
   return false;
 }
 
-/// Whether the invalid frame at `offset` is what a crash leaves behind.
+/// Whether the invalid frame at `offset` is consistent with a write interrupted by a crash.
 bool IsTorn(std::string_view bytes, uint64_t segment, uint64_t offset) {
   const uint64_t left = bytes.size() - offset;
   if (left < kRecordHeaderBytes) return true;
--- a/source/storage/log_record.h
+++ b/source/storage/log_record.h
@@ -3,11 +3,12 @@
 ///   u32 length of the body | u32 bytes of the segment that were durable when it was written |
 ///   u8 type | 3 zero bytes | u32 checksum of these 12 bytes | u64 checksum of the body | body
 ///
-/// in little-endian. The checksums are XXH3, seeded with segment and offset, so that a frame copied
-/// elsewhere is not valid there.
+/// in little-endian. The checksums are XXH3, seeded with segment and offset, so that a misplaced
+/// frame is invalid.
 ///
-/// A crash leaves a prefix of the last write, or sectors of it unwritten (zeros). Any other
-/// invalid byte is damage: acknowledged entries may be lost, so the segment is refused.
+/// A crash may leave only a prefix of the last write, or some of its sectors unwritten (zeros). Any
+/// other invalid byte is treated as corruption: acknowledged entries may be lost, so the segment is
+/// rejected.
 #pragma once
 
 #include <cstdint>
@@ -40,8 +41,8 @@
   uint64_t valid_bytes = 0;
 };
 
-/// Appends a frame to `batch`, which will stand at offset `base` of segment `segment`. The body is
-/// `body_prefix` followed by `body_rest`.
+/// Appends a frame to `batch`, which will be written at offset `base` of segment `segment`. The
+/// body is `body_prefix` followed by `body_rest`.
 void AppendRecord(std::string& batch, uint64_t base, uint64_t segment, uint64_t durable_bytes,
                   RecordType type, std::string_view body_prefix, std::string_view body_rest = {});
 
@@ -50,7 +51,7 @@
 absl::StatusOr<SegmentScan> ScanSegment(const std::string& path, std::string_view bytes,
                                         uint64_t segment, bool last);
 
-/// Body of the single frame `bytes`, which stands at `offset` of `segment`; none if it is damaged.
+/// Body of the single frame `bytes`, read from `offset` of `segment`; nullopt if it is damaged.
 std::optional<std::string_view> RecordBody(std::string_view bytes, uint64_t segment,
                                            uint64_t offset);
 
--- a/source/storage/log_recovery.cc
+++ b/source/storage/log_recovery.cc
@@ -69,12 +69,12 @@
   }
 
   void ApplySnapshot(const LogPosition& position) {
-    // Entries from here on were removed because a later snapshot covers them.
+    // Entries up to the base were removed because a later snapshot covers them.
     if (position.index < index_.base()) return;
     const bool base_of_gap =
         position.index == index_.base() && !index_.TermAt(position.index).has_value();
     if (base_of_gap) return index_.SetBaseTerm(position.term);
-    // A snapshot that came from the leader replaces a log that does not hold its position.
+    // A snapshot received from the leader replaces a log that does not contain its position.
     if (index_.TermAt(position.index) == position.term) return;
     index_.Reset(position.index, position.term);
   }
@@ -84,7 +84,7 @@
     if (!entry.ok()) return entry.status();
     info.max_index = std::max(info.max_index, entry->index);
     if (entry->index <= index_.base()) return absl::OkStatus();
-    // Entries of removed segments are missing here; a later snapshot record must cover them.
+    // The gap is from removed segments; a later snapshot record must cover it.
     if (entry->index > Next(index_.last())) {
       index_.Reset(LogIndex(entry->index.value() - 1), std::nullopt);
     }
@@ -131,7 +131,7 @@
   for (const uint64_t number : *numbers) {
     const std::string path = SegmentPath(folder, number);
     if (number != numbers->front() + log.segments.size()) {
-      return absl::DataLossError(absl::StrCat(path, ": the segment before it is missing"));
+      return absl::DataLossError(absl::StrCat(path, ": previous segment is missing"));
     }
     auto bytes = files.Read(path);
     if (!bytes.ok()) return bytes.status();
--- a/source/storage/log_recovery.h
+++ b/source/storage/log_recovery.h
@@ -1,4 +1,4 @@
-/// Reads the segments of a log folder after a start: cuts a torn tail, refuses damage.
+/// Recovers a log from its segments at startup: drops a torn tail and rejects corruption.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace millstair {
 
-/// One segment file. Numbers count up from 1.
+/// One segment file, numbered from 1.
 struct SegmentInfo {
   uint64_t number = 0;
   /// Largest index of an entry in it; 0 if it has none.
@@ -25,14 +25,14 @@
   std::vector<SegmentInfo> segments;
   /// Valid bytes of the last segment.
   uint64_t last_segment_bytes = 0;
-  /// Bytes cut off the last segment.
+  /// Bytes of the torn tail of the last segment.
   uint64_t torn_bytes = 0;
 };
 
 std::string SegmentPath(const std::string& folder, uint64_t number);
 std::string SnapshotPath(const std::string& folder, const LogPosition& position);
 
-/// Fills `index` (empty before) from the files in `folder`. DataLoss names file and offset.
+/// Fills the empty `index` from the files in `folder`. DataLoss names file and offset.
 absl::StatusOr<RecoveredLog> RecoverLog(FileSystem& files, const std::string& folder,
                                         EntryIndex& index);
 
--- a/source/storage/segmented_log.cc
+++ b/source/storage/segmented_log.cc
@@ -81,7 +81,7 @@
 
 absl::StatusOr<std::vector<LogEntry>> SegmentedLog::Read(LogIndex from, LogIndex to,
                                                          uint64_t max_bytes) const {
-  // So that many small entries do not make a batch of endless length.
+  // Bounds the number of small entries in a batch.
   constexpr uint64_t kEntryOverhead = 16;
   std::vector<LogEntry> entries;
   uint64_t bytes = 0;
@@ -210,14 +210,14 @@
     const auto callback = std::exchange(snapshot_done_, nullptr);
     callback(status);
   };
-  // A leftover of an interrupted save.
+  // Removes the remains of an interrupted save.
   if (absl::Status status = files_.Remove(path); !status.ok() && !absl::IsNotFound(status)) {
     return finish(status);
   }
   auto file = files_.OpenAppend(path);
   if (!file.ok()) return finish(file.status());
   if (absl::Status status = (*file)->Append(header); !status.ok()) return finish(status);
-  // The state may be large: its parts are written as they are, without a copy behind the header.
+  // Writes the parts separately to avoid copying a large state.
   for (const std::string_view part : state) {
     if (absl::Status status = (*file)->Append(part); !status.ok()) return finish(status);
   }
@@ -258,7 +258,8 @@
 }
 
 absl::StatusOr<std::string> SegmentedLog::ReadSnapshotBytes(uint64_t offset, uint64_t size) const {
-  if (offset > snapshot_bytes_) return absl::OutOfRangeError("beyond the snapshot");
+  if (offset > snapshot_bytes_)
+    return absl::OutOfRangeError("offset is beyond the end of the snapshot");
   return files_.ReadRange(SnapshotPath(folder_, snapshot_), offset,
                           std::min(size, snapshot_bytes_ - offset));
 }
@@ -271,11 +272,11 @@
 void SegmentedLog::RemoveCoveredFiles() {
   // Until the record that refers to the new snapshot is durable, a restart needs the old files.
   if (saving_snapshot()) return;
-  // The segment after a removed one must hold its header durably.
+  // The segment after a removed one must have a durable header.
   const size_t with_header = active_durable_ > 0 ? segments_.size() : segments_.size() - 1;
   size_t covered = 0;
   while (covered + 1 < with_header && segments_[covered].max_index <= index_.base()) {
-    // A file that stays behind is removed at the next start.
+    // Files that could not be removed are removed at the next start.
     if (!files_.Remove(SegmentPath(folder_, segments_[covered].number)).ok()) break;
     ++covered;
   }
--- a/source/storage/segmented_log.h
+++ b/source/storage/segmented_log.h
@@ -1,10 +1,10 @@
 /// The durable log of one Raft group: entries, hard state and snapshots in one folder.
 ///
-/// Records are appended to segment files. Appends gather in memory until `Flush`; one write and one
-/// sync are outstanding at a time, so everything that arrived meanwhile goes with the next sync
-/// (group commit). A suffix is replaced by writing entries with smaller indices again; a prefix
-/// goes by removing whole segments that a snapshot covers. A new segment is begun only when all
-/// earlier bytes are durable, so that only the last one can be torn.
+/// Records are appended to segment files. Appends are buffered until `Flush`; one write and one
+/// sync are outstanding at a time, so records appended meanwhile share the next sync (group
+/// commit). A suffix is replaced by writing entries with the same indices again; a prefix is
+/// removed by deleting complete segments that a snapshot covers. A new segment is started only when
+/// all earlier bytes are durable, so that only the last one can be torn.
 ///
 /// Lives on the node's serial executor.
 #pragma once
@@ -35,7 +35,7 @@
   uint64_t cache_bytes = 1 << 20;
 };
 
-/// Counts records; what was appended up to a sequence is durable once `durable_sequence` reaches
+/// Sequence number of a record; all records up to it are durable once `durable_sequence` reaches
 /// it.
 using LogSequence = uint64_t;
 
@@ -51,17 +51,17 @@
   const HardState& hard_state() const { return hard_state_; }
   /// Position of the newest durable snapshot; index 0 if there is none.
   const LogPosition& snapshot() const { return snapshot_; }
-  /// Entries (base, last] are there.
+  /// The log contains the entries (base, last].
   LogIndex base_index() const { return index_.base(); }
   LogIndex last_index() const { return index_.last(); }
   std::optional<Term> TermAt(LogIndex index) const { return index_.TermAt(index); }
   /// Type of an entry in (base, last].
   std::optional<EntryType> TypeAt(LogIndex index) const;
   /// Entries from `from` to at most `to`; at least one, then as many as fit `max_bytes`.
-  /// OutOfRange if `from` is not there, DataLoss if the disk does not give the payload back.
+  /// OutOfRange if `from` is not in the log, DataLoss if a payload can't be read from disk.
   absl::StatusOr<std::vector<LogEntry>> Read(LogIndex from, LogIndex to, uint64_t max_bytes) const;
 
-  /// Adds entries; from the index of the first one on, they replace what was there.
+  /// Appends entries; they replace all entries from the index of the first one on.
   void Append(const std::vector<LogEntry>& entries);
   void SaveHardState(const HardState& state);
 
@@ -70,22 +70,22 @@
   LogSequence durable_sequence() const { return durable_sequence_; }
   /// All entries up to this one are durable.
   LogIndex durable_index() const { return durable_index_; }
-  /// Starts writing what was appended, unless a sync is outstanding; then it follows that.
+  /// Starts writing the buffered records, or does so after the outstanding sync.
   void Flush();
-  /// Called after `durable_sequence` has grown, or with the error that has stopped the log.
+  /// Registers a callback for when `durable_sequence` advances or an error stops the log.
   void OnDurable(std::function<void(absl::Status)> callback) { on_durable_ = std::move(callback); }
 
-  /// Writes a snapshot file of `state` and refers to it in the log; `done` follows when all of that
-  /// is durable. A log that does not hold `position` starts anew after it. At most one at a time.
+  /// Writes a snapshot file of `state` and a record that refers to it; `done` runs once both are
+  /// durable. A log that does not contain `position` is reset to it. At most one at a time.
   void SaveSnapshot(const LogPosition& position, const std::vector<std::string_view>& state,
                     std::function<void(absl::Status)> done);
   bool saving_snapshot() const { return snapshot_done_ != nullptr; }
-  /// The newest snapshot; NotFound if there is none.
+  /// Reads the newest snapshot; NotFound if there is none.
   absl::StatusOr<Snapshot> ReadSnapshot() const;
   /// Bytes of the newest snapshot's file, for sending it in chunks.
   absl::StatusOr<std::string> ReadSnapshotBytes(uint64_t offset, uint64_t size) const;
   uint64_t snapshot_file_bytes() const { return snapshot_bytes_; }
-  /// Allows entries up to `index` to go; they must be covered by the snapshot.
+  /// Drops entries up to `index`, as far as the snapshot covers them.
   void Compact(LogIndex index);
 
   uint64_t torn_bytes() const { return torn_bytes_; }
@@ -101,7 +101,7 @@
   SegmentedLog(FileSystem& files, std::string folder, LogOptions options);
   absl::Status Recover();
   absl::Status BeginSegment();
-  /// What every segment must hold, since the segments before it may go.
+  /// Writes the hard state and snapshot position, since earlier segments may be removed.
   absl::Status AppendSegmentHeader();
   void AppendPending(std::string& batch, uint64_t base);
   void FinishSync(absl::Status status);
--- a/source/storage/snapshot_file.h
+++ b/source/storage/snapshot_file.h
@@ -16,10 +16,10 @@
 };
 
 std::string SnapshotFileName(const LogPosition& position);
-/// What stands before the state in its file; `state` is its parts in order.
+/// Encodes the part of the file that precedes the state; `state` is given as parts in order.
 std::string EncodeSnapshotFileHeader(const LogPosition& position,
                                      const std::vector<std::string_view>& state);
-/// DataLoss naming `path` if the bytes are not a whole, undamaged snapshot.
+/// DataLoss naming `path` if `bytes` is not a complete, undamaged snapshot.
 absl::StatusOr<Snapshot> DecodeSnapshotFile(const std::string& path, std::string_view bytes);
 
 }  // namespace millstair
