--- a/source/storage/file_system.h
+++ b/source/storage/file_system.h
@@ -1,5 +1,5 @@
-/// Files as the log storage sees them. The POSIX version is in posix_file_system; the simulator
-/// has one that loses, tears and delays unsynced writes.
+/// File system interface of the log storage. Implemented by posix_file_system and, with injected
+/// disk faults, by memory_file_system.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +14,15 @@
 
 namespace millstair {
 
-/// An append-only file. Bytes last only once a `Sync` that began after their append has succeeded.
+/// An append-only file. Bytes are durable once a `Sync` that began after their append has
+/// succeeded.
 class AppendFile {
  public:
   virtual ~AppendFile() = default;
   virtual absl::Status Append(std::string_view bytes) = 0;
   /// Makes all appended bytes durable, off the executor; `done` runs on the executor.
   virtual void Sync(std::function<void(absl::Status)> done) = 0;
-  /// The same, waiting for it. Only at start and for small files.
+  /// Blocking variant of `Sync`, for startup and small files.
   virtual absl::Status SyncNow() = 0;
   virtual uint64_t Size() const = 0;
 };
@@ -33,7 +34,7 @@
   virtual absl::Status CreateFolder(const std::string& path) = 0;
   /// Names in `path`, sorted; empty if the folder is missing.
   virtual absl::StatusOr<std::vector<std::string>> List(const std::string& path) = 0;
-  /// Opens for append, creating it if it is missing; the entry in the folder is durable on return.
+  /// Opens a file for append, creating it if missing; the directory entry is durable on return.
   virtual absl::StatusOr<std::unique_ptr<AppendFile>> OpenAppend(const std::string& path) = 0;
   /// NotFound if the file is missing.
   virtual absl::StatusOr<std::string> Read(const std::string& path) = 0;
@@ -41,7 +42,7 @@
                                                 uint64_t size) = 0;
   virtual absl::Status Truncate(const std::string& path, uint64_t size) = 0;
   virtual absl::Status Remove(const std::string& path) = 0;
-  /// Replaces `path` as a whole: after a crash it holds the old or the new bytes, never a mixture.
+  /// Replaces `path` atomically: after a crash it has either the old or the new contents.
   virtual absl::Status WriteAtomically(const std::string& path, std::string_view bytes) = 0;
 };
 
--- a/source/storage/memory_file_system.cc
+++ b/source/storage/memory_file_system.cc
@@ -125,7 +125,7 @@
 void MemoryFileSystem::Crash() {
   ++generation_;
   for (auto& [path, entry] : files_) {
-    // A fresh object, so that callbacks of the dead incarnation change nothing.
+    // A new object, so that callbacks of the previous incarnation have no effect.
     auto survivor = std::make_shared<File>();
     uint64_t size = entry->synced;
     const uint64_t unsynced = entry->bytes.size() - entry->synced;
--- a/source/storage/memory_file_system.h
+++ b/source/storage/memory_file_system.h
@@ -1,7 +1,7 @@
-/// A disk in memory for virtual time. It keeps what survives a crash apart from what does not:
-/// bytes that no finished sync covers are lost, but for a random prefix of them (a torn tail).
+/// In-memory disk for virtual time. A crash loses the bytes that no completed sync covers, except
+/// for a random prefix of them (a torn tail).
 ///
-/// One object is one disk; it outlives the incarnations of its node. `Crash` ends an incarnation.
+/// One object represents one disk and outlives the incarnations of its node; `Crash` ends one.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 namespace millstair {
 
 struct MemoryDiskOptions {
-  /// A sync takes a random time between these.
+  /// Bounds of the random duration of a sync.
   Duration sync_min = std::chrono::microseconds(200);
   Duration sync_max = std::chrono::microseconds(800);
   /// Whether a crash may leave a prefix of the unsynced bytes of a file.
@@ -27,7 +27,7 @@
 /// Lives on the executor of the node that it is attached to.
 class MemoryFileSystem : public FileSystem {
  public:
-  /// `environment` gives time to the first incarnation; `seed` draws sync times and torn tails.
+  /// `environment` is that of the first incarnation; `seed` determines sync times and torn tails.
   MemoryFileSystem(Environment& environment, uint64_t seed, MemoryDiskOptions options = {});
 
   absl::Status CreateFolder(const std::string& path) override;
@@ -40,18 +40,18 @@
   absl::Status Remove(const std::string& path) override;
   absl::Status WriteAtomically(const std::string& path, std::string_view bytes) override;
 
-  /// The process died: drops unsynced bytes and invalidates all open files. Call it after the old
-  /// environment was killed, then `Attach` the environment of the next incarnation.
+  /// Simulates a process crash: drops unsynced bytes and invalidates all open files. To be called
+  /// after the environment was killed; then `Attach` the environment of the next incarnation.
   void Crash();
   void Attach(Environment& environment) { environment_ = &environment; }
 
-  /// The disk was replaced by an empty one. Ends the incarnation like `Crash`.
+  /// Replaces the disk by an empty one. Ends the incarnation like `Crash`.
   void LoseDisk();
-  /// Changes the time that syncs take from now on (a slow disk).
+  /// Sets the bounds of the sync duration, for example of a slow disk.
   void SetSyncTime(Duration min, Duration max);
   /// The next `count` syncs and atomic writes fail with Unavailable; their bytes stay unsynced.
   void FailNextSyncs(int count) { failing_syncs_ = count; }
-  /// Every append fails with ResourceExhausted while set.
+  /// While set, every append fails with ResourceExhausted.
   void SetFull(bool full) { full_ = full; }
   /// Flips the bits of `mask` in one byte. NotFound or OutOfRange if there is no such byte.
   absl::Status Damage(const std::string& path, uint64_t offset, uint8_t mask);
@@ -75,7 +75,7 @@
   MemoryDiskOptions options_;
   std::map<std::string, std::shared_ptr<File>> files_;
   std::set<std::string> folders_;
-  /// Counts incarnations; open files of an earlier one are dead.
+  /// Number of the incarnation; open files of an earlier one are invalid.
   uint64_t generation_ = 0;
   int failing_syncs_ = 0;
   bool full_ = false;
--- a/source/storage/posix_file_system.cc
+++ b/source/storage/posix_file_system.cc
@@ -23,7 +23,7 @@
   return absl::ErrnoToStatus(errno, absl::StrCat(path, ": cannot ", action));
 }
 
-/// Closes its descriptor when the last user goes; shared with syncs under way.
+/// Owns a file descriptor; shared with syncs in progress.
 class Descriptor {
  public:
   explicit Descriptor(int value) : value_(value) {}
@@ -49,7 +49,7 @@
   return absl::OkStatus();
 }
 
-/// Makes the entries of a folder durable.
+/// Makes the directory entries of a folder durable.
 absl::Status SyncFolder(const std::string& path) {
   const Descriptor folder(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (!folder.valid()) return LastError(path, "open folder");
@@ -61,7 +61,7 @@
   return std::filesystem::path(path).parent_path().string();
 }
 
-/// Creates `path` and what is missing above it; the new entries are durable on return.
+/// Creates `path` and its missing parents; the new directory entries are durable on return.
 absl::Status CreateDurableFolder(const std::string& path) {
   if (path.empty() || ::access(path.c_str(), F_OK) == 0) return absl::OkStatus();
   const std::string parent = ParentOf(path);
@@ -123,7 +123,8 @@
         ::pread(file.value(), bytes.data() + done, size - done, static_cast<off_t>(offset + done));
     if (count < 0 && errno == EINTR) continue;
     if (count < 0) return LastError(path, "read");
-    if (count == 0) return absl::DataLossError(absl::StrCat(path, ": became shorter"));
+    if (count == 0)
+      return absl::DataLossError(absl::StrCat(path, ": file was truncated while it was read"));
     done += static_cast<uint64_t>(count);
   }
   return bytes;
--- a/source/storage/posix_file_system.h
+++ b/source/storage/posix_file_system.h
@@ -1,9 +1,8 @@
 /// Files of one data folder on a POSIX file system.
 ///
-/// Syncs run in the background by the functions of BackgroundExecutor, so that the node's executor
-/// never waits for the disk; everything else is short and runs where it is called. The folder is
-/// locked (flock) for as long as the object lives: two processes on one data folder would destroy
-/// each other's logs.
+/// `AppendFile::Sync` runs on a BackgroundExecutor, so that the node's executor does not block on
+/// it; other operations run on the calling thread. The folder is locked (flock) for the lifetime of
+/// the object: two processes on one data folder would corrupt each other's logs.
 #pragma once
 
 #include <functional>
@@ -19,15 +18,15 @@
 struct BackgroundExecutor {
   /// Runs a blocking function on another thread.
   std::function<void(std::function<void()>)> run;
-  /// Called on that thread: runs a function on the node's executor. It may drop it once the node
-  /// has stopped.
+  /// Called on that thread to run a function on the node's executor. The function may be dropped
+  /// once the node has stopped.
   std::function<void(std::function<void()>)> post_back;
 };
 
 class PosixFileSystem : public FileSystem {
  public:
-  /// Creates `folder` if it is missing and locks it. FailedPrecondition if another process has it,
-  /// PermissionDenied or another error naming the path if it can't be used.
+  /// Creates `folder` if it is missing and locks it. FailedPrecondition if another process holds
+  /// it, PermissionDenied or another error naming the path if it can't be used.
   static absl::StatusOr<std::unique_ptr<PosixFileSystem>> Open(const std::string& folder,
                                                                BackgroundExecutor executor);
   ~PosixFileSystem() override;
