--- a/test/storage/memory_file_system_test.cc
+++ b/test/storage/memory_file_system_test.cc
@@ -35,7 +35,7 @@
   }
 }
 
-TEST_CASE("a failed sync reports so and leaves the bytes unsynced") {
+TEST_CASE("a failed sync returns an error and leaves the bytes unsynced") {
   Disk disk;
   auto file = disk.files.OpenAppend("log");
   REQUIRE((*file)->Append("abc").ok());
--- a/test/storage/posix_file_system_test.cc
+++ b/test/storage/posix_file_system_test.cc
@@ -12,7 +12,7 @@
 namespace millstair {
 namespace {
 
-/// Runs everything at once: the tests are about the files, not the threads.
+/// Runs all functions inline, since the tests do not cover threading.
 BackgroundExecutor Inline() {
   const auto run = [](const std::function<void()>& function) { function(); };
   return {run, run};
@@ -72,7 +72,7 @@
   REQUIRE(files->List("missing")->empty());
 }
 
-TEST_CASE("a log on real files is there again after it was closed") {
+TEST_CASE("a log on real files is recovered after it was closed") {
   TemporaryFolder folder;
   const auto payload = [](int i) { return std::make_shared<std::string>(std::to_string(i)); };
   LogOptions options;
--- a/test/storage/segmented_log_test.cc
+++ b/test/storage/segmented_log_test.cc
@@ -35,7 +35,7 @@
     status = opened.status();
     if (opened.ok()) log = *std::move(opened);
   }
-  /// Ends the process and starts it again.
+  /// Simulates a crash and a restart of the process.
   void Restart(bool crash = true) {
     log.reset();
     environment->Kill();
@@ -61,7 +61,7 @@
   absl::Status status;
 };
 
-TEST_CASE("appends of one moment share a sync") {
+TEST_CASE("appends share syncs (group commit)") {
   Store store;
   const uint64_t before = store.files.syncs();
   for (uint64_t i = 1; i <= 50; ++i) store.log->Append({Entry(i, 1, "x")});
@@ -72,7 +72,7 @@
   REQUIRE(store.files.syncs() - before == 2);
 }
 
-TEST_CASE("entries and hard state are there after a crash once they were durable") {
+TEST_CASE("durable entries and hard state survive a crash") {
   Store store;
   store.log->SaveHardState({Term(3), ReplicaId(7)});
   store.log->Append({Entry(1, 3, "one"), Entry(2, 3, "two")});
@@ -120,7 +120,7 @@
   }
 }
 
-TEST_CASE("a snapshot lets covered segments go and survives a restart") {
+TEST_CASE("a snapshot allows covered segments to be removed and survives a restart") {
   LogOptions options;
   options.segment_bytes = 500;
   Store store(1, options);
@@ -241,7 +241,7 @@
   REQUIRE(store.log->durable_index() == LogIndex(0));
 }
 
-/// A log under random operations and crashes, against a model of what it must hold.
+/// Compares a log under random operations and crashes with a model of its contents.
 class ModelRun {
  public:
   explicit ModelRun(uint64_t seed) : random_(seed), store_(seed, SmallSegments()) { Watch(); }
@@ -284,7 +284,7 @@
     store_.log->Flush();
   }
   void Replace() {
-    // Only what no snapshot covers may be replaced.
+    // Only entries that no snapshot covers may be replaced.
     if (last() <= snapshot_ || saving_) return;
     const uint64_t index = snapshot_ + 1 + DrawBelow(random_, last() - snapshot_);
     ++term_;
@@ -321,7 +321,7 @@
     CheckEntries(durable, durable_term);
     Watch();
   }
-  /// What was durable is there, unless a replacement that was under way got through.
+  /// Checks that durable entries are present, unless a pending replacement became durable.
   void CheckEntries(uint64_t durable, Term durable_term) {
     const bool replaced =
         last() < durable || (store_.log->TermAt(LogIndex(durable)).has_value() &&
@@ -331,7 +331,7 @@
     for (uint64_t index = store_.log->base_index().value() + 1; index <= checked; ++index) {
       REQUIRE(store_.Payload(index) == model_[index]);
     }
-    // The model follows the log in what was not durable.
+    // For entries that were not durable, the model adopts the contents of the log.
     model_.erase(model_.upper_bound(last()), model_.end());
     for (uint64_t index = durable + 1; index <= last(); ++index) {
       model_[index] = store_.Payload(index);
@@ -346,7 +346,7 @@
   bool saving_ = false;
 };
 
-TEST_CASE("random operations and crashes keep what was durable") {
+TEST_CASE("random operations and crashes preserve durable entries") {
   for (uint64_t seed = 1; seed <= 60; ++seed) {
     INFO("seed " << seed);
     ModelRun run(seed);
