--- a/source/storage/segmented_log.cc
+++ b/source/storage/segmented_log.cc
@@ -44,8 +44,8 @@
   auto file = files_.OpenAppend(path);
   if (!file.ok()) return file.status();
   active_ = *std::move(file);
-  // The header of the segment may have been torn off. The sync covers what was read too: it may
-  // have been in memory only when the process died.
+  // The segment header may have been torn. The sync also covers the recovered records, which may
+  // not have been durable when the process ended.
   if (absl::Status status = AppendSegmentHeader(); !status.ok()) return status;
   if (absl::Status status = active_->SyncNow(); !status.ok()) return status;
   active_durable_ = active_->Size();
