--- a/source/wire/nanopb_message.cc
+++ b/source/wire/nanopb_message.cc
@@ -15,7 +15,7 @@
 std::string EncodeNanopb(const pb_msgdesc_t* fields, const void* message) {
   std::string bytes;
   pb_ostream_t stream = {&AppendToString, &bytes, SIZE_MAX, 0, nullptr};
-  // Encoding into memory fails only for a struct that contradicts its descriptor.
+  // Encoding into memory fails only if the struct does not match its descriptor.
   if (!pb_encode(&stream, fields, message)) std::abort();
   return bytes;
 }
@@ -36,7 +36,7 @@
     if (type == PB_WT_STRING) {
       uint32_t size = 0;
       const bool complete = pb_decode_varint32(&stream, &size) && size <= stream.bytes_left;
-      if (!complete) return absl::InvalidArgumentError("a field is cut short");
+      if (!complete) return absl::InvalidArgumentError("truncated field");
       field.payload = bytes.substr(position(), size);
       pb_read(&stream, nullptr, size);
     } else if (!pb_skip_field(&stream, type)) {
--- a/source/wire/nanopb_message.h
+++ b/source/wire/nanopb_message.h
@@ -1,11 +1,11 @@
-/// Bridges nanopb structs and C++ types. Messages in api/ use pointer fields (FT_POINTER): strings
-/// are `char*`, bytes `pb_bytes_array_t*`, repeated fields `T*` with a count.
+/// Converts between nanopb structs and C++ types. Messages in api/ use pointer fields (FT_POINTER):
+/// strings are `char*`, bytes `pb_bytes_array_t*`, repeated fields `T*` with a count.
 ///
-/// A bytes field holds at most 65,535 bytes in this build of nanopb, so binary data that may be
+/// A bytes field is limited to 65,535 bytes in this build of nanopb, so binary data that may be
 /// larger is a `repeated bytes` field in chunks (NewChunkedBytes, JoinBytes). Strings have no such
-/// limit but must not hold NUL.
+/// limit but must not contain NUL.
 ///
-/// Encoding: fill the struct with memory of a WireArena, then EncodeMessage. Decoding:
+/// Encoding: fill the struct with memory of a WireArena, then EncodeNanopb. Decoding:
 /// DecodedMessage owns what nanopb allocated and releases it.
 #pragma once
 
@@ -27,10 +27,10 @@
 /// Size of a chunk of a `repeated bytes` field.
 inline constexpr size_t kWireChunkBytes = 32 * 1024;
 
-/// Memory of one message under construction; freed as a whole.
+/// Arena for one message under construction; all memory is freed together.
 class WireArena {
  public:
-  /// Zeroed array of `count` elements; null for none.
+  /// Allocates a zeroed array of `count` elements; null if `count` is 0.
   template <class T>
   T* NewArray(size_t count) {
     if (count == 0) return nullptr;
@@ -52,7 +52,7 @@
     return array;
   }
 
-  /// Splits `bytes` into chunks; `*count` gets their number.
+  /// Splits `bytes` into chunks and sets `*count` to their number.
   pb_bytes_array_t** NewChunkedBytes(std::string_view bytes, pb_size_t* count) {
     const size_t chunks = (bytes.size() + kWireChunkBytes - 1) / kWireChunkBytes;
     auto** array = NewArray<pb_bytes_array_t*>(chunks);
@@ -67,7 +67,7 @@
   void* Allocate(size_t size) {
     const size_t elements = size / sizeof(std::max_align_t) + 1;
     blocks_.push_back(std::make_unique<std::max_align_t[]>(elements));
-    // Value-initialization leaves the padding of max_align_t as it was.
+    // Value-initialization does not clear the padding of max_align_t.
     std::memset(blocks_.back().get(), 0, elements * sizeof(std::max_align_t));
     return blocks_.back().get();
   }
@@ -81,7 +81,7 @@
   return std::string(reinterpret_cast<const char*>(bytes->bytes), bytes->size);
 }
 
-/// Puts the chunks of a `repeated bytes` field together.
+/// Concatenates the chunks of a `repeated bytes` field.
 inline std::string JoinBytes(pb_bytes_array_t* const* chunks, pb_size_t count) {
   std::string joined;
   for (pb_size_t i = 0; i < count; ++i) joined += ToString(chunks[i]);
@@ -91,25 +91,25 @@
 /// Encodes `message` by its nanopb descriptor `fields` (for example `millstair_RaftBatch_fields`).
 std::string EncodeNanopb(const pb_msgdesc_t* fields, const void* message);
 
-/// A field of a message as it lies on the wire.
+/// A field of an encoded message.
 struct WireField {
   uint32_t tag = 0;
-  /// Of a field with a length (messages, strings, bytes); empty for numbers.
+  /// Value of a length-delimited field (message, string, bytes); empty for numbers.
   std::string_view payload;
-  /// With its tag and length.
+  /// The complete encoding with tag and length.
   std::string_view encoded;
 };
 
-/// Calls `visit` for each top-level field of `bytes` in order, until it fails. InvalidArgument if
-/// `bytes` is not a whole message.
+/// Calls `visit` for each top-level field of `bytes` in order, until it returns an error.
+/// InvalidArgument if `bytes` is malformed or truncated.
 absl::Status ForEachWireField(std::string_view bytes,
                               const std::function<absl::Status(const WireField&)>& visit);
 
-/// A decoded nanopb struct of type `T`; releases its memory.
+/// Owns a decoded nanopb struct of type `T`.
 template <class T>
 class DecodedMessage {
  public:
-  /// InvalidArgument if `bytes` is not a whole message.
+  /// InvalidArgument if `bytes` is malformed or truncated.
   static absl::StatusOr<DecodedMessage> Decode(const pb_msgdesc_t* fields, std::string_view bytes) {
     DecodedMessage decoded(fields);
     pb_istream_t stream =
--- a/test/wire/nanopb_message_test.cc
+++ b/test/wire/nanopb_message_test.cc
@@ -20,7 +20,7 @@
   REQUIRE(ToString((*decoded)->cluster_id).empty());
 }
 
-TEST_CASE("memory of an arena is zeroed whatever was there before") {
+TEST_CASE("arena memory is zeroed") {
   for (size_t length = 0; length < 64; ++length) {
     {
       std::vector<char> dirty(length + 1, 'x');
@@ -31,7 +31,7 @@
   }
 }
 
-TEST_CASE("the fields of a message are walked through as they lie on the wire") {
+TEST_CASE("wire fields are visited in encoding order") {
   WireArena arena;
   millstair_Hello hello = millstair_Hello_init_zero;
   hello.protocol_version = 7;
@@ -69,7 +69,7 @@
   REQUIRE_FALSE(DecodedMessage<millstair_Hello>::Decode(millstair_Hello_fields, cut).ok());
 }
 
-TEST_CASE("memory of an arena is zeroed to its last byte, also where the heap was used before") {
+TEST_CASE("arena memory is zeroed to its last byte, also in reused heap memory") {
   constexpr size_t kLength = 42;
   for (int round = 0; round < 50; ++round) {
     std::vector<std::unique_ptr<std::string>> garbage;
