--- a/source/runtime/arena_pool.h
+++ b/source/runtime/arena_pool.h
@@ -1,8 +1,8 @@
-/// A fixed number of workers of a oneTBB arena that take functions from one queue.
+/// A fixed number of workers of a oneTBB arena that run functions from one queue.
 ///
-/// Each worker is one long task of the arena that sleeps while the queue is empty. Single tasks
-/// would be simpler, but a oneTBB worker spins for some 250 microseconds before it sleeps, which at
-/// a hundred events a second costs more than the events.
+/// Each worker is one long-running task of the arena that blocks while the queue is empty. With one
+/// arena task per function, oneTBB workers would spin after each one before they sleep, which costs
+/// more than the functions at low event rates.
 #pragma once
 
 #include <tbb/task_arena.h>
@@ -18,14 +18,14 @@
 class ArenaPool {
  public:
   explicit ArenaPool(int workers);
-  /// Runs what is queued, then ends the workers.
+  /// Runs all queued functions, then ends the workers.
   ~ArenaPool();
   ArenaPool(const ArenaPool&) = delete;
   ArenaPool& operator=(const ArenaPool&) = delete;
 
-  /// Runs `work` soon on a worker.
+  /// Queues `work` to run on a worker.
   void Enqueue(std::function<void()> work);
-  /// Runs what is queued and waits for it; nothing may be enqueued afterwards.
+  /// Runs all queued functions and waits for them; nothing may be enqueued afterwards.
   void Stop();
 
  private:
--- a/source/runtime/endpoint.h
+++ b/source/runtime/endpoint.h
@@ -1,4 +1,4 @@
-/// Socket addresses as text. Addresses are IP numbers with a port; names are never resolved.
+/// Text form of socket addresses: an IP address with a port. Host names are not resolved.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,9 +9,9 @@
 
 namespace millstair {
 
-/// Parses "127.0.0.1:80" or "[::1]:80". InvalidArgument says what is wrong.
+/// Parses "127.0.0.1:80" or "[::1]:80". InvalidArgument describes the error.
 absl::StatusOr<boost::asio::ip::tcp::endpoint> ParseEndpoint(std::string_view text);
-/// The text that ParseEndpoint reads.
+/// Inverse of ParseEndpoint.
 std::string FormatEndpoint(const boost::asio::ip::tcp::endpoint& endpoint);
 
 }  // namespace millstair
--- a/source/runtime/runtime.cc
+++ b/source/runtime/runtime.cc
@@ -23,8 +23,8 @@
   return std::clamp(processors, 1, kMaxDefaultWorkers);
 }
 
-/// Workers of a pool hold their threads, so oneTBB has to allow as many as all pools of the process
-/// have together. The limit is process-wide, and the smallest of several counts.
+/// Workers of a pool occupy their threads permanently, so oneTBB has to allow as many threads as
+/// all pools of the process have together. The limit is process-wide; the smallest one set applies.
 void AllowWorkers() {
   static const tbb::global_control control(tbb::global_control::max_allowed_parallelism,
                                            kMaxWorkersOfProcess);
--- a/source/runtime/runtime.h
+++ b/source/runtime/runtime.h
@@ -1,5 +1,6 @@
-/// Threads of a process: Asio threads for I/O, a oneTBB arena for decisions, another for work that
-/// blocks (fdatasync). Any number of nodes share one runtime, each on its own SerialExecutor.
+/// Threads of a process: Asio threads for I/O, a oneTBB arena for the logic of nodes and another
+/// one for blocking work such as fdatasync. Nodes share one runtime, each on its own
+/// SerialExecutor.
 #pragma once
 
 #include <functional>
@@ -16,13 +17,13 @@
 struct RuntimeOptions {
   /// Threads that run socket and timer handlers.
   int io_threads = 1;
-  /// Workers of the decision arena; 0 is one per processor, at most 8.
+  /// Workers of the arena for node logic; 0 means one per processor, at most 8.
   int workers = 0;
   /// Workers of the arena for blocking work.
   int background_workers = 2;
 };
 
-/// Thread-safe. Outlives all that was made with it.
+/// Thread-safe. Must outlive all objects created with it.
 class Runtime {
  public:
   explicit Runtime(RuntimeOptions options = {});
@@ -32,9 +33,9 @@
 
   boost::asio::io_context& io();
   std::shared_ptr<SerialExecutor> NewExecutor();
-  /// Runs blocking work off the decision arena.
+  /// Runs blocking work on the background arena.
   void RunInBackground(std::function<void()> work);
-  /// Waits for what is queued and ends all threads. Executors are stopped by their owners before.
+  /// Waits for queued work and ends all threads. The owners of executors must stop them before.
   void Stop();
 
  private:
--- a/source/runtime/runtime_environment.cc
+++ b/source/runtime/runtime_environment.cc
@@ -11,8 +11,8 @@
 namespace millstair {
 namespace {
 
-/// Counts the time for which the machine was suspended, which the steady clock does not: all others
-/// did not stand still. A lease, a proof of freshness, a fence or a duty has run out meanwhile.
+/// Includes the time for which the machine was suspended, unlike the steady clock, so that leases,
+/// confirmations and other deadlines expire during a suspension.
 TimePoint BootTimeNow() {
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
@@ -23,7 +23,7 @@
 }  // namespace
 
 /// Pending timers in the order of their deadlines, and the one Asio timer that waits for the first.
-/// Touched on the executor only; the Asio handler merely posts.
+/// Accessed on the executor only; the Asio handler posts to it.
 class RuntimeEnvironment::TimerQueue : public std::enable_shared_from_this<TimerQueue> {
  public:
   TimerQueue(boost::asio::io_context& io, std::shared_ptr<SerialExecutor> executor,
@@ -44,7 +44,7 @@
   void Remove(uint64_t id) {
     const auto found = deadlines_.find(id);
     if (found == deadlines_.end()) return;
-    // The callback is destroyed only after the queue is consistent again.
+    // Keeps the callback until the queue is consistent again.
     const auto removed = callbacks_.extract(Key{found->second, id});
     deadlines_.erase(found);
   }
@@ -70,8 +70,9 @@
     if (armed_ && armed_for_ <= first) return;
     armed_ = true;
     armed_for_ = first;
-    // Waits by the steady clock. While the machine is suspended it stands still; the first timer
-    // that goes off afterwards, at the latest the next heartbeat, finds all others that are due.
+    // Waits on the steady clock, which does not advance while the machine is suspended. The first
+    // timer that expires after a suspension, at the latest the next heartbeat, also runs all others
+    // due.
     timer_.expires_after(first - Now());
     timer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
       if (error) return;
--- a/source/runtime/runtime_environment.h
+++ b/source/runtime/runtime_environment.h
@@ -1,4 +1,4 @@
-/// Environment on real clocks: one Asio timer per node, callbacks on the node's serial executor.
+/// Environment with real clocks: one Asio timer per node, callbacks on the node's serial executor.
 #pragma once
 
 #include <functional>
@@ -9,14 +9,14 @@
 
 namespace millstair {
 
-/// Every call happens on `executor`, or before its first task. Destroyed on the executor or after
-/// it was stopped; callbacks that were due then are dropped.
+/// Must be called on `executor`, or before its first task. Must be destroyed on the executor or
+/// after it was stopped; pending callbacks are dropped.
 class RuntimeEnvironment : public Environment {
  public:
   /// Seeds the random engine from the operating system.
   RuntimeEnvironment(Runtime& runtime, std::shared_ptr<SerialExecutor> executor);
   RuntimeEnvironment(Runtime& runtime, std::shared_ptr<SerialExecutor> executor, uint64_t seed);
-  /// For tests: `clock` stands in for the machine's.
+  /// For tests: `clock` replaces the system clock.
   RuntimeEnvironment(Runtime& runtime, std::shared_ptr<SerialExecutor> executor, uint64_t seed,
                      std::function<TimePoint()> clock);
   ~RuntimeEnvironment() override;
--- a/source/runtime/serial_executor.cc
+++ b/source/runtime/serial_executor.cc
@@ -6,7 +6,7 @@
 namespace millstair {
 namespace {
 
-/// Tasks run in one go before other executors of the arena get their turn.
+/// Maximum number of tasks run before yielding to other executors of the arena.
 constexpr int kBatchTasks = 64;
 
 }  // namespace
@@ -34,7 +34,7 @@
     wait.get();
     return true;
   } catch (const std::future_error&) {
-    return false;  // the task was dropped, and the promise with it
+    return false;  // the task was dropped together with the promise
   }
 }
 
--- a/source/runtime/serial_executor.h
+++ b/source/runtime/serial_executor.h
@@ -1,5 +1,5 @@
-/// Runs the tasks of one node one after another on the workers of a oneTBB arena. All decision code
-/// of a node lives on one serial executor, so it needs no locks; I/O threads only post into it.
+/// Runs the tasks of one node sequentially on the workers of a oneTBB arena. The logic of a node
+/// runs on one serial executor and needs no locks; I/O threads only post tasks.
 #pragma once
 
 #include <condition_variable>
@@ -13,36 +13,38 @@
 
 namespace millstair {
 
-/// Thread-safe. Tasks run in the order they were posted, never two at a time, on changing threads.
+/// Thread-safe. Tasks run one at a time in the order they were posted, on any worker thread.
 class SerialExecutor : public std::enable_shared_from_this<SerialExecutor> {
  public:
   using Task = absl::AnyInvocable<void()>;
-  /// Runs a function soon on some worker thread.
+  /// Schedules a function on a worker thread.
   using Enqueue = std::function<void(std::function<void()>)>;
 
   explicit SerialExecutor(Enqueue enqueue) : enqueue_(std::move(enqueue)) {}
   SerialExecutor(const SerialExecutor&) = delete;
   SerialExecutor& operator=(const SerialExecutor&) = delete;
 
-  /// Runs `task` after all posted before it. Dropped once `Stop` was called.
+  /// Runs `task` after all tasks posted before it. Drops it once `Stop` was called.
   void Post(Task task);
 
-  /// Runs `task` and waits for it; not from a task of this executor. False if it was dropped.
+  /// Runs `task` and waits for it; returns false if it was dropped. Must not be called from a task
+  /// of this executor.
   bool PostAndWait(Task task);
 
-  /// Drops what has not run and waits for the running task, unless it is the caller.
+  /// Drops pending tasks and waits for the running task, unless that is the caller.
   void Stop();
 
  private:
   void RunBatch();
-  /// Takes the next task; false (and idle) if there is none or the executor was stopped.
+  /// Takes the next task; returns false and becomes idle if there is none or the executor was
+  /// stopped.
   bool TakeNext(Task* task);
 
   const Enqueue enqueue_;
   std::mutex mutex_;
   std::condition_variable idle_;
   std::deque<Task> queue_;
-  /// A batch is running or enqueued.
+  /// Whether a batch is running or enqueued.
   bool scheduled_ = false;
   bool stopped_ = false;
   std::thread::id running_thread_;
--- a/test/runtime/runtime_test.cc
+++ b/test/runtime/runtime_test.cc
@@ -101,10 +101,10 @@
   executor->Stop();
 }
 
-TEST_CASE("Time for which the machine was suspended counts, and timers due meanwhile go off soon") {
+TEST_CASE("Time includes suspension, and timers that expired during it run soon afterwards") {
   Runtime runtime;
   const auto executor = runtime.NewExecutor();
-  // The machine's clock that counts suspension; the steady clock, by which threads wait, does not.
+  // Simulates a clock that includes suspension; the steady clock, on which threads wait, does not.
   std::atomic<int64_t> suspended_us{0};
   const auto clock = [&suspended_us] {
     const auto steady = std::chrono::steady_clock::now().time_since_epoch();
@@ -120,7 +120,7 @@
       ran = environment->Now();
       due.set_value();
     });
-    // A heartbeat.
+    // Stands for the heartbeat timer.
     environment->Schedule(milliseconds(20), [] {});
   }));
   suspended_us = Duration(std::chrono::seconds(60)).count();
@@ -130,7 +130,7 @@
   executor->Stop();
 }
 
-TEST_CASE("The clock of promises is the one that counts suspension") {
+TEST_CASE("The default clock includes suspension") {
   Runtime runtime;
   const auto executor = runtime.NewExecutor();
   RuntimeEnvironment environment(runtime, executor, 1);
@@ -153,7 +153,7 @@
   CHECK(done == 20);
 }
 
-TEST_CASE("Endpoints are IP numbers with a port") {
+TEST_CASE("Endpoints are IP addresses with a port") {
   CHECK(FormatEndpoint(*ParseEndpoint("127.0.0.1:80")) == "127.0.0.1:80");
   CHECK(FormatEndpoint(*ParseEndpoint("[::1]:443")) == "[::1]:443");
   CHECK_FALSE(ParseEndpoint("localhost:80").ok());
