--- a/source/storage/posix_file_system.cc
+++ b/source/storage/posix_file_system.cc
@@ -106,13 +106,13 @@
 };
 
 absl::StatusOr<std::string> ReadFrom(const std::string& path, uint64_t offset, uint64_t size,
-                                     bool whole) {
+                                     bool read_all) {
   const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   if (!file.valid()) return LastError(path, "open");
   struct stat information {};
   if (::fstat(file.value(), &information) != 0) return LastError(path, "read size of");
   const auto file_size = static_cast<uint64_t>(information.st_size);
-  if (whole) size = file_size;
+  if (read_all) size = file_size;
   if (offset > file_size || size > file_size - offset) {
     return absl::OutOfRangeError(absl::StrCat(path, ": range beyond the end"));
   }
--- a/test/consensus/raft_core_test.cc
+++ b/test/consensus/raft_core_test.cc
@@ -58,13 +58,13 @@
                                std::make_shared<std::string>("x")});
     Step(std::move(message));
   }
-  void LetElectionTimePass() {
+  void ExpireElectionTimer() {
     scheduler.RunFor(seconds(3));
     core->Tick(environment.Now());
   }
   /// Wins an election in the next term by the vote of the second replica.
   void Lead() {
-    LetElectionTimePass();
+    ExpireElectionTimer();
     const uint64_t term = core->term().value() + 1;
     Step(Message(RaftMessageType::kPreVoteReply, kSecond, term));
     Step(Message(RaftMessageType::kVoteReply, kSecond, term));
@@ -86,7 +86,7 @@
 
 TEST_CASE("a pre-vote does not raise the term") {
   Replica replica;
-  replica.LetElectionTimePass();
+  replica.ExpireElectionTimer();
   REQUIRE(replica.core->role() == RaftRole::kPreCandidate);
   REQUIRE(replica.core->term() == Term(1));
   const auto messages = replica.core->TakeMessages();
@@ -194,7 +194,7 @@
   Replica replica;
   replica.Lead();
   REQUIRE(replica.core->IsLeader());
-  replica.LetElectionTimePass();
+  replica.ExpireElectionTimer();
   REQUIRE_FALSE(replica.core->IsLeader());
 }
 
