--- a/source/storage/entry_index.h
+++ b/source/storage/entry_index.h
@@ -37,7 +37,7 @@
   /// Null outside of (base, last].
   const IndexedEntry* Find(LogIndex index) const;
 
-  /// Adds `entry` and drops all later entries. It must not leave a gap.
+  /// Adds `entry`, which replaces all entries from its index on. It must not leave a gap.
   void Put(const LogEntry& entry);
   /// Drops all entries and continues after `base`.
   void Reset(LogIndex base, std::optional<Term> term);
