--- a/source/gateway/gateway_node.cc
+++ b/source/gateway/gateway_node.cc
@@ -10,7 +10,7 @@
 #include "gateway/request_meta.h"
 #include "http/problem.h"
 #include "rollout/rollout_worker.h"
-#include "rollout/trainer_front.h"
+#include "rollout/trainer_service.h"
 #include "weights/engine_reconciler.h"
 
 namespace millstair {
@@ -64,7 +64,7 @@
         reconciler_(MakeEngineReconciler(environment, engines, *configuration_)),
         worker_(MakeRolloutWorker(environment, transport, engines, http, router_, *control_,
                                   *configuration_, WorkerOptionsOf(options_))),
-        trainers_(MakeTrainerFront(environment, *control_, *configuration_)),
+        trainers_(MakeTrainerService(environment, *control_, *configuration_)),
         drain_timer_(environment),
         stats_timer_(environment) {
     router_.SetGate([this] {
@@ -105,7 +105,7 @@
       AnswerReady(*writer);
       return;
     }
-    if (TrainerFront::Serves(request.target)) {
+    if (TrainerService::Serves(request.target)) {
       HandleTrainer(std::move(request), std::move(writer));
       return;
     }
@@ -214,7 +214,7 @@
   EngineObserver observer_;
   std::unique_ptr<EngineReconciler> reconciler_;
   std::unique_ptr<RolloutWorker> worker_;
-  std::unique_ptr<TrainerFront> trainers_;
+  std::unique_ptr<TrainerService> trainers_;
   std::unique_ptr<GatewayStats> stats_;
   ScopedTimer drain_timer_;
   ScopedTimer stats_timer_;
--- a/source/rollout/trainer_requests.cc
+++ b/source/rollout/trainer_requests.cc
@@ -10,7 +10,7 @@
 namespace millstair {
 namespace {
 
-constexpr uint64_t kLongestWaitSeconds = 60;
+constexpr uint64_t kMaxWaitSeconds = 60;
 constexpr size_t kMaxStepIdLength = 200;
 
 int HexDigit(char c) {
@@ -133,10 +133,10 @@
       request.max_samples =
           static_cast<uint32_t>(std::min<uint64_t>(value.value_or(1), kMaxHandOnSamples));
     } else if (name == "wait") {
-      if (!value || *value > kLongestWaitSeconds) {
-        findings.Add(At("wait"), fmt::format("must be from 0 to {} seconds", kLongestWaitSeconds));
+      if (!value || *value > kMaxWaitSeconds) {
+        findings.Add(At("wait"), fmt::format("must be from 0 to {} seconds", kMaxWaitSeconds));
       }
-      request.wait = std::chrono::seconds(std::min(value.value_or(0), kLongestWaitSeconds));
+      request.wait = std::chrono::seconds(std::min(value.value_or(0), kMaxWaitSeconds));
     } else {
       findings.Add(At("query"), fmt::format("unknown parameter \"{}\"", name));
     }
--- a/source/rollout/trainer_front.cc
+++ b/source/rollout/trainer_service.cc
@@ -1,4 +1,4 @@
-#include "rollout/trainer_front.h"
+#include "rollout/trainer_service.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
@@ -20,24 +20,24 @@
 constexpr Duration kReadTimeout = std::chrono::seconds(5);
 constexpr std::chrono::milliseconds kQueryWait{500};
 constexpr Duration kQueryTimeout = std::chrono::seconds(2);
-constexpr Duration kRetryPause = std::chrono::milliseconds(100);
-constexpr Duration kComeBack = std::chrono::seconds(2);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(100);
+constexpr Duration kRetryAfter = std::chrono::seconds(2);
 const char kJson[] = "application/json";
 
 /// One request of a trainer until it is answered.
 struct Exchange {
   std::shared_ptr<ResponseWriter> writer;
-  bool over = false;
+  bool finished = false;
 
   void Answer(const boost::json::object& body) { AnswerText(boost::json::serialize(body)); }
   void AnswerText(std::string body) {
-    if (over) return;
-    over = true;
+    if (finished) return;
+    finished = true;
     Respond(*writer, {200, {{"Content-Type", kJson}}}, std::move(body));
   }
   void Fail(const Problem& problem) {
-    if (over) return;
-    over = true;
+    if (finished) return;
+    finished = true;
     RespondProblem(*writer, problem);
   }
 };
@@ -50,7 +50,7 @@
   return {503, "Control nodes did not answer",
           "Repeat the request: it has the same effect however often it is sent. " +
               std::string(status.message()),
-          Outcome::kUnknown, kComeBack};
+          Outcome::kUnknown, kRetryAfter};
 }
 
 /// A read of samples that may wait.
@@ -59,7 +59,7 @@
   StreamName stream;
   SamplesRequest request;
   TimePoint until;
-  TimePoint asked_at;
+  TimePoint queried_at;
   bool handing_on = false;
   /// Newest version that the stream told of while we waited.
   WeightVersion newest;
@@ -70,13 +70,13 @@
   Exchange exchange;
   ModelName model;
   PublishedVersion version;
-  std::set<StreamName> left;
+  std::set<StreamName> pending_streams;
 };
 
-class TrainerFrontNode : public TrainerFront {
+class TrainerServiceNode : public TrainerService {
  public:
-  TrainerFrontNode(Environment& environment, ControlClient& control,
-                   ConfigurationClient& configuration)
+  TrainerServiceNode(Environment& environment, ControlClient& control,
+                     ConfigurationClient& configuration)
       : environment_(environment),
         control_(control),
         configuration_(configuration),
@@ -88,10 +88,10 @@
     exchanges_.push_back(exchange);
     std::erase_if(exchanges_, [](const auto& known) {
       const auto held = known.lock();
-      return held == nullptr || held->over;
+      return held == nullptr || held->finished;
     });
     exchange->writer->OnCallerDisconnected([weak = std::weak_ptr<Exchange>(exchange)] {
-      if (const auto gone = weak.lock()) gone->over = true;
+      if (const auto locked = weak.lock()) locked->finished = true;
     });
     Dispatch(request, exchange);
   }
@@ -174,7 +174,8 @@
       case StreamResultCode::kConflict:
         return exchange.Fail({409, "Step exists", result->message, Outcome::kNotRun, std::nullopt});
       case StreamResultCode::kFull:
-        return exchange.Fail({503, "Stream is full", result->message, Outcome::kNotRun, kComeBack});
+        return exchange.Fail(
+            {503, "Stream is full", result->message, Outcome::kNotRun, kRetryAfter});
       default:
         return exchange.Fail({400, "Bad request", result->message, Outcome::kNotRun, std::nullopt});
     }
@@ -198,44 +199,47 @@
     read->until = environment_.Now() + read->request.wait;
     // The read lives as long as its exchange is referred to; both share the caller's state.
     read->exchange.writer = exchange->writer;
-    exchange->over = true;
+    exchange->finished = true;
     read->exchange.writer->OnCallerDisconnected([weak = std::weak_ptr<PendingRead>(read)] {
-      if (const auto gone = weak.lock()) gone->exchange.over = true;
+      if (const auto locked = weak.lock()) locked->exchange.finished = true;
     });
     std::erase_if(reads_, [](const auto& known) { return known.expired(); });
     reads_.push_back(read);
-    AskCursor(read);
+    QueryCursor(read);
   }
 
-  void AskCursor(const std::shared_ptr<PendingRead>& read) {
-    if (read->exchange.over) return;
+  void QueryCursor(const std::shared_ptr<PendingRead>& read) {
+    if (read->exchange.finished) return;
     const TimePoint now = environment_.Now();
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(read->until - now);
     CursorQuery query{read->request.after,
                       std::clamp(left, std::chrono::milliseconds(0), kQueryWait)};
     // A plain read needs no hint: it is ordered at once.
     if (read->request.wait.count() == 0) return Read(read);
-    Submit(StreamGroup(read->stream), CommandMode::kQuery, EncodeCursorQuery(query), kQueryTimeout,
-           [this, read](const absl::StatusOr<std::string>& answer) { TakeCursor(read, answer); });
+    Submit(
+        StreamGroup(read->stream), CommandMode::kQuery, EncodeCursorQuery(query), kQueryTimeout,
+        [this, read](const absl::StatusOr<std::string>& answer) { OnCursorStatus(read, answer); });
   }
 
-  void TakeCursor(const std::shared_ptr<PendingRead>& read,
-                  const absl::StatusOr<std::string>& answer) {
-    if (read->exchange.over) return;
+  void OnCursorStatus(const std::shared_ptr<PendingRead>& read,
+                      const absl::StatusOr<std::string>& answer) {
+    if (read->exchange.finished) return;
     absl::StatusOr<CursorStatus> status =
         answer.ok() ? DecodeCursorStatus(*answer) : absl::StatusOr<CursorStatus>(answer.status());
     if (status.ok()) read->newest = status->newest;
     const bool ready = status.ok() && (status->last_offset > read->request.after ||
                                        status->acknowledged < read->request.after);
     if (ready) return Read(read);
-    if (Over(*read)) return AnswerEmpty(*read);
+    if (WaitExpired(*read)) return AnswerEmpty(*read);
     // A leader that holds no more queries answers at once: don't ask it again and again.
-    const bool held = environment_.Now() - read->asked_at >= kRetryPause;
-    if (status.ok() && held) return AskCursor(read);
-    After(kRetryPause, [this, read] { AskCursor(read); });
+    const bool held = environment_.Now() - read->queried_at >= kRetryDelay;
+    if (status.ok() && held) return QueryCursor(read);
+    RunAfter(kRetryDelay, [this, read] { QueryCursor(read); });
   }
 
-  bool Over(const PendingRead& read) const { return draining_ || environment_.Now() >= read.until; }
+  bool WaitExpired(const PendingRead& read) const {
+    return draining_ || environment_.Now() >= read.until;
+  }
 
   void Read(const std::shared_ptr<PendingRead>& read) {
     read->handing_on = true;
@@ -243,22 +247,22 @@
            EncodeStreamCommand(HandOn{read->request.after, read->request.max_samples}),
            kReadTimeout, [this, read](const absl::StatusOr<std::string>& answer) {
              read->handing_on = false;
-             TakeRead(read, answer);
+             OnReadReply(read, answer);
            });
   }
 
-  void TakeRead(const std::shared_ptr<PendingRead>& read,
-                const absl::StatusOr<std::string>& answer) {
+  void OnReadReply(const std::shared_ptr<PendingRead>& read,
+                   const absl::StatusOr<std::string>& answer) {
     const absl::StatusOr<StreamResult> result = Decode(answer);
     if (!result.ok()) {
-      if (Over(*read)) return read->exchange.Fail(OutcomeUnknown(result.status()));
-      return After(kRetryPause, [this, read] { AskCursor(read); });
+      if (WaitExpired(*read)) return read->exchange.Fail(OutcomeUnknown(result.status()));
+      return RunAfter(kRetryDelay, [this, read] { QueryCursor(read); });
     }
     if (result->code != StreamResultCode::kOk) {
       return read->exchange.Fail(
           {409, "Cursor does not fit", result->message, Outcome::kNotRun, std::nullopt});
     }
-    if (result->handed_on.empty() && !Over(*read)) return AskCursor(read);
+    if (result->handed_on.empty() && !WaitExpired(*read)) return QueryCursor(read);
     read->exchange.AnswerText(SamplesJson(*result));
   }
 
@@ -288,12 +292,12 @@
     command.proposed_at = environment_.WallNow();
     Submit(GroupId("cluster"), CommandMode::kPropose, EncodeCommand(command), kCommandTimeout,
            [this, publish, exchange](const absl::StatusOr<std::string>& answer) {
-             TakePublished(publish, exchange, answer);
+             OnPublishReply(publish, exchange, answer);
            });
   }
 
-  void TakePublished(const std::shared_ptr<PendingPublish>& publish, const SharedExchange& exchange,
-                     const absl::StatusOr<std::string>& answer) {
+  void OnPublishReply(const std::shared_ptr<PendingPublish>& publish,
+                      const SharedExchange& exchange, const absl::StatusOr<std::string>& answer) {
     const absl::StatusOr<ClusterResult> result =
         answer.ok() ? DecodeResult(*answer) : absl::StatusOr<ClusterResult>(answer.status());
     if (!result.ok()) return exchange->Fail(OutcomeUnknown(result.status()));
@@ -302,10 +306,11 @@
       return exchange->Fail(
           {bad ? 400 : 409, "Version refused", result->message, Outcome::kNotRun, std::nullopt});
     }
-    for (const StreamName& stream : StreamsOf(publish->model)) publish->left.insert(stream);
-    if (publish->left.empty()) return AnswerPublish(*publish, *exchange);
-    const std::set<StreamName> streams = publish->left;
-    for (const StreamName& stream : streams) TellStream(publish, exchange, stream);
+    for (const StreamName& stream : StreamsOf(publish->model))
+      publish->pending_streams.insert(stream);
+    if (publish->pending_streams.empty()) return AnswerPublish(*publish, *exchange);
+    const std::set<StreamName> streams = publish->pending_streams;
+    for (const StreamName& stream : streams) PublishToStream(publish, exchange, stream);
   }
 
   std::vector<StreamName> StreamsOf(const ModelName& model) const {
@@ -322,11 +327,11 @@
 
   /// The publisher is answered only once each stream's log holds the version, so that no hand-on
   /// after the answer measures against an older one.
-  void TellStream(const std::shared_ptr<PendingPublish>& publish, const SharedExchange& exchange,
-                  const StreamName& stream) {
-    const NotePublished note{publish->version.version, publish->version.digest};
-    Submit(StreamGroup(stream), CommandMode::kPropose, EncodeStreamCommand(note), kCommandTimeout,
-           [publish, exchange, stream](const absl::StatusOr<std::string>& answer) {
+  void PublishToStream(const std::shared_ptr<PendingPublish>& publish,
+                       const SharedExchange& exchange, const StreamName& stream) {
+    const NotePublished command{publish->version.version, publish->version.digest};
+    Submit(StreamGroup(stream), CommandMode::kPropose, EncodeStreamCommand(command),
+           kCommandTimeout, [publish, exchange, stream](const absl::StatusOr<std::string>& answer) {
              const absl::StatusOr<StreamResult> result = Decode(answer);
              if (!result.ok()) return exchange->Fail(OutcomeUnknown(result.status()));
              if (result->code == StreamResultCode::kConflict) {
@@ -334,8 +339,8 @@
                                       "a stream knows this version with another digest",
                                       Outcome::kUnknown, std::nullopt});
              }
-             publish->left.erase(stream);
-             if (publish->left.empty()) AnswerPublish(*publish, *exchange);
+             publish->pending_streams.erase(stream);
+             if (publish->pending_streams.empty()) AnswerPublish(*publish, *exchange);
            });
   }
 
@@ -346,7 +351,7 @@
 
   // --- drain -----------------------------------------------------------------------------------
 
-  void After(Duration delay, std::function<void()> callback) {
+  void RunAfter(Duration delay, std::function<void()> callback) {
     environment_.Schedule(delay, alive_.Guard(std::move(callback)));
   }
 
@@ -354,13 +359,13 @@
     const bool idle = std::all_of(exchanges_.begin(), exchanges_.end(),
                                   [](const auto& weak) {
                                     const auto exchange = weak.lock();
-                                    return exchange == nullptr || exchange->over;
+                                    return exchange == nullptr || exchange->finished;
                                   }) &&
                       std::all_of(reads_.begin(), reads_.end(), [](const auto& weak) {
                         const auto read = weak.lock();
-                        return read == nullptr || read->exchange.over;
+                        return read == nullptr || read->exchange.finished;
                       });
-    if (!idle) return drain_timer_.Arm(kRetryPause, [this] { TestDrained(); });
+    if (!idle) return drain_timer_.Arm(kRetryDelay, [this] { TestDrained(); });
     const auto done = std::move(drained_);
     if (done) done();
   }
@@ -378,9 +383,9 @@
 
 }  // namespace
 
-std::unique_ptr<TrainerFront> MakeTrainerFront(Environment& environment, ControlClient& control,
-                                               ConfigurationClient& configuration) {
-  return std::make_unique<TrainerFrontNode>(environment, control, configuration);
+std::unique_ptr<TrainerService> MakeTrainerService(Environment& environment, ControlClient& control,
+                                                   ConfigurationClient& configuration) {
+  return std::make_unique<TrainerServiceNode>(environment, control, configuration);
 }
 
 }  // namespace millstair
--- a/source/rollout/trainer_front.h
+++ b/source/rollout/trainer_service.h
@@ -13,7 +13,7 @@
 namespace millstair {
 
 /// Lives on the node's serial executor.
-class TrainerFront : public RequestHandler {
+class TrainerService : public RequestHandler {
  public:
   /// Whether `target` (path and query) belongs to the trainers' API.
   static bool Serves(std::string_view target) {
@@ -24,7 +24,7 @@
   virtual void Drain(std::function<void()> done) = 0;
 };
 
-std::unique_ptr<TrainerFront> MakeTrainerFront(Environment& environment, ControlClient& control,
-                                               ConfigurationClient& configuration);
+std::unique_ptr<TrainerService> MakeTrainerService(Environment& environment, ControlClient& control,
+                                                   ConfigurationClient& configuration);
 
 }  // namespace millstair
--- a/test/rollout/trainer_front_test.cc
+++ b/test/rollout/trainer_service_test.cc
@@ -1,4 +1,4 @@
-#include "rollout/trainer_front.h"
+#include "rollout/trainer_service.h"
 
 #include <catch2/catch.hpp>
 
@@ -33,8 +33,8 @@
 struct FrontFixture {
   RolloutFleet fleet;
   GatewaySide& gateway = *fleet.gateways[0];
-  std::unique_ptr<TrainerFront> front =
-      MakeTrainerFront(gateway.environment, gateway.control, fleet.configuration);
+  std::unique_ptr<TrainerService> front =
+      MakeTrainerService(gateway.environment, gateway.control, fleet.configuration);
 
   std::shared_ptr<Answer> Send(const std::string& method, const std::string& target,
                                const std::string& body = "") {
