--- a/source/rollout/attempt_run.cc
+++ b/source/rollout/attempt_run.cc
@@ -4,7 +4,7 @@
 
 #include "common/event_log.h"
 #include "engine/prefix_blocks.h"
-#include "rollout/length_estimate.h"
+#include "rollout/length_estimator.h"
 #include "rollout/rollout_wire.h"
 
 namespace millstair {
@@ -86,7 +86,7 @@
   if (const ModelStatus* model = Model()) request.model = model->model;
   request.prefix_blocks = PrefixBlocks(attempt_.prompt.text);
   request.prompt_tokens = CountTokens(attempt_.prompt.text) + collected_.token_count();
-  request.expected_tokens = LengthEstimate::Remaining(
+  request.expected_tokens = LengthEstimator::Remaining(
       attempt_.expected_tokens, attempt_.prompt.max_tokens, collected_.token_count());
   request.priority = RequestPriority::kRollout;
   request.excluded = excluded_;
@@ -238,8 +238,9 @@
   const uint32_t done = collected_.token_count() - tokens_at_begin_;
   if (done == 0) return Duration(0);
   const Duration per_token = (progress_at_ - stream_began_at_) / done;
-  return per_token * LengthEstimate::Remaining(attempt_.expected_tokens, attempt_.prompt.max_tokens,
-                                               collected_.token_count());
+  return per_token * LengthEstimator::Remaining(attempt_.expected_tokens,
+                                                attempt_.prompt.max_tokens,
+                                                collected_.token_count());
 }
 
 /// Moves to an engine that is expected to need at most remaining / gain; any engine if gain is 0.
--- a/source/rollout/length_estimate.h
+++ b/source/rollout/length_estimator.h
@@ -8,23 +8,23 @@
 namespace millstair {
 
 /// Smoothed lengths of the prompts seen lately, and a smoothed share of the limit for all others.
-class LengthEstimate {
+class LengthEstimator {
  public:
   /// A sample of `prompt` had `tokens` of at most `max_tokens` tokens.
-  void Learn(const std::string& prompt, uint32_t max_tokens, uint32_t tokens);
+  void RecordLength(const std::string& prompt, uint32_t max_tokens, uint32_t tokens);
   /// Expected tokens, 1..max_tokens.
   uint32_t Expected(const std::string& prompt, uint32_t max_tokens) const;
   /// Expected tokens of a sample that has `done` already: longer than that by the mean remainder.
   static uint32_t Remaining(uint32_t expected, uint32_t max_tokens, uint32_t done);
 
  private:
-  struct Known {
+  struct PromptLength {
     double tokens = 0;
-    uint64_t used = 0;
+    uint64_t last_use = 0;
   };
-  void ForgetOldest();
+  void EvictOldest();
 
-  std::map<uint64_t, Known> known_;
+  std::map<uint64_t, PromptLength> lengths_;
   /// Prompts by the time of their last use.
   std::map<uint64_t, uint64_t> by_use_;
   uint64_t uses_ = 0;
--- a/source/rollout/stream_leader.cc
+++ b/source/rollout/stream_leader.cc
@@ -182,7 +182,7 @@
 
 void StreamLeaderNode::OnSampleAccepted(const SampleKey& key, const Sample& sample) {
   const Prompt prompt = state_.PromptOf(key);
-  lengths_.Learn(prompt.text, prompt.max_tokens, sample.token_count);
+  lengths_.RecordLength(prompt.text, prompt.max_tokens, sample.token_count);
   // The gateway that appended it needs no word to stop.
   attempts_.End(key, sample.epoch);
 }
--- a/source/rollout/stream_leader.h
+++ b/source/rollout/stream_leader.h
@@ -15,7 +15,7 @@
 #include "common/peer_transport.h"
 #include "common/scoped_timer.h"
 #include "rollout/attempt_table.h"
-#include "rollout/length_estimate.h"
+#include "rollout/length_estimator.h"
 #include "rollout/stream_factory.h"
 #include "rollout/stream_state.h"
 #include "rollout/work_schedule.h"
@@ -119,7 +119,7 @@
   bool restarted_for_active_ = true;
   std::optional<TimePoint> waited_at_;
 
-  LengthEstimate lengths_;
+  LengthEstimator lengths_;
   WorkSchedule schedule_;
   AttemptTable attempts_;
   std::map<NodeId, Asker> askers_;
--- a/source/rollout/work_schedule.cc
+++ b/source/rollout/work_schedule.cc
@@ -12,7 +12,7 @@
 /// Longest hold for a swap, at weight 0.
 constexpr Duration kSwapHold = std::chrono::seconds(5);
 /// Weight of a new interval between versions.
-constexpr double kIntervalGain = 0.3;
+constexpr double kIntervalSmoothing = 0.3;
 
 }  // namespace
 
@@ -26,7 +26,7 @@
       publish_interval_ = interval;
     } else {
       *publish_interval_ += Duration(
-          static_cast<Duration::rep>(kIntervalGain * (interval - *publish_interval_).count()));
+          static_cast<Duration::rep>(kIntervalSmoothing * (interval - *publish_interval_).count()));
     }
   }
   published_at_ = now;
--- a/test/rollout/work_schedule_test.cc
+++ b/test/rollout/work_schedule_test.cc
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 
 #include "rollout/attempt_table.h"
-#include "rollout/length_estimate.h"
+#include "rollout/length_estimator.h"
 
 namespace millstair {
 namespace {
@@ -129,16 +129,16 @@
 }
 
 TEST_CASE("lengths are learned by prompt, and the mean serves for unknown ones") {
-  LengthEstimate lengths;
-  for (int i = 0; i < 8; ++i) lengths.Learn("long one", 100, 90);
+  LengthEstimator lengths;
+  for (int i = 0; i < 8; ++i) lengths.RecordLength("long one", 100, 90);
   REQUIRE(lengths.Expected("long one", 100) == 90);
   REQUIRE(lengths.Expected("unknown", 100) >= 30);
   REQUIRE(lengths.Expected("unknown", 100) < 60);
-  lengths.Learn("long one", 100, 10);
+  lengths.RecordLength("long one", 100, 10);
   REQUIRE(lengths.Expected("long one", 100) == 50);
-  REQUIRE(LengthEstimate::Remaining(50, 100, 20) == 30);
-  REQUIRE(LengthEstimate::Remaining(50, 100, 60) == 20);
-  REQUIRE(LengthEstimate::Remaining(50, 100, 100) == 0);
+  REQUIRE(LengthEstimator::Remaining(50, 100, 20) == 30);
+  REQUIRE(LengthEstimator::Remaining(50, 100, 60) == 20);
+  REQUIRE(LengthEstimator::Remaining(50, 100, 100) == 0);
 }
 
 TEST_CASE("attempts are lost by silence, by not being listed, and with their gateway") {
