--- a/source/cluster/control_node.h
+++ b/source/cluster/control_node.h
@@ -21,7 +21,7 @@
 namespace millstair {
 
 /// The part of a stream group outside its state machine, on the leader: leases of attempts,
-/// staleness checks of HandOn. Implemented in rollout/.
+/// staleness checks of DeliverSamples. Implemented in rollout/.
 class StreamLeader {
  public:
   virtual ~StreamLeader() = default;
--- a/source/rollout/stream_codec.cc
+++ b/source/rollout/stream_codec.cc
@@ -27,7 +27,7 @@
     message.note_published.version = command.version.value();
     message.note_published.digest = arena.NewString(command.digest.value());
   }
-  void operator()(const HandOn& command) const {
+  void operator()(const DeliverSamples& command) const {
     message.has_hand_on = true;
     message.hand_on.after = command.after.value();
     message.hand_on.max_samples = command.max_samples;
@@ -73,7 +73,8 @@
                                        WeightDigest(ToString(message.note_published.digest))});
   }
   if (message.has_hand_on) {
-    return StreamCommand(HandOn{StreamOffset(message.hand_on.after), message.hand_on.max_samples});
+    return StreamCommand(
+        DeliverSamples{StreamOffset(message.hand_on.after), message.hand_on.max_samples});
   }
   return StreamCommand(SetStalenessBound{message.set_staleness_bound.bound});
 }
@@ -82,10 +83,10 @@
   WireArena arena;
   millstair_StreamResultMessage message = millstair_StreamResultMessage_init_zero;
   message.code = static_cast<uint32_t>(result.code);
-  message.handed_on = arena.NewArray<millstair_StreamHandedOn>(result.handed_on.size());
-  message.handed_on_count = static_cast<pb_size_t>(result.handed_on.size());
-  for (size_t i = 0; i < result.handed_on.size(); ++i) {
-    const HandedOn& from = result.handed_on[i];
+  message.handed_on = arena.NewArray<millstair_StreamHandedOn>(result.delivered.size());
+  message.handed_on_count = static_cast<pb_size_t>(result.delivered.size());
+  for (size_t i = 0; i < result.delivered.size(); ++i) {
+    const DeliveredEntry& from = result.delivered[i];
     millstair_StreamHandedOn& to = message.handed_on[i];
     to.offset = from.offset.value();
     to.withdrawn = from.withdrawn;
@@ -111,7 +112,7 @@
   result.code = static_cast<StreamResultCode>(message.code);
   for (pb_size_t i = 0; i < message.handed_on_count; ++i) {
     const millstair_StreamHandedOn& from = message.handed_on[i];
-    result.handed_on.push_back(
+    result.delivered.push_back(
         {StreamOffset(from.offset), from.withdrawn, ReadSample(from.sample)});
   }
   result.next = StreamOffset(message.next);
--- a/source/rollout/stream_commands.h
+++ b/source/rollout/stream_commands.h
@@ -53,7 +53,7 @@
 
 /// The trainer reads behind `after` (which acknowledges all up to `after`). Committed before the
 /// answer, so that it is ordered against NotePublished.
-struct HandOn {
+struct DeliverSamples {
   StreamOffset after;
   uint32_t max_samples = 0;
 };
@@ -63,7 +63,8 @@
   uint64_t bound = 0;
 };
 
-using StreamCommand = std::variant<PutStep, AppendSample, NotePublished, HandOn, SetStalenessBound>;
+using StreamCommand =
+    std::variant<PutStep, AppendSample, NotePublished, DeliverSamples, SetStalenessBound>;
 
 enum class StreamResultCode : uint8_t {
   kOk = 1,
@@ -78,7 +79,7 @@
 
 /// One position of the stream as handed to the trainer: a sample, or a withdrawal of one that has
 /// gone stale since it was first read (its replacement comes at a later offset).
-struct HandedOn {
+struct DeliveredEntry {
   StreamOffset offset;
   bool withdrawn = false;
   Sample sample;
@@ -86,7 +87,7 @@
 
 struct StreamResult {
   StreamResultCode code = StreamResultCode::kOk;
-  std::vector<HandedOn> handed_on;
+  std::vector<DeliveredEntry> delivered;
   /// Cursor for the next read.
   StreamOffset next;
   /// Newest published version at the hand-on.
@@ -155,7 +156,7 @@
 };
 
 /// Query of a stream: asks whether there is something to read behind `after`. The leader holds the
-/// answer back for up to `wait` while there is nothing. A hint only; HandOn decides.
+/// answer back for up to `wait` while there is nothing. A hint only; DeliverSamples decides.
 struct CursorQuery {
   StreamOffset after;
   std::chrono::milliseconds wait{0};
--- a/source/rollout/stream_data.h
+++ b/source/rollout/stream_data.h
@@ -79,7 +79,7 @@
   std::map<WeightVersion, WeightDigest> published;
   WeightVersion newest;
   /// Newest version as the hand-on sees it; equals `newest` except under a fault switch.
-  WeightVersion newest_at_hand_on;
+  WeightVersion newest_at_delivery;
 
   uint64_t next_step = 1;
   std::map<uint64_t, StepRecord> steps;
@@ -92,7 +92,7 @@
   StreamOffset last_offset;
   StreamOffset acknowledged;
   /// Largest cursor given out.
-  StreamOffset handed_on_through;
+  StreamOffset delivered_through;
   /// Cursors given out behind `acknowledged`.
   std::set<StreamOffset> issued_cursors;
 
--- a/source/rollout/stream_snapshot.cc
+++ b/source/rollout/stream_snapshot.cc
@@ -41,10 +41,10 @@
   record.header.format = kSnapshotFormat;
   record.header.staleness_bound = data.staleness_bound;
   record.header.newest = data.newest.value();
-  record.header.newest_at_hand_on = data.newest_at_hand_on.value();
+  record.header.newest_at_hand_on = data.newest_at_delivery.value();
   record.header.acknowledged = data.acknowledged.value();
   record.header.last_offset = data.last_offset.value();
-  record.header.handed_on_through = data.handed_on_through.value();
+  record.header.handed_on_through = data.delivered_through.value();
   record.header.next_step = data.next_step;
   record.header.record_count = CountRecords(data);
   writer.Write(record);
@@ -126,10 +126,10 @@
   bool ReadHeader(const millstair_StreamSnapshotHeader& header) {
     data_.staleness_bound = header.staleness_bound;
     data_.newest = WeightVersion(header.newest);
-    data_.newest_at_hand_on = WeightVersion(header.newest_at_hand_on);
+    data_.newest_at_delivery = WeightVersion(header.newest_at_hand_on);
     data_.acknowledged = StreamOffset(header.acknowledged);
     data_.last_offset = StreamOffset(header.last_offset);
-    data_.handed_on_through = StreamOffset(header.handed_on_through);
+    data_.delivered_through = StreamOffset(header.handed_on_through);
     data_.next_step = header.next_step;
     expected_records_ = header.record_count;
     return header.format == kSnapshotFormat;
--- a/source/rollout/stream_state.cc
+++ b/source/rollout/stream_state.cc
@@ -243,7 +243,7 @@
   data_.payload_bytes += sample.text.size();
   if (listener_ != nullptr) listener_->OnSampleAccepted(*key, sample);
   SetSampleState(*key, SampleState::kAccepted);
-  data_.newest_at_hand_on = data_.newest;
+  data_.newest_at_delivery = data_.newest;
   StreamResult result = Result(StreamResultCode::kOk);
   result.next = data_.last_offset;
   return result;
@@ -292,7 +292,7 @@
   if (command.version > data_.newest) {
     data_.newest = command.version;
     if (!faults_.publish_not_ordered) {
-      data_.newest_at_hand_on = data_.newest;
+      data_.newest_at_delivery = data_.newest;
       WithdrawUnread();
     }
   }
@@ -318,7 +318,7 @@
 
 // --- hand-on -----------------------------------------------------------------------------------
 
-StreamResult StreamState::Handle(const HandOn& command) {
+StreamResult StreamState::Handle(const DeliverSamples& command) {
   if (command.after < data_.acknowledged) {
     return Result(StreamResultCode::kInvalid, "a later cursor was acknowledged before");
   }
@@ -329,28 +329,28 @@
   WithdrawUnread();
   if (!faults_.staleness_untested_at_reread) WithdrawRead();
   StreamResult result = Result(StreamResultCode::kOk);
-  result.newest = data_.newest_at_hand_on;
-  FillHandOn(command, result);
+  result.newest = data_.newest_at_delivery;
+  FillDelivery(command, result);
   return result;
 }
 
-void StreamState::FillHandOn(const HandOn& command, StreamResult& result) {
-  const uint32_t limit = std::clamp(command.max_samples, 1U, kMaxHandOnSamples);
+void StreamState::FillDelivery(const DeliverSamples& command, StreamResult& result) {
+  const uint32_t limit = std::clamp(command.max_samples, 1U, kMaxDeliverySamples);
   StreamOffset through = command.after;
   StreamOffset needed;
   uint64_t bytes = 0;
   for (const auto& [offset, entry] : data_.entries) {
-    const bool full = result.handed_on.size() >= limit || bytes > kMaxHandOnBytes;
+    const bool full = result.delivered.size() >= limit || bytes > kMaxDeliveryBytes;
     if (full && through >= needed) break;
     const bool withdrawn = entry.state != EntryState::kHeld;
-    result.handed_on.push_back({offset, withdrawn, entry.sample});
+    result.delivered.push_back({offset, withdrawn, entry.sample});
     bytes += entry.sample.text.size();
     needed = std::max(needed, entry.seen_withdrawn_from);
     through = offset;
   }
   result.next = through;
   if (through > data_.acknowledged) data_.issued_cursors.insert(through);
-  data_.handed_on_through = std::max(data_.handed_on_through, through);
+  data_.delivered_through = std::max(data_.delivered_through, through);
 }
 
 void StreamState::Acknowledge(StreamOffset through) {
@@ -389,23 +389,23 @@
 }
 
 void StreamState::WithdrawUnread() {
-  for (auto at = data_.entries.upper_bound(data_.handed_on_through); at != data_.entries.end();
+  for (auto at = data_.entries.upper_bound(data_.delivered_through); at != data_.entries.end();
        ++at) {
     StreamEntry& entry = at->second;
     if (entry.state != EntryState::kHeld) continue;
-    if (!IsStale(entry.sample, data_.newest_at_hand_on)) continue;
+    if (!IsStale(entry.sample, data_.newest_at_delivery)) continue;
     Withdraw(entry);
     SetSampleState(entry.key, SampleState::kOpen);
   }
 }
 
 void StreamState::WithdrawRead() {
-  const StreamOffset distinct = Next(data_.handed_on_through);
+  const StreamOffset distinct = Next(data_.delivered_through);
   StreamEntry* last_withdrawn = nullptr;
   for (auto& [offset, entry] : data_.entries) {
-    if (offset > data_.handed_on_through) break;
+    if (offset > data_.delivered_through) break;
     if (entry.state != EntryState::kHeld) continue;
-    if (!IsStale(entry.sample, data_.newest_at_hand_on)) continue;
+    if (!IsStale(entry.sample, data_.newest_at_delivery)) continue;
     Withdraw(entry);
     entry.seen_withdrawn_from = distinct;
     SetSampleState(entry.key, SampleState::kWithdrawn);
--- a/source/rollout/stream_state.h
+++ b/source/rollout/stream_state.h
@@ -28,8 +28,8 @@
 inline constexpr uint64_t kMaxPayloadBytes = 64ULL * 1024 * 1024;
 inline constexpr uint64_t kMaxFinishedSteps = 32768;
 /// Text of one hand-on; a longer one only where a withdrawal asks for it.
-inline constexpr uint64_t kMaxHandOnBytes = 1024 * 1024;
-inline constexpr uint32_t kMaxHandOnSamples = 4096;
+inline constexpr uint64_t kMaxDeliveryBytes = 1024 * 1024;
+inline constexpr uint32_t kMaxDeliverySamples = 4096;
 /// Published versions that are remembered beyond the staleness bound.
 inline constexpr uint64_t kKeptVersions = 64;
 
@@ -73,7 +73,7 @@
   StreamResult Handle(const PutStep& command);
   StreamResult Handle(const AppendSample& command);
   StreamResult Handle(const NotePublished& command);
-  StreamResult Handle(const HandOn& command);
+  StreamResult Handle(const DeliverSamples& command);
   StreamResult Handle(const SetStalenessBound& command);
 
   StreamResult Result(StreamResultCode code, std::string message = {}) const;
@@ -92,7 +92,7 @@
   void WithdrawRead();
   void Withdraw(StreamEntry& entry);
   void AppendMarker(const StreamEntry& entry);
-  void FillHandOn(const HandOn& command, StreamResult& result);
+  void FillDelivery(const DeliverSamples& command, StreamResult& result);
 
   void SetSampleState(const SampleKey& key, SampleState state);
   void FinishStep(uint64_t sequence);
--- a/source/rollout/trainer_requests.cc
+++ b/source/rollout/trainer_requests.cc
@@ -127,11 +127,11 @@
       if (!value) findings.Add(At("after"), "must be a cursor: a whole number from 0");
       request.after = StreamOffset(value.value_or(0));
     } else if (name == "max") {
-      if (!value || *value == 0 || *value > kMaxHandOnSamples) {
-        findings.Add(At("max"), fmt::format("must be from 1 to {}", kMaxHandOnSamples));
+      if (!value || *value == 0 || *value > kMaxDeliverySamples) {
+        findings.Add(At("max"), fmt::format("must be from 1 to {}", kMaxDeliverySamples));
       }
       request.max_samples =
-          static_cast<uint32_t>(std::min<uint64_t>(value.value_or(1), kMaxHandOnSamples));
+          static_cast<uint32_t>(std::min<uint64_t>(value.value_or(1), kMaxDeliverySamples));
     } else if (name == "wait") {
       if (!value || *value > kMaxWaitSeconds) {
         findings.Add(At("wait"), fmt::format("must be from 0 to {} seconds", kMaxWaitSeconds));
@@ -196,7 +196,7 @@
 
 std::string SamplesJson(const StreamResult& result) {
   boost::json::array samples;
-  for (const HandedOn& item : result.handed_on) {
+  for (const DeliveredEntry& item : result.delivered) {
     boost::json::array spans;
     for (const VersionSpan& span : item.sample.spans) {
       spans.push_back(boost::json::object{{"version", span.version.value()},
--- a/source/rollout/trainer_service.cc
+++ b/source/rollout/trainer_service.cc
@@ -60,7 +60,7 @@
   SamplesRequest request;
   TimePoint until;
   TimePoint queried_at;
-  bool handing_on = false;
+  bool delivering = false;
   /// Newest version that the stream told of while we waited.
   WeightVersion newest;
 };
@@ -101,7 +101,7 @@
     drained_ = std::move(done);
     for (const auto& weak : reads_) {
       const std::shared_ptr<PendingRead> read = weak.lock();
-      if (read != nullptr && !read->handing_on) AnswerEmpty(*read);
+      if (read != nullptr && !read->delivering) AnswerEmpty(*read);
     }
     TestDrained();
   }
@@ -242,11 +242,11 @@
   }
 
   void Read(const std::shared_ptr<PendingRead>& read) {
-    read->handing_on = true;
+    read->delivering = true;
     Submit(StreamGroup(read->stream), CommandMode::kPropose,
-           EncodeStreamCommand(HandOn{read->request.after, read->request.max_samples}),
+           EncodeStreamCommand(DeliverSamples{read->request.after, read->request.max_samples}),
            kReadTimeout, [this, read](const absl::StatusOr<std::string>& answer) {
-             read->handing_on = false;
+             read->delivering = false;
              OnReadReply(read, answer);
            });
   }
@@ -262,7 +262,7 @@
       return read->exchange.Fail(
           {409, "Cursor does not fit", result->message, Outcome::kNotRun, std::nullopt});
     }
-    if (result->handed_on.empty() && !WaitExpired(*read)) return QueryCursor(read);
+    if (result->delivered.empty() && !WaitExpired(*read)) return QueryCursor(read);
     read->exchange.AnswerText(SamplesJson(*result));
   }
 
--- a/test/rollout/rollout_fleet.h
+++ b/test/rollout/rollout_fleet.h
@@ -192,7 +192,7 @@
   StreamResult Read(StreamOffset after, uint32_t max = 100) {
     StreamResult result;
     bool done = false;
-    log.Append(EncodeStreamCommand(HandOn{after, max}),
+    log.Append(EncodeStreamCommand(DeliverSamples{after, max}),
                [&](const absl::StatusOr<std::string>& answer) {
                  result = *DecodeStreamResult(*answer);
                  done = true;
--- a/test/rollout/rollout_flow_test.cc
+++ b/test/rollout/rollout_flow_test.cc
@@ -8,12 +8,14 @@
 namespace {
 
 /// All samples of step "a", read at once.
-std::vector<HandedOn> ReadAll(RolloutFleet& fleet) { return fleet.Read(StreamOffset(0)).handed_on; }
+std::vector<DeliveredEntry> ReadAll(RolloutFleet& fleet) {
+  return fleet.Read(StreamOffset(0)).delivered;
+}
 
 /// Each sample once, its text the engines' own words under the versions that it names.
-void RequireTrue(const std::vector<HandedOn>& items, uint32_t samples) {
+void RequireTrue(const std::vector<DeliveredEntry>& items, uint32_t samples) {
   std::set<SampleId> seen;
-  for (const HandedOn& item : items) {
+  for (const DeliveredEntry& item : items) {
     REQUIRE_FALSE(item.withdrawn);
     REQUIRE(seen.insert(item.sample.sample).second);
     const std::string& id = item.sample.sample.value();
@@ -89,7 +91,7 @@
   for (auto& gateway : fleet.gateways) gateway->placement.closed.insert(EngineName("engine-0"));
   REQUIRE(fleet.RunUntilWhole());
   bool resumed = false;
-  for (const HandedOn& item : ReadAll(fleet)) {
+  for (const DeliveredEntry& item : ReadAll(fleet)) {
     std::set<Incarnation> lives;
     for (const VersionSpan& span : item.sample.spans) lives.insert(span.engine_incarnation);
     resumed = resumed || lives.size() > 1;
@@ -118,7 +120,7 @@
   uint64_t voided = 0;
   for (const auto& gateway : fleet.gateways) voided += gateway->worker->counts().samples_voided;
   REQUIRE(voided > 0);
-  for (const HandedOn& item : ReadAll(fleet)) {
+  for (const DeliveredEntry& item : ReadAll(fleet)) {
     for (const VersionSpan& span : item.sample.spans) REQUIRE_FALSE(IsMixedDigest(span.digest));
   }
 }
@@ -131,7 +133,7 @@
   fleet.PublishVersion(2);  // wanted, but no engine was told to swap
   fleet.Execute(MakeStep("a", 4));
   REQUIRE(fleet.RunUntilWhole());
-  for (const HandedOn& item : ReadAll(fleet)) {
+  for (const DeliveredEntry& item : ReadAll(fleet)) {
     REQUIRE((item.sample.spans.front().version == WeightVersion(1)) == !broken);
   }
 }
@@ -220,7 +222,7 @@
   const GenerateRequest& moved = fleet.engines.requests.back();
   REQUIRE(moved.kv_source == RolloutFleet::Address(0));
   REQUIRE(moved.resume_tokens.size() >= 8);
-  const std::vector<HandedOn> items = ReadAll(fleet);
+  const std::vector<DeliveredEntry> items = ReadAll(fleet);
   REQUIRE(items.size() == 1);
   REQUIRE(items[0].sample.spans.size() == 2);
 }
@@ -262,7 +264,7 @@
   REQUIRE(fleet.RunUntilWhole());
   REQUIRE(fleet.RunUntilWhole());
   uint32_t fresh = 0;
-  for (const HandedOn& item : ReadAll(fleet)) {
+  for (const DeliveredEntry& item : ReadAll(fleet)) {
     if (item.withdrawn) continue;
     ++fresh;
     REQUIRE(item.sample.spans.front().version == WeightVersion(2));
--- a/test/rollout/stream_property_test.cc
+++ b/test/rollout/stream_property_test.cc
@@ -39,7 +39,7 @@
     for (int i = 0; i < kOperations && fault_.empty(); ++i) PlayOne();
     for (int i = 0; i < 200 && fault_.empty(); ++i) {
       GenerateAll();
-      Read(Execute(HandOn{cursor_, 8}));
+      Read(Execute(DeliverSamples{cursor_, 8}));
     }
     const bool whole = held_.size() == steps_ * kSamplesPerStep;
     if (fault_.empty() && !whole) fault_ = "samples are missing in the end";
@@ -69,14 +69,14 @@
         break;
       case 6:
         // The answer is lost; a copy of the command may arrive once more, later.
-        Execute(HandOn{cursor_, static_cast<uint32_t>(1 + Draw(4))});
-        late_reads_.push_back(HandOn{cursor_, static_cast<uint32_t>(1 + Draw(4))});
+        Execute(DeliverSamples{cursor_, static_cast<uint32_t>(1 + Draw(4))});
+        late_reads_.push_back(DeliverSamples{cursor_, static_cast<uint32_t>(1 + Draw(4))});
         break;
       case 7:
         if (!late_reads_.empty()) Execute(late_reads_[Draw(late_reads_.size())]);
         break;
       default:
-        Read(Execute(HandOn{cursor_, static_cast<uint32_t>(1 + Draw(4))}));
+        Read(Execute(DeliverSamples{cursor_, static_cast<uint32_t>(1 + Draw(4))}));
     }
   }
 
@@ -119,7 +119,7 @@
       return;
     }
     StreamOffset due = Next(cursor_);
-    for (const HandedOn& item : result.handed_on) {
+    for (const DeliveredEntry& item : result.delivered) {
       if (item.offset != due) fault_ = "an offset is missing";
       due = Next(due);
       if (item.withdrawn) continue;
@@ -144,7 +144,7 @@
   uint64_t epoch_ = 0;
   StreamOffset cursor_;
   std::set<SampleId> held_;
-  std::vector<HandOn> late_reads_;
+  std::vector<DeliverSamples> late_reads_;
 };
 
 /// Fault of the first of many seeds that has one.
--- a/test/rollout/stream_state_test.cc
+++ b/test/rollout/stream_state_test.cc
@@ -30,8 +30,8 @@
 TEST_CASE("a finished step is still known after a snapshot") {
   StreamState state = StartedState();
   for (uint32_t i = 0; i < 3; ++i) Run(state, MakeSample("a", i, 1, 1));
-  const StreamResult read = state.Execute(HandOn{StreamOffset(0), 10});
-  Run(state, HandOn{read.next, 10});
+  const StreamResult read = state.Execute(DeliverSamples{StreamOffset(0), 10});
+  Run(state, DeliverSamples{read.next, 10});
   REQUIRE(state.data().steps.empty());
   StreamState restored;
   REQUIRE(restored.Restore(LogIndex(9), state.TakeSnapshot()).ok());
@@ -56,9 +56,9 @@
   StreamState state = StartedState();
   REQUIRE(Run(state, MakeSample("a", 0, 1, 1, 7)) == StreamResultCode::kOk);
   REQUIRE(Run(state, MakeSample("a", 0, 1, 1, 8)) == StreamResultCode::kDuplicate);
-  const StreamResult read = state.Execute(HandOn{StreamOffset(0), 10});
-  REQUIRE(read.handed_on.size() == 1);
-  REQUIRE(read.handed_on[0].sample.epoch == AttemptEpoch(7));
+  const StreamResult read = state.Execute(DeliverSamples{StreamOffset(0), 10});
+  REQUIRE(read.delivered.size() == 1);
+  REQUIRE(read.delivered[0].sample.epoch == AttemptEpoch(7));
 }
 
 TEST_CASE("spans with a gap, a wrong digest or an unpublished version void a sample") {
@@ -92,23 +92,23 @@
   StreamState state = StartedState();
   Run(state, MakeSample("a", 0, 1, 1));
   Run(state, MakeSample("a", 2, 1, 1));
-  const StreamResult first = state.Execute(HandOn{StreamOffset(0), 10});
-  const StreamResult again = state.Execute(HandOn{StreamOffset(0), 10});
+  const StreamResult first = state.Execute(DeliverSamples{StreamOffset(0), 10});
+  const StreamResult again = state.Execute(DeliverSamples{StreamOffset(0), 10});
   REQUIRE(EncodeStreamResult(first) == EncodeStreamResult(again));
   REQUIRE(first.next == StreamOffset(2));
-  REQUIRE(Run(state, HandOn{first.next, 10}) == StreamResultCode::kOk);
+  REQUIRE(Run(state, DeliverSamples{first.next, 10}) == StreamResultCode::kOk);
   REQUIRE(state.data().entries.empty());
   REQUIRE(state.data().payload_bytes == 0);
-  REQUIRE(Run(state, HandOn{StreamOffset(0), 10}) == StreamResultCode::kInvalid);
+  REQUIRE(Run(state, DeliverSamples{StreamOffset(0), 10}) == StreamResultCode::kInvalid);
 }
 
 TEST_CASE("a cursor that was never given out acknowledges nothing") {
   StreamState state = StartedState();
   Run(state, MakeSample("a", 0, 1, 1));
   Run(state, MakeSample("a", 1, 1, 1));
-  Run(state, HandOn{StreamOffset(0), 10});
-  REQUIRE(Run(state, HandOn{StreamOffset(1), 10}) == StreamResultCode::kInvalid);
-  REQUIRE(Run(state, HandOn{StreamOffset(9), 10}) == StreamResultCode::kInvalid);
+  Run(state, DeliverSamples{StreamOffset(0), 10});
+  REQUIRE(Run(state, DeliverSamples{StreamOffset(1), 10}) == StreamResultCode::kInvalid);
+  REQUIRE(Run(state, DeliverSamples{StreamOffset(9), 10}) == StreamResultCode::kInvalid);
   REQUIRE(state.data().entries.size() == 2);
 }
 
@@ -117,23 +117,23 @@
   Run(state, MakeSample("a", 0, 1, 1));
   Run(state, MakePublish(3));
   REQUIRE(state.data().open.size() == 3);
-  const StreamResult read = state.Execute(HandOn{StreamOffset(0), 10});
-  REQUIRE(read.handed_on.size() == 1);
-  REQUIRE(read.handed_on[0].withdrawn);
-  REQUIRE(read.handed_on[0].sample.text.empty());
+  const StreamResult read = state.Execute(DeliverSamples{StreamOffset(0), 10});
+  REQUIRE(read.delivered.size() == 1);
+  REQUIRE(read.delivered[0].withdrawn);
+  REQUIRE(read.delivered[0].sample.text.empty());
   REQUIRE(Run(state, MakeSample("a", 0, 3, 3)) == StreamResultCode::kOk);
 }
 
 TEST_CASE("a withdrawal that the trainer saw opens the sample again") {
   StreamState state = StartedState();
   Run(state, MakeSample("a", 0, 1, 1));
-  const StreamResult fresh = state.Execute(HandOn{StreamOffset(0), 10});
+  const StreamResult fresh = state.Execute(DeliverSamples{StreamOffset(0), 10});
   Run(state, MakePublish(3));
-  const StreamResult reread = state.Execute(HandOn{StreamOffset(0), 10});
-  REQUIRE(reread.handed_on[0].withdrawn);
+  const StreamResult reread = state.Execute(DeliverSamples{StreamOffset(0), 10});
+  REQUIRE(reread.delivered[0].withdrawn);
   REQUIRE(reread.next > fresh.next);
   REQUIRE(state.data().open.size() == 2);
-  Run(state, HandOn{reread.next, 10});
+  Run(state, DeliverSamples{reread.next, 10});
   REQUIRE(state.data().open.size() == 3);
   REQUIRE(Run(state, MakeSample("a", 0, 3, 3)) == StreamResultCode::kOk);
 }
@@ -141,11 +141,11 @@
 TEST_CASE("a withdrawal that the trainer did not see leaves it the sample") {
   StreamState state = StartedState();
   Run(state, MakeSample("a", 0, 1, 1));
-  const StreamResult fresh = state.Execute(HandOn{StreamOffset(0), 10});
+  const StreamResult fresh = state.Execute(DeliverSamples{StreamOffset(0), 10});
   Run(state, MakePublish(3));
   // A read of the same cursor that was sent earlier arrives late; its answer goes nowhere.
-  Run(state, HandOn{StreamOffset(0), 10});
-  Run(state, HandOn{fresh.next, 10});
+  Run(state, DeliverSamples{StreamOffset(0), 10});
+  Run(state, DeliverSamples{fresh.next, 10});
   REQUIRE(state.data().open.size() == 2);
   REQUIRE(Run(state, MakeSample("a", 0, 3, 3)) == StreamResultCode::kDuplicate);
 }
@@ -153,10 +153,10 @@
 TEST_CASE("an answer that shows a withdrawal is longer than asked for if need be") {
   StreamState state = StartedState();
   for (uint32_t i = 0; i < 3; ++i) Run(state, MakeSample("a", i, 1, 1));
-  const StreamResult fresh = state.Execute(HandOn{StreamOffset(0), 10});
+  const StreamResult fresh = state.Execute(DeliverSamples{StreamOffset(0), 10});
   Run(state, MakePublish(3));
-  const StreamResult reread = state.Execute(HandOn{StreamOffset(0), 1});
-  REQUIRE(reread.handed_on.size() == 4);
+  const StreamResult reread = state.Execute(DeliverSamples{StreamOffset(0), 1});
+  REQUIRE(reread.delivered.size() == 4);
   REQUIRE(reread.next > fresh.next);
 }
 
@@ -193,7 +193,7 @@
     Run(state, MakeStep("s" + std::to_string(i), 1));
     Run(state,
         MakeSample("s" + std::to_string(i), 0, static_cast<uint64_t>(i), static_cast<uint64_t>(i)));
-    cursor = state.Execute(HandOn{cursor, 10}).next;
+    cursor = state.Execute(DeliverSamples{cursor, 10}).next;
   }
   REQUIRE(state.data().finished_steps.size() == kMaxFinishedSteps);
   REQUIRE(state.data().published.size() == kKeptVersions + 1);
