--- a/source/rollout/attempt_run.cc
+++ b/source/rollout/attempt_run.cc
@@ -359,12 +359,12 @@
         std::any_of(collected_.spans().begin(), collected_.spans().end(),
                     [&](const VersionSpan& span) { return span.version == version.version; });
     if (!used) continue;
-    context_.control.Submit(StreamGroup(stream_), CommandMode::kPropose,
-                            EncodeStreamCommand(NotePublished{version.version, version.digest}),
-                            kAppendTimeout,
-                            alive_.Guard([this](const absl::StatusOr<std::string>&) {
-                              if (phase_ == Phase::kAppending) Append();
-                            }));
+    context_.control.Submit(
+        StreamGroup(stream_), CommandMode::kPropose,
+        EncodeStreamCommand(RecordPublishedVersion{version.version, version.digest}),
+        kAppendTimeout, alive_.Guard([this](const absl::StatusOr<std::string>&) {
+          if (phase_ == Phase::kAppending) Append();
+        }));
     return true;
   }
   return false;
--- a/source/rollout/stream_codec.cc
+++ b/source/rollout/stream_codec.cc
@@ -22,7 +22,7 @@
     message.has_append_sample = true;
     FillSample(arena, command.sample, &message.append_sample);
   }
-  void operator()(const NotePublished& command) const {
+  void operator()(const RecordPublishedVersion& command) const {
     message.has_note_published = true;
     message.note_published.version = command.version.value();
     message.note_published.digest = arena.NewString(command.digest.value());
@@ -69,8 +69,9 @@
     return StreamCommand(AppendSample{ReadSample(message.append_sample)});
   }
   if (message.has_note_published) {
-    return StreamCommand(NotePublished{WeightVersion(message.note_published.version),
-                                       WeightDigest(ToString(message.note_published.digest))});
+    return StreamCommand(
+        RecordPublishedVersion{WeightVersion(message.note_published.version),
+                               WeightDigest(ToString(message.note_published.digest))});
   }
   if (message.has_hand_on) {
     return StreamCommand(
--- a/source/rollout/stream_commands.h
+++ b/source/rollout/stream_commands.h
@@ -46,13 +46,13 @@
 };
 
 /// The stream learns of a published version; ordered against hand-on in this log.
-struct NotePublished {
+struct RecordPublishedVersion {
   WeightVersion version;
   WeightDigest digest;
 };
 
 /// The trainer reads behind `after` (which acknowledges all up to `after`). Committed before the
-/// answer, so that it is ordered against NotePublished.
+/// answer, so that it is ordered against RecordPublishedVersion.
 struct DeliverSamples {
   StreamOffset after;
   uint32_t max_samples = 0;
@@ -64,7 +64,7 @@
 };
 
 using StreamCommand =
-    std::variant<PutStep, AppendSample, NotePublished, DeliverSamples, SetStalenessBound>;
+    std::variant<PutStep, AppendSample, RecordPublishedVersion, DeliverSamples, SetStalenessBound>;
 
 enum class StreamResultCode : uint8_t {
   kOk = 1,
--- a/source/rollout/stream_leader.cc
+++ b/source/rollout/stream_leader.cc
@@ -154,7 +154,7 @@
   for (const PublishedVersion& version : settings_->published) {
     if (version.version.value() + kept < data.newest.value()) continue;
     if (data.published.contains(version.version)) continue;
-    return StreamCommand(NotePublished{version.version, version.digest});
+    return StreamCommand(RecordPublishedVersion{version.version, version.digest});
   }
   return std::nullopt;
 }
@@ -188,7 +188,7 @@
 }
 
 void StreamLeaderNode::OnProgress() {
-  schedule_.NotePublished(environment_.Now(), state_.data().newest);
+  schedule_.OnVersionPublished(environment_.Now(), state_.data().newest);
   if (!queries_.empty()) query_timer_.Arm(Duration(0), [this] { AnswerQueries(false); });
 }
 
--- a/source/rollout/stream_state.cc
+++ b/source/rollout/stream_state.cc
@@ -280,7 +280,7 @@
   return newest > oldest && newest.value() - oldest.value() > data_.staleness_bound;
 }
 
-StreamResult StreamState::Handle(const NotePublished& command) {
+StreamResult StreamState::Handle(const RecordPublishedVersion& command) {
   if (command.version.value() == 0 || command.digest.value().empty()) {
     return Result(StreamResultCode::kInvalid, "a version counts from 1 and has a digest");
   }
--- a/source/rollout/stream_state.h
+++ b/source/rollout/stream_state.h
@@ -72,7 +72,7 @@
  private:
   StreamResult Handle(const PutStep& command);
   StreamResult Handle(const AppendSample& command);
-  StreamResult Handle(const NotePublished& command);
+  StreamResult Handle(const RecordPublishedVersion& command);
   StreamResult Handle(const DeliverSamples& command);
   StreamResult Handle(const SetStalenessBound& command);
 
--- a/source/rollout/trainer_service.cc
+++ b/source/rollout/trainer_service.cc
@@ -329,7 +329,7 @@
   /// after the answer measures against an older one.
   void PublishToStream(const std::shared_ptr<PendingPublish>& publish,
                        const SharedExchange& exchange, const StreamName& stream) {
-    const NotePublished command{publish->version.version, publish->version.digest};
+    const RecordPublishedVersion command{publish->version.version, publish->version.digest};
     Submit(StreamGroup(stream), CommandMode::kPropose, EncodeStreamCommand(command),
            kCommandTimeout, [publish, exchange, stream](const absl::StatusOr<std::string>& answer) {
              const absl::StatusOr<StreamResult> result = Decode(answer);
--- a/source/rollout/work_schedule.cc
+++ b/source/rollout/work_schedule.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void WorkSchedule::NotePublished(TimePoint now, WeightVersion version) {
+void WorkSchedule::OnVersionPublished(TimePoint now, WeightVersion version) {
   if (version <= newest_) return;
   const bool first = newest_.value() == 0;
   newest_ = version;
--- a/source/rollout/work_schedule.h
+++ b/source/rollout/work_schedule.h
@@ -40,7 +40,7 @@
 class WorkSchedule {
  public:
   /// A version was published. Learns the interval.
-  void NotePublished(TimePoint now, WeightVersion version);
+  void OnVersionPublished(TimePoint now, WeightVersion version);
   /// Adds a sample that nobody works at. `urgent` ones, given back or lost, go first.
   void Add(TimePoint now, const SampleKey& key, uint32_t expected_tokens, uint32_t step_samples,
            bool urgent);
--- a/test/rollout/stream_state_test.cc
+++ b/test/rollout/stream_state_test.cc
@@ -172,7 +172,7 @@
 TEST_CASE("the same version with another digest is a conflict") {
   StreamState state = StartedState();
   REQUIRE(Run(state, MakePublish(1)) == StreamResultCode::kDuplicate);
-  REQUIRE(Run(state, NotePublished{WeightVersion(1), WeightDigest("other")}) ==
+  REQUIRE(Run(state, RecordPublishedVersion{WeightVersion(1), WeightDigest("other")}) ==
           StreamResultCode::kConflict);
 }
 
--- a/test/rollout/stream_test_support.h
+++ b/test/rollout/stream_test_support.h
@@ -23,7 +23,7 @@
   return command;
 }
 
-inline NotePublished MakePublish(uint64_t version) {
+inline RecordPublishedVersion MakePublish(uint64_t version) {
   return {WeightVersion(version), DigestOfVersion(version)};
 }
 
--- a/test/rollout/work_schedule_test.cc
+++ b/test/rollout/work_schedule_test.cc
@@ -25,9 +25,9 @@
 
   /// Two versions an interval of 100 s apart, the second one just now.
   void LearnInterval() {
-    schedule.NotePublished(at, WeightVersion(1));
+    schedule.OnVersionPublished(at, WeightVersion(1));
     at += std::chrono::seconds(100);
-    schedule.NotePublished(at, WeightVersion(2));
+    schedule.OnVersionPublished(at, WeightVersion(2));
     situation.newest = WeightVersion(2);
     situation.now = at;
     // Steps that come now are put under the version just out.
