--- a/source/rollout/rollout_worker.cc
+++ b/source/rollout/rollout_worker.cc
@@ -12,29 +12,29 @@
 
 /// After an attempt has ended, work is asked for this soon, so that ends close together share a
 /// request.
-constexpr Duration kAskSoon = std::chrono::milliseconds(20);
+constexpr Duration kRequestDelay = std::chrono::milliseconds(20);
 /// Without an answer for this long another control node is asked.
-constexpr Duration kSourceTimeout = std::chrono::milliseconds(1500);
+constexpr Duration kReplyTimeout = std::chrono::milliseconds(1500);
 /// A drain ends after this long, whatever is still under way.
-constexpr Duration kDrainLimit = std::chrono::seconds(20);
-/// Attempts taken beyond the room that was told, in case answers cross.
+constexpr Duration kDrainTimeout = std::chrono::seconds(20);
+/// Attempts taken beyond the free_slots that was told, in case answers cross.
 constexpr uint32_t kMaxRunningPerStream = 4096;
 
 /// The work for one stream. Lives in the worker.
 class StreamWork {
  public:
   StreamWork(RolloutContext& context, PeerTransport& transport, StreamName stream,
-             std::function<NodeId()> control_node, std::function<uint32_t()> room,
-             std::function<void()> unanswered)
+             std::function<NodeId()> control_node, std::function<uint32_t()> free_slots,
+             std::function<void()> on_reply_timeout)
       : context_(context),
         transport_(transport),
         stream_(std::move(stream)),
         control_node_(std::move(control_node)),
-        room_(std::move(room)),
-        unanswered_(std::move(unanswered)),
+        free_slots_(std::move(free_slots)),
+        on_reply_timeout_(std::move(on_reply_timeout)),
         timer_(context.environment),
         reap_timer_(context.environment) {
-    Ask();
+    RequestWork();
   }
 
   void Receive(const WorkReply& reply) {
@@ -42,29 +42,29 @@
     std::erase_if(returned_, [&](const auto& returned) {
       return returned.second.sent != 0 && returned.second.sent <= reply.answered;
     });
-    for (const WorkReply::Cancelled& cancelled : reply.cancelled) Cancel(cancelled);
-    for (const Attempt& attempt : reply.attempts) Begin(attempt);
+    for (const WorkReply::Cancelled& cancelled : reply.cancelled) CancelAttempt(cancelled);
+    for (const Attempt& attempt : reply.attempts) StartAttempt(attempt);
   }
 
   void BeginDrain() {
     draining_ = true;
     for (auto& [sample, run] : runs_) run->Stop();
-    AskSoon();
+    RequestWorkSoon();
   }
 
   bool Idle() const { return runs_.empty() && returned_.empty(); }
   uint32_t running() const { return static_cast<uint32_t>(runs_.size()); }
 
  private:
-  struct Pending {
+  struct PendingReturn {
     WorkRequest::Returned returned;
     /// Request that it was sent with last; 0 if with none yet.
     uint64_t sent = 0;
   };
 
-  void Begin(const Attempt& attempt) {
+  void StartAttempt(const Attempt& attempt) {
     const SampleId sample = attempt.prompt.sample;
-    if (draining_ || runs_.size() >= kMaxRunningPerStream) return Refuse(attempt);
+    if (draining_ || runs_.size() >= kMaxRunningPerStream) return DeclineAttempt(attempt);
     const auto found = runs_.find(sample);
     // A repeated answer, or an attempt that is older than the one that runs.
     if (found != runs_.end() && found->second->attempt().epoch >= attempt.epoch) return;
@@ -73,67 +73,68 @@
     const AttemptEpoch epoch = attempt.epoch;
     auto run = std::make_unique<AttemptRun>(
         context_, stream_, attempt,
-        [this, sample, epoch](AttemptEnd end) { Ended(sample, epoch, end); });
+        [this, sample, epoch](AttemptEnd end) { OnEnded(sample, epoch, end); });
     AttemptRun& started = *run;
     runs_[sample] = std::move(run);
     started.Start();
   }
 
-  void Refuse(const Attempt& attempt) {
-    GiveBack({attempt.prompt.sample, attempt.epoch, attempt.resume_tokens, attempt.resume_spans,
-              attempt.kv_source});
-    AskSoon();
+  void DeclineAttempt(const Attempt& attempt) {
+    ReturnAttempt({attempt.prompt.sample, attempt.epoch, attempt.resume_tokens,
+                   attempt.resume_spans, attempt.kv_source});
+    RequestWorkSoon();
   }
 
-  void Cancel(const WorkReply::Cancelled& cancelled) {
+  void CancelAttempt(const WorkReply::Cancelled& cancelled) {
     const auto found = runs_.find(cancelled.sample);
     if (found == runs_.end() || found->second->attempt().epoch > cancelled.epoch) return;
     ++context_.counts.attempts_cancelled;
     runs_.erase(found);
-    AskSoon();
+    RequestWorkSoon();
   }
 
-  void Ended(const SampleId& sample, AttemptEpoch epoch, AttemptEnd end) {
+  void OnEnded(const SampleId& sample, AttemptEpoch epoch, AttemptEnd end) {
     const auto found = runs_.find(sample);
     if (found == runs_.end() || found->second->attempt().epoch != epoch) return;
     const AttemptRun& run = *found->second;
     if (end == AttemptEnd::kReturned) {
-      GiveBack({sample, epoch, run.collected().tokens(), run.collected().spans(), run.kv_source()});
+      ReturnAttempt(
+          {sample, epoch, run.collected().tokens(), run.collected().spans(), run.kv_source()});
     } else if (end == AttemptEnd::kAnew) {
-      GiveBack({sample, epoch, {}, {}, ""});
+      ReturnAttempt({sample, epoch, {}, {}, ""});
     }
     // The run is telling us this from its own timer: it goes after it has returned.
     ended_.push_back(std::move(found->second));
     runs_.erase(found);
     reap_timer_.Arm(Duration(0), [this] { ended_.clear(); });
-    AskSoon();
+    RequestWorkSoon();
   }
 
-  void GiveBack(WorkRequest::Returned returned) {
+  void ReturnAttempt(WorkRequest::Returned returned) {
     ++context_.counts.attempts_returned;
     const std::pair key{returned.sample, returned.epoch};
     returned_[key] = {std::move(returned), 0};
   }
 
-  void AskSoon() {
-    if (ask_soon_) return;
-    ask_soon_ = true;
-    timer_.Arm(kAskSoon, [this] { Ask(); });
+  void RequestWorkSoon() {
+    if (request_scheduled_) return;
+    request_scheduled_ = true;
+    timer_.Arm(kRequestDelay, [this] { RequestWork(); });
   }
 
-  void Ask() {
-    ask_soon_ = false;
+  void RequestWork() {
+    request_scheduled_ = false;
     const TimePoint now = context_.environment.Now();
-    if (answered_ < sequence_ && now - asked_since_ >= kSourceTimeout) {
-      unanswered_();
-      asked_since_ = now;
+    if (answered_ < sequence_ && now - unanswered_since_ >= kReplyTimeout) {
+      on_reply_timeout_();
+      unanswered_since_ = now;
     } else if (answered_ >= sequence_) {
-      asked_since_ = now;
+      unanswered_since_ = now;
     }
     WorkRequest request;
     request.stream = stream_;
     request.gateway = context_.options.self;
-    request.room = draining_ || !context_.configuration.LeaseValid() ? 0 : room_();
+    request.free_slots = draining_ || !context_.configuration.LeaseValid() ? 0 : free_slots_();
     request.sequence = ++sequence_;
     for (const auto& [sample, run] : runs_) {
       request.running.push_back({sample, run->attempt().epoch, run->collected().token_count(),
@@ -145,23 +146,24 @@
     }
     const bool busy = !runs_.empty() || !returned_.empty();
     transport_.Send(control_node_(), {MessageKind::kWorkRequest, EncodeWorkRequest(request)});
-    timer_.Arm(busy && request.room > 0 ? context_.options.work_poll : context_.options.idle_poll,
-               [this] { Ask(); });
+    timer_.Arm(
+        busy && request.free_slots > 0 ? context_.options.work_poll : context_.options.idle_poll,
+        [this] { RequestWork(); });
   }
 
   RolloutContext& context_;
   PeerTransport& transport_;
   StreamName stream_;
   std::function<NodeId()> control_node_;
-  std::function<uint32_t()> room_;
-  std::function<void()> unanswered_;
+  std::function<uint32_t()> free_slots_;
+  std::function<void()> on_reply_timeout_;
   std::map<SampleId, std::unique_ptr<AttemptRun>> runs_;
-  std::map<std::pair<SampleId, AttemptEpoch>, Pending> returned_;
+  std::map<std::pair<SampleId, AttemptEpoch>, PendingReturn> returned_;
   std::vector<std::unique_ptr<AttemptRun>> ended_;
   uint64_t sequence_ = 0;
   uint64_t answered_ = 0;
-  TimePoint asked_since_;
-  bool ask_soon_ = false;
+  TimePoint unanswered_since_;
+  bool request_scheduled_ = false;
   bool draining_ = false;
   ScopedTimer timer_;
   ScopedTimer reap_timer_;
@@ -182,8 +184,8 @@
 
   void Start() override {
     context_.configuration.OnChange(
-        alive_.Guard([this](const ConfigurationDelta&) { TakeStreams(); }));
-    TakeStreams();
+        alive_.Guard([this](const ConfigurationDelta&) { UpdateStreams(); }));
+    UpdateStreams();
   }
 
   void Receive(const NodeId&, const PeerMessage& message) override {
@@ -196,9 +198,9 @@
   void Drain(std::function<void()> done) override {
     draining_ = true;
     drained_ = std::move(done);
-    drain_began_ = context_.environment.Now();
+    drain_started_at_ = context_.environment.Now();
     for (auto& [stream, work] : streams_) work->BeginDrain();
-    TestDrained();
+    CheckDrained();
   }
 
   const RolloutCounts& counts() const override { return context_.counts; }
@@ -210,7 +212,7 @@
   }
 
  private:
-  void TakeStreams() {
+  void UpdateStreams() {
     const Configuration& configuration = context_.configuration.configuration();
     std::erase_if(streams_, [&](const auto& work) {
       return !configuration.resources.contains({ResourceKind::kStream, work.first.value()});
@@ -223,7 +225,7 @@
       if (streams_.contains(stream)) continue;
       streams_[stream] = std::make_unique<StreamWork>(
           context_, transport_, stream, [this] { return ControlNode(); },
-          [this, stream] { return Room(stream); }, [this] { ++control_index_; });
+          [this, stream] { return FreeSlots(stream); }, [this] { ++control_index_; });
     }
   }
 
@@ -232,31 +234,32 @@
     return nodes.empty() ? NodeId() : nodes[control_index_ % nodes.size()].node;
   }
 
-  /// Share of `stream` in the room of its pool, so that two streams do not fill the same room. The
-  /// remainder goes to the streams first by name.
-  uint32_t Room(const StreamName& stream) const {
+  /// Share of `stream` in the free_slots of its pool, so that two streams do not fill the same
+  /// free_slots. The remainder goes to the streams first by name.
+  uint32_t FreeSlots(const StreamName& stream) const {
     const Configuration& configuration = context_.configuration.configuration();
     const auto* spec = configuration.FindSpec<StreamSpec>(ResourceKind::kStream, stream.value());
     if (spec == nullptr) return 0;
-    uint32_t sharers = 0;
+    uint32_t stream_count = 0;
     uint32_t position = 0;
     for (const auto& [other, work] : streams_) {
       const auto* other_spec =
           configuration.FindSpec<StreamSpec>(ResourceKind::kStream, other.value());
       if (other_spec == nullptr || other_spec->pool != spec->pool) continue;
       if (other < stream) ++position;
-      ++sharers;
+      ++stream_count;
     }
-    const uint32_t room = context_.placement.RolloutCapacity({ResourceKind::kPool, spec->pool});
-    sharers = std::max(sharers, 1U);
-    return room / sharers + (position < room % sharers ? 1 : 0);
+    const uint32_t free_slots =
+        context_.placement.RolloutCapacity({ResourceKind::kPool, spec->pool});
+    stream_count = std::max(stream_count, 1U);
+    return free_slots / stream_count + (position < free_slots % stream_count ? 1 : 0);
   }
 
-  void TestDrained() {
+  void CheckDrained() {
     const bool idle = std::all_of(streams_.begin(), streams_.end(),
                                   [](const auto& work) { return work.second->Idle(); });
-    if (!idle && context_.environment.Now() - drain_began_ < kDrainLimit) {
-      drain_timer_.Arm(std::chrono::milliseconds(50), [this] { TestDrained(); });
+    if (!idle && context_.environment.Now() - drain_started_at_ < kDrainTimeout) {
+      drain_timer_.Arm(std::chrono::milliseconds(50), [this] { CheckDrained(); });
       return;
     }
     const auto done = std::move(drained_);
@@ -268,7 +271,7 @@
   std::map<StreamName, std::unique_ptr<StreamWork>> streams_;
   size_t control_index_ = 0;
   bool draining_ = false;
-  TimePoint drain_began_;
+  TimePoint drain_started_at_;
   std::function<void()> drained_;
   ScopedTimer drain_timer_;
   AliveFlag alive_;
--- a/source/rollout/rollout_worker.h
+++ b/source/rollout/rollout_worker.h
@@ -1,5 +1,5 @@
-/// The rollout work of a gateway: leases attempts for the room that its engines have, generates,
-/// scores and appends samples.
+/// The rollout work of a gateway: leases attempts for the free_slots that its engines have,
+/// generates, scores and appends samples.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
   NodeId self;
   Zone zone;
   std::vector<ControlEndpoint> control_nodes;
-  /// Time between requests for work while there is room and something changes.
+  /// Time between requests for work while there is free_slots and something changes.
   Duration work_poll = std::chrono::milliseconds(200);
   /// Time between requests when nothing changes. Leaders push work that comes up in between.
   Duration idle_poll = std::chrono::seconds(1);
--- a/source/rollout/stream_commands.h
+++ b/source/rollout/stream_commands.h
@@ -100,13 +100,13 @@
 std::string EncodeStreamResult(const StreamResult& result);
 absl::StatusOr<StreamResult> DecodeStreamResult(std::string_view bytes);
 
-/// A gateway asks for attempts at samples, for the room it has, and tells what it runs, so that a
-/// new leader does not lease the same again.
+/// A gateway asks for attempts at samples, for the free_slots it has, and tells what it runs, so
+/// that a new leader does not lease the same again.
 struct WorkRequest {
   StreamName stream;
   /// Who asks; the leader answers it directly, also when another control node passed this on.
   NodeId gateway;
-  uint32_t room = 0;
+  uint32_t free_slots = 0;
   /// Counts up over the requests of one gateway for this stream.
   uint64_t sequence = 0;
   struct Running {
--- a/source/rollout/stream_leader.h
+++ b/source/rollout/stream_leader.h
@@ -46,7 +46,7 @@
   };
   /// A gateway that asked for work.
   struct Asker {
-    uint32_t room = 0;
+    uint32_t free_slots = 0;
     uint64_t sequence = 0;
     TimePoint asked_at;
     /// It has not been answered yet.
--- a/source/rollout/stream_leader_work.cc
+++ b/source/rollout/stream_leader_work.cc
@@ -47,7 +47,7 @@
   if (!Leads() || !request.ok() || request->stream != stream_) return;
   Asker& asker = askers_[request->gateway];
   asker.asked_at = environment_.Now();
-  asker.room = request->room;
+  asker.free_slots = request->free_slots;
   asker.sequence = request->sequence;
   asker.answer_due = true;
   TakeRunning(*request, asker);
@@ -114,7 +114,7 @@
   }
 }
 
-/// Deals samples out in turns, so that a small step is spread over all gateways with room.
+/// Deals samples out in turns, so that a small step is spread over all gateways with free_slots.
 void StreamLeaderNode::GrantRound() {
   bool granted = true;
   while (granted) {
@@ -126,7 +126,7 @@
 }
 
 bool StreamLeaderNode::GrantOne(const NodeId& gateway, Asker& asker) {
-  if (asker.room == 0 || asker.granted.size() >= kMaxAttemptsPerReply) return false;
+  if (asker.free_slots == 0 || asker.granted.size() >= kMaxAttemptsPerReply) return false;
   if (environment_.Now() - asker.asked_at > kRoomValid) return false;
   if (settings_->gone_gateways.contains(gateway)) return false;
   if (attempts_.in_flight() >= settings_->max_in_flight) return false;
@@ -153,7 +153,7 @@
     attempt.kv_source = resume->kv_source;
   }
   asker.granted.push_back(std::move(attempt));
-  --asker.room;
+  --asker.free_slots;
 }
 
 /// A sample of the oldest step whose only attempt has stalled, once the step is nearly done.
--- a/source/rollout/trainer_service.cc
+++ b/source/rollout/trainer_service.cc
@@ -103,7 +103,7 @@
       const std::shared_ptr<PendingRead> read = weak.lock();
       if (read != nullptr && !read->delivering) AnswerEmpty(*read);
     }
-    TestDrained();
+    CheckDrained();
   }
 
  private:
@@ -355,7 +355,7 @@
     environment_.Schedule(delay, alive_.Guard(std::move(callback)));
   }
 
-  void TestDrained() {
+  void CheckDrained() {
     const bool idle = std::all_of(exchanges_.begin(), exchanges_.end(),
                                   [](const auto& weak) {
                                     const auto exchange = weak.lock();
@@ -365,7 +365,7 @@
                         const auto read = weak.lock();
                         return read == nullptr || read->exchange.finished;
                       });
-    if (!idle) return drain_timer_.Arm(kRetryDelay, [this] { TestDrained(); });
+    if (!idle) return drain_timer_.Arm(kRetryDelay, [this] { CheckDrained(); });
     const auto done = std::move(drained_);
     if (done) done();
   }
--- a/source/rollout/work_codec.cc
+++ b/source/rollout/work_codec.cc
@@ -46,7 +46,7 @@
   millstair_WorkRequestMessage message = millstair_WorkRequestMessage_init_zero;
   message.stream = arena.NewString(request.stream.value());
   message.gateway = arena.NewString(request.gateway.value());
-  message.room = request.room;
+  message.room = request.free_slots;
   message.sequence = request.sequence;
   message.running = arena.NewArray<millstair_WorkRunning>(request.running.size());
   message.running_count = static_cast<pb_size_t>(request.running.size());
@@ -74,7 +74,7 @@
   WorkRequest request;
   request.stream = StreamName(ToString(message.stream));
   request.gateway = NodeId(ToString(message.gateway));
-  request.room = message.room;
+  request.free_slots = message.room;
   request.sequence = message.sequence;
   for (pb_size_t i = 0; i < message.running_count; ++i) {
     const millstair_WorkRunning& from = message.running[i];
--- a/test/rollout/rollout_codec_test.cc
+++ b/test/rollout/rollout_codec_test.cc
@@ -11,7 +11,7 @@
   WorkRequest request;
   request.stream = StreamName("s");
   request.gateway = NodeId("g");
-  request.room = 7;
+  request.free_slots = 7;
   request.sequence = 9;
   request.running.push_back({SampleId("a/0"), AttemptEpoch(5), 12, WeightVersion(3)});
   request.returned.push_back({SampleId("a/1"),
--- a/test/rollout/rollout_fakes.h
+++ b/test/rollout/rollout_fakes.h
@@ -102,13 +102,13 @@
     ended.push_back(outcome);
   }
   uint32_t RolloutCapacity(const ResourceKey&) const override {
-    uint32_t room = 0;
+    uint32_t free_slots = 0;
     for (const auto& [name, address] : engines) {
       if (closed.contains(name)) continue;
       const auto running = running_.find(name);
-      room += limit - (running == running_.end() ? 0 : running->second);
+      free_slots += limit - (running == running_.end() ? 0 : running->second);
     }
-    return room;
+    return free_slots;
   }
 
   uint32_t limit = 8;
