--- a/source/rollout/attempt_run.cc
+++ b/source/rollout/attempt_run.cc
@@ -10,22 +10,22 @@
 namespace millstair {
 namespace {
 
-constexpr Duration kPlacingRetry = std::chrono::milliseconds(200);
+constexpr Duration kPlacementRetryDelay = std::chrono::milliseconds(200);
 /// Given back when no engine took it for this long.
-constexpr Duration kPlacingLimit = std::chrono::seconds(10);
-constexpr Duration kWatchInterval = std::chrono::milliseconds(500);
+constexpr Duration kPlacementTimeout = std::chrono::seconds(10);
+constexpr Duration kProgressCheckInterval = std::chrono::milliseconds(500);
 /// A stream without a chunk for this long has failed.
-constexpr Duration kStreamSilent = std::chrono::seconds(5);
+constexpr Duration kStreamStallTimeout = std::chrono::seconds(5);
 /// With less than this left, an attempt stays where it is.
-constexpr Duration kWorthMoving = std::chrono::seconds(3);
+constexpr Duration kMinRemainingToMove = std::chrono::seconds(3);
 /// A straggler moves if the other engine needs at most 1 / this of the time.
-constexpr double kMoveGain = 1.5;
+constexpr double kMinMoveSpeedup = 1.5;
 constexpr uint32_t kMaxMoves = 2;
-constexpr uint32_t kMaxVoids = 5;
+constexpr uint32_t kMaxDiscards = 5;
 /// Idle time weights from here on move stragglers.
-constexpr double kMoveWeight = 0.5;
+constexpr double kMinIdleWeightToMove = 0.5;
 constexpr Duration kAppendTimeout = std::chrono::seconds(5);
-constexpr uint32_t kMaxAppends = 12;
+constexpr uint32_t kMaxAppendAttempts = 12;
 
 }  // namespace
 
@@ -37,7 +37,7 @@
       ended_(std::move(ended)),
       kv_source_(attempt_.kv_source),
       step_timer_(context.environment),
-      watch_timer_(context.environment) {
+      progress_timer_(context.environment) {
   collected_.Resume(attempt_.resume_tokens, attempt_.resume_spans);
 }
 
@@ -55,8 +55,8 @@
 void AttemptRun::End(AttemptEnd end) {
   if (phase_ == Phase::kEnded) return;
   phase_ = Phase::kEnded;
-  watch_timer_.Cancel();
-  Later([this, end] {
+  progress_timer_.Cancel();
+  Defer([this, end] {
     generation_.reset();
     EndPlacement(PlacementEnd::kCancelled, CallFailure::kCut, false);
     const auto ended = std::move(ended_);
@@ -93,17 +93,17 @@
   return request;
 }
 
-void AttemptRun::BeginPlacing() {
+void AttemptRun::StartPlacement() {
   phase_ = Phase::kPlacing;
   generation_.reset();
-  placing_since_ = context_.environment.Now();
-  TryPlacing();
+  placement_started_at_ = context_.environment.Now();
+  AttemptPlacement();
 }
 
-void AttemptRun::TryPlacing() {
+void AttemptRun::AttemptPlacement() {
   const StreamSpec* stream = Spec();
   if (stream == nullptr) return End(AttemptEnd::kSettled);
-  if (TooOld()) collected_.Clear();
+  if (IsTooStale()) collected_.Clear();
   if (context_.configuration.LeaseValid()) {
     const ResourceKey pool{ResourceKind::kPool, stream->pool};
     if (std::optional<Placement> placement = context_.placement.Place(pool, Request())) {
@@ -112,22 +112,22 @@
     // Engines that failed once are better than none.
     excluded_.clear();
   }
-  if (context_.environment.Now() - placing_since_ >= kPlacingLimit) {
+  if (context_.environment.Now() - placement_started_at_ >= kPlacementTimeout) {
     return End(AttemptEnd::kReturned);
   }
-  step_timer_.Arm(kPlacingRetry, [this] { TryPlacing(); });
+  step_timer_.Arm(kPlacementRetryDelay, [this] { AttemptPlacement(); });
 }
 
 void AttemptRun::Generate(const Placement& placement) {
   phase_ = Phase::kGenerating;
   placement_ = placement;
-  stream_began_at_ = context_.environment.Now();
-  progress_at_ = stream_began_at_;
-  tokens_at_begin_ = collected_.token_count();
+  stream_started_at_ = context_.environment.Now();
+  progress_at_ = stream_started_at_;
+  tokens_at_stream_start_ = collected_.token_count();
   collected_.BeginStream();
   GenerateRequest request;
-  request.request_id =
-      fmt::format("{}/{}/{}/{}", stream_, attempt_.prompt.sample, attempt_.epoch, ++tries_);
+  request.request_id = fmt::format("{}/{}/{}/{}", stream_, attempt_.prompt.sample, attempt_.epoch,
+                                   ++generation_count_);
   if (const ModelStatus* model = Model()) request.model = model->model;
   request.prompt = attempt_.prompt.text;
   request.max_tokens = attempt_.prompt.max_tokens;
@@ -135,7 +135,7 @@
   request.resume_tokens = collected_.tokens();
   request.kv_source = kv_source_ == placement.choice.address ? "" : kv_source_;
   kv_source_.clear();
-  watch_timer_.Arm(kWatchInterval, [this] { Watch(); });
+  progress_timer_.Arm(kProgressCheckInterval, [this] { CheckProgress(); });
   generation_ = context_.engines.Generate(placement.choice.address, std::move(request), *this);
 }
 
@@ -143,27 +143,27 @@
   if (phase_ != Phase::kGenerating || !placement_) return;
   progress_at_ = context_.environment.Now();
   const ModelStatus* model = Model();
-  const absl::Status taken =
+  const absl::Status added =
       collected_.Add(chunk, model == nullptr ? std::vector<PublishedVersion>() : model->published);
-  if (!taken.ok()) return Void(std::string(taken.message()));
+  if (!added.ok()) return DiscardAndRestart(std::string(added.message()));
   context_.counts.tokens += chunk.tokens.size();
   if (!chunk.finished) return;
-  watch_timer_.Cancel();
+  progress_timer_.Cancel();
   EndPlacement(PlacementEnd::kFinished, CallFailure::kCut, false);
   phase_ = Phase::kScoring;
-  Later([this] { BeginScoring(); });
+  Defer([this] { StartScoring(); });
 }
 
 void AttemptRun::OnFailed(CallFailure failure, bool leaving, const std::string&) {
   if (phase_ != Phase::kGenerating || !placement_) return;
-  watch_timer_.Cancel();
+  progress_timer_.Cancel();
   excluded_.insert(placement_->choice.engine);
   // A leaving engine still serves its KV; one that broke does not.
   if (leaving) kv_source_ = placement_->choice.address;
   EndPlacement(PlacementEnd::kFailed, failure, leaving);
   ++context_.counts.resumed_elsewhere;
   phase_ = Phase::kPlacing;
-  Later([this] { BeginPlacing(); });
+  Defer([this] { StartPlacement(); });
 }
 
 void AttemptRun::EndPlacement(PlacementEnd end, CallFailure failure, bool leaving) {
@@ -172,29 +172,30 @@
   outcome.end = end;
   outcome.failure = failure;
   outcome.leaving = leaving;
-  outcome.tokens = collected_.token_count() - std::min(tokens_at_begin_, collected_.token_count());
-  outcome.elapsed = context_.environment.Now() - stream_began_at_;
+  outcome.tokens =
+      collected_.token_count() - std::min(tokens_at_stream_start_, collected_.token_count());
+  outcome.elapsed = context_.environment.Now() - stream_started_at_;
   const PlacementId id = placement_->id;
   placement_.reset();
   context_.placement.End(id, outcome);
 }
 
 /// Throws away what was collected and starts again, on another engine.
-void AttemptRun::Void(const std::string& reason) {
+void AttemptRun::DiscardAndRestart(const std::string& reason) {
   LogEvent(EventId::kSampleVoided, "stream={} sample={} engine={} reason=\"{}\"", stream_,
            attempt_.prompt.sample, placement_->choice.engine, reason);
   ++context_.counts.samples_voided;
-  watch_timer_.Cancel();
+  progress_timer_.Cancel();
   excluded_.insert(placement_->choice.engine);
   EndPlacement(PlacementEnd::kMixed, CallFailure::kCut, false);
   collected_.Clear();
   kv_source_.clear();
-  if (++voids_ >= kMaxVoids) return End(AttemptEnd::kAnew);
+  if (++discards_ >= kMaxDiscards) return End(AttemptEnd::kRestart);
   phase_ = Phase::kPlacing;
-  Later([this] { BeginPlacing(); });
+  Defer([this] { StartPlacement(); });
 }
 
-bool AttemptRun::TooOld() const {
+bool AttemptRun::IsTooStale() const {
   const StreamSpec* stream = Spec();
   const ModelStatus* model = Model();
   const WeightVersion oldest = OldestVersionOf(collected_.spans());
@@ -206,57 +207,58 @@
   return newest > oldest && newest.value() - oldest.value() > stream->staleness_bound;
 }
 
-void AttemptRun::Watch() {
+void AttemptRun::CheckProgress() {
   if (phase_ != Phase::kGenerating || !placement_) return;
-  watch_timer_.Arm(kWatchInterval, [this] { Watch(); });
-  if (context_.environment.Now() - progress_at_ >= kStreamSilent) {
+  progress_timer_.Arm(kProgressCheckInterval, [this] { CheckProgress(); });
+  if (context_.environment.Now() - progress_at_ >= kStreamStallTimeout) {
     return OnFailed(CallFailure::kUnknown, false, "silent");
   }
-  if (TooOld()) {
-    watch_timer_.Cancel();
+  if (IsTooStale()) {
+    progress_timer_.Cancel();
     EndPlacement(PlacementEnd::kCancelled, CallFailure::kCut, false);
     collected_.Clear();
     phase_ = Phase::kPlacing;
-    return Later([this] { BeginPlacing(); });
+    return Defer([this] { StartPlacement(); });
   }
   const Duration remaining = RemainingTime();
-  if (remaining < kWorthMoving) return;
-  if (EngineLeaves()) return ConsiderMove(remaining, 0);
+  if (remaining < kMinRemainingToMove) return;
+  if (IsEngineLeaving()) return MaybeMove(remaining, 0);
   const StreamSpec* stream = Spec();
   const bool moves = context_.options.tail_handling && moves_ < kMaxMoves && stream != nullptr &&
-                     stream->idle_time_weight >= kMoveWeight;
-  if (moves) ConsiderMove(remaining, kMoveGain);
+                     stream->idle_time_weight >= kMinIdleWeightToMove;
+  if (moves) MaybeMove(remaining, kMinMoveSpeedup);
 }
 
-bool AttemptRun::EngineLeaves() const {
+bool AttemptRun::IsEngineLeaving() const {
   return EffectiveState(context_.configuration.configuration(), placement_->choice.engine) !=
          MemberState::kLive;
 }
 
 /// Time that the attempt still needs at the pace of its present stream.
 Duration AttemptRun::RemainingTime() const {
-  const uint32_t done = collected_.token_count() - tokens_at_begin_;
+  const uint32_t done = collected_.token_count() - tokens_at_stream_start_;
   if (done == 0) return Duration(0);
-  const Duration per_token = (progress_at_ - stream_began_at_) / done;
+  const Duration per_token = (progress_at_ - stream_started_at_) / done;
   return per_token * LengthEstimator::Remaining(attempt_.expected_tokens,
                                                 attempt_.prompt.max_tokens,
                                                 collected_.token_count());
 }
 
-/// Moves to an engine that is expected to need at most remaining / gain; any engine if gain is 0.
-void AttemptRun::ConsiderMove(Duration remaining, double gain) {
+/// Moves to an engine that is expected to need at most remaining / min_speedup; any engine if
+/// min_speedup is 0.
+void AttemptRun::MaybeMove(Duration remaining, double min_speedup) {
   if (!context_.configuration.LeaseValid()) return;
   RoutingRequest request = Request();
   request.excluded.insert(placement_->choice.engine);
   const ResourceKey pool{ResourceKind::kPool, Spec()->pool};
   const std::optional<Placement> other = context_.placement.Place(pool, request);
   if (!other) return;
-  if (gain > 0 && ToSeconds(other->choice.estimate) * gain > ToSeconds(remaining)) {
+  if (min_speedup > 0 && ToSeconds(other->choice.estimate) * min_speedup > ToSeconds(remaining)) {
     PlacementOutcome unused;
     unused.end = PlacementEnd::kCancelled;
     return context_.placement.End(other->id, unused);
   }
-  if (gain > 0) {
+  if (min_speedup > 0) {
     ++moves_;
     ++context_.counts.stragglers_moved;
   }
@@ -268,15 +270,15 @@
 
 // --- scoring and appending ---------------------------------------------------------------------
 
-void AttemptRun::BeginScoring() {
+void AttemptRun::StartScoring() {
   generation_.reset();
   const StreamSpec* stream = Spec();
   if (stream == nullptr) return End(AttemptEnd::kSettled);
-  if (stream->scorer.empty()) return BeginAppending(0);
+  if (stream->scorer.empty()) return StartAppending(0);
   scorer_ = std::make_unique<SampleScorer>(context_.environment, context_.http);
   scorer_->Score(stream->scorer, JoinTokens(collected_.tokens()),
                  [this](const absl::StatusOr<double>& score) {
-                   if (score.ok()) return BeginAppending(*score);
+                   if (score.ok()) return StartAppending(*score);
                    LogEvent(EventId::kScoringFailed, "stream={} sample={} reason=\"{}\"", stream_,
                             attempt_.prompt.sample, std::string(score.status().message()));
                    ++context_.counts.scorings_failed;
@@ -285,7 +287,7 @@
                  });
 }
 
-void AttemptRun::BeginAppending(double score) {
+void AttemptRun::StartAppending(double score) {
   phase_ = Phase::kAppending;
   score_ = score;
   Append();
@@ -312,21 +314,21 @@
 }
 
 void AttemptRun::Append() {
-  ++appends_;
+  ++append_attempts_;
   context_.control.Submit(
       StreamGroup(stream_), CommandMode::kPropose,
       EncodeStreamCommand(AppendSample{MakeSample(score_)}), kAppendTimeout,
-      alive_.Guard([this](const absl::StatusOr<std::string>& answer) { TakeResult(answer); }));
+      alive_.Guard([this](const absl::StatusOr<std::string>& answer) { OnAppendReply(answer); }));
 }
 
-void AttemptRun::TakeResult(const absl::StatusOr<std::string>& answer) {
+void AttemptRun::OnAppendReply(const absl::StatusOr<std::string>& answer) {
   if (phase_ != Phase::kAppending) return;
   absl::StatusOr<StreamResult> result =
       answer.ok() ? DecodeStreamResult(*answer) : absl::StatusOr<StreamResult>(answer.status());
   if (!result.ok()) {
     // Unknown whether it was appended: the sample's id makes a repetition harmless.
-    if (appends_ >= kMaxAppends) return End(AttemptEnd::kReturned);
-    step_timer_.Arm(kPlacingRetry, [this] { Append(); });
+    if (append_attempts_ >= kMaxAppendAttempts) return End(AttemptEnd::kReturned);
+    step_timer_.Arm(kPlacementRetryDelay, [this] { Append(); });
     return;
   }
   switch (result->code) {
@@ -337,7 +339,7 @@
     case StreamResultCode::kNotFound:
       return End(AttemptEnd::kSettled);
     case StreamResultCode::kVoid:
-      if (TellPublished(*result)) return;
+      if (SubmitPublishedVersion(*result)) return;
       break;
     default:
       break;
@@ -345,14 +347,14 @@
   LogEvent(EventId::kSampleRefused, "stream={} sample={} code={} reason=\"{}\"", stream_,
            attempt_.prompt.sample, static_cast<int>(result->code), result->message);
   ++context_.counts.samples_refused;
-  End(AttemptEnd::kAnew);
+  End(AttemptEnd::kRestart);
 }
 
 /// The stream may lag behind the configuration: tells it of the version and appends again. False
 /// if there is nothing to tell.
-bool AttemptRun::TellPublished(const StreamResult& result) {
+bool AttemptRun::SubmitPublishedVersion(const StreamResult& result) {
   const ModelStatus* model = Model();
-  if (model == nullptr || appends_ > 2) return false;
+  if (model == nullptr || append_attempts_ > 2) return false;
   for (const PublishedVersion& version : model->published) {
     if (version.version <= result.newest) continue;
     const bool used =
--- a/source/rollout/attempt_run.h
+++ b/source/rollout/attempt_run.h
@@ -33,7 +33,7 @@
 enum class AttemptEnd : uint8_t {
   kSettled = 1,   ///< appended here or elsewhere: nothing is left to do
   kReturned = 2,  ///< to be given back; the tokens so far are worth keeping
-  kAnew = 3,      ///< to be given back; another attempt starts from nothing
+  kRestart = 3,   ///< to be given back; another attempt starts from nothing
 };
 
 /// Lives on the node's serial executor. Dropping it cancels what is under way.
@@ -44,7 +44,7 @@
              std::function<void(AttemptEnd)> ended);
   ~AttemptRun() override;
 
-  void Start() { BeginPlacing(); }
+  void Start() { StartPlacement(); }
   /// Gives back what is still being generated; a finished sample goes on to be appended.
   void Stop();
 
@@ -64,26 +64,26 @@
   const ModelStatus* Model() const;
   RoutingRequest Request() const;
 
-  void BeginPlacing();
-  void TryPlacing();
+  void StartPlacement();
+  void AttemptPlacement();
   void Generate(const Placement& placement);
   void EndPlacement(PlacementEnd end, CallFailure failure, bool leaving);
-  void Void(const std::string& reason);
-  void Watch();
-  bool EngineLeaves() const;
+  void DiscardAndRestart(const std::string& reason);
+  void CheckProgress();
+  bool IsEngineLeaving() const;
   Duration RemainingTime() const;
-  void ConsiderMove(Duration remaining, double gain);
-  bool TooOld() const;
+  void MaybeMove(Duration remaining, double min_speedup);
+  bool IsTooStale() const;
 
-  void BeginScoring();
-  void BeginAppending(double score);
+  void StartScoring();
+  void StartAppending(double score);
   void Append();
-  void TakeResult(const absl::StatusOr<std::string>& answer);
-  bool TellPublished(const StreamResult& result);
+  void OnAppendReply(const absl::StatusOr<std::string>& answer);
+  bool SubmitPublishedVersion(const StreamResult& result);
   Sample MakeSample(double score) const;
   void End(AttemptEnd end);
   /// Runs `step` from a timer, out of any callback of what it may drop.
-  void Later(std::function<void()> step) { step_timer_.Arm(Duration(0), std::move(step)); }
+  void Defer(std::function<void()> step) { step_timer_.Arm(Duration(0), std::move(step)); }
 
   RolloutContext& context_;
   StreamName stream_;
@@ -94,17 +94,17 @@
   std::string kv_source_;
   std::set<EngineName> excluded_;
   std::optional<Placement> placement_;
-  uint32_t tries_ = 0;
+  uint32_t generation_count_ = 0;
   uint32_t moves_ = 0;
-  uint32_t voids_ = 0;
-  uint32_t appends_ = 0;
-  TimePoint placing_since_;
-  TimePoint stream_began_at_;
+  uint32_t discards_ = 0;
+  uint32_t append_attempts_ = 0;
+  TimePoint placement_started_at_;
+  TimePoint stream_started_at_;
   TimePoint progress_at_;
-  uint32_t tokens_at_begin_ = 0;
+  uint32_t tokens_at_stream_start_ = 0;
   double score_ = 0;
   ScopedTimer step_timer_;
-  ScopedTimer watch_timer_;
+  ScopedTimer progress_timer_;
   std::unique_ptr<SampleScorer> scorer_;
   std::unique_ptr<CallHandle> generation_;
   AliveFlag alive_;
--- a/source/rollout/rollout_worker.cc
+++ b/source/rollout/rollout_worker.cc
@@ -100,7 +100,7 @@
     if (end == AttemptEnd::kReturned) {
       ReturnAttempt(
           {sample, epoch, run.collected().tokens(), run.collected().spans(), run.kv_source()});
-    } else if (end == AttemptEnd::kAnew) {
+    } else if (end == AttemptEnd::kRestart) {
       ReturnAttempt({sample, epoch, {}, {}, ""});
     }
     // The run is telling us this from its own timer: it goes after it has returned.
--- a/source/rollout/stream_leader.h
+++ b/source/rollout/stream_leader.h
@@ -80,7 +80,7 @@
   // Work.
   void TakeReturned(const WorkRequest& request);
   void TakeRunning(const WorkRequest& request, Asker& asker);
-  bool TooOld(const LeasedAttempt& attempt) const;
+  bool IsTooStale(const LeasedAttempt& attempt) const;
   void MakeWaiting(const SampleKey& key, bool urgent);
   void ScheduleFlush();
   void Flush();
--- a/source/rollout/stream_leader_work.cc
+++ b/source/rollout/stream_leader_work.cc
@@ -190,7 +190,7 @@
   attempts_.End(key, attempt.epoch);
 }
 
-bool StreamLeaderNode::TooOld(const LeasedAttempt& attempt) const {
+bool StreamLeaderNode::IsTooStale(const LeasedAttempt& attempt) const {
   const StreamData& data = state_.data();
   if (attempt.oldest_version.value() == 0 || data.newest <= attempt.oldest_version) return false;
   return data.newest.value() - attempt.oldest_version.value() > data.staleness_bound;
@@ -201,7 +201,7 @@
   const auto running = attempts_.attempts();
   for (const auto& [key, leased] : running) {
     for (const LeasedAttempt& attempt : leased) {
-      if (!TooOld(attempt)) continue;
+      if (!IsTooStale(attempt)) continue;
       StopAttempt(key, attempt);
       attempts_.DropResumePoint(key);
       if (!attempts_.Running(key)) MakeWaiting(key, true);
