--- a/source/rollout/attempt_table.cc
+++ b/source/rollout/attempt_table.cc
@@ -16,14 +16,14 @@
   attempt.epoch = epoch;
   attempt.gateway = gateway;
   attempt.granted_at = now;
-  attempt.heard_at = now;
+  attempt.last_seen_at = now;
   attempt.progress_at = now;
   ++in_flight_;
   return attempts_[key].emplace_back(attempt);
 }
 
-bool AttemptTable::Hear(TimePoint now, const SampleKey& key, const NodeId& gateway,
-                        const WorkRequest::Running& running) {
+bool AttemptTable::OnAttemptReported(TimePoint now, const SampleKey& key, const NodeId& gateway,
+                                     const WorkRequest::Running& running) {
   std::vector<LeasedAttempt>* known = nullptr;
   if (const auto found = attempts_.find(key); found != attempts_.end()) known = &found->second;
   LeasedAttempt* attempt = nullptr;
@@ -37,7 +37,7 @@
     // Granted by an earlier leader, or taken for lost: it goes on.
     attempt = &Grant(now, key, running.epoch, gateway);
   }
-  attempt->heard_at = now;
+  attempt->last_seen_at = now;
   if (running.tokens_done != attempt->tokens_done) attempt->progress_at = now;
   attempt->tokens_done = running.tokens_done;
   attempt->oldest_version = running.oldest_version;
@@ -68,20 +68,21 @@
   in_flight_ = 0;
 }
 
-bool AttemptTable::Lost(TimePoint now, const LeasedAttempt& attempt,
-                        const std::map<NodeId, GatewayWord>& gateways) const {
-  if (now - attempt.heard_at >= timing_.lease) return true;
-  const auto word = gateways.find(attempt.gateway);
-  if (word == gateways.end()) return false;
-  return word->second.gone || word->second.heard_at - attempt.heard_at >= timing_.unlisted_grace;
+bool AttemptTable::IsLost(TimePoint now, const LeasedAttempt& attempt,
+                          const std::map<NodeId, GatewayLiveness>& gateways) const {
+  if (now - attempt.last_seen_at >= timing_.lease) return true;
+  const auto gateway = gateways.find(attempt.gateway);
+  if (gateway == gateways.end()) return false;
+  return gateway->second.gone ||
+         gateway->second.last_seen_at - attempt.last_seen_at >= timing_.unlisted_grace;
 }
 
 std::vector<SampleKey> AttemptTable::DropLost(TimePoint now,
-                                              const std::map<NodeId, GatewayWord>& gateways) {
+                                              const std::map<NodeId, GatewayLiveness>& gateways) {
   std::vector<SampleKey> orphaned;
   for (auto at = attempts_.begin(); at != attempts_.end();) {
     const size_t dropped = std::erase_if(
-        at->second, [&](const LeasedAttempt& attempt) { return Lost(now, attempt, gateways); });
+        at->second, [&](const LeasedAttempt& attempt) { return IsLost(now, attempt, gateways); });
     in_flight_ -= static_cast<uint32_t>(dropped);
     if (at->second.empty()) {
       orphaned.push_back(at->first);
@@ -93,9 +94,9 @@
   return orphaned;
 }
 
-void AttemptTable::KeepResumePoint(const SampleKey& key, ResumePoint point) {
-  ResumePoint& kept = resume_points_[key];
-  if (point.tokens.size() > kept.tokens.size()) kept = std::move(point);
+void AttemptTable::SaveResumePoint(const SampleKey& key, ResumePoint point) {
+  ResumePoint& saved = resume_points_[key];
+  if (point.tokens.size() > saved.tokens.size()) saved = std::move(point);
 }
 
 const ResumePoint* AttemptTable::FindResumePoint(const SampleKey& key) const {
--- a/source/rollout/attempt_table.h
+++ b/source/rollout/attempt_table.h
@@ -19,7 +19,7 @@
   NodeId gateway;
   TimePoint granted_at;
   /// When the gateway listed it last, or it was granted.
-  TimePoint heard_at;
+  TimePoint last_seen_at;
   uint32_t tokens_done = 0;
   TimePoint progress_at;
   WeightVersion oldest_version;
@@ -49,8 +49,8 @@
   LeasedAttempt& Grant(TimePoint now, const SampleKey& key, AttemptEpoch epoch,
                        const NodeId& gateway);
   /// Takes in that `gateway` runs an attempt. False if it is to be stopped.
-  bool Hear(TimePoint now, const SampleKey& key, const NodeId& gateway,
-            const WorkRequest::Running& running);
+  bool OnAttemptReported(TimePoint now, const SampleKey& key, const NodeId& gateway,
+                         const WorkRequest::Running& running);
   /// Ends the attempt of `epoch`; false if it was not known.
   bool End(const SampleKey& key, AttemptEpoch epoch);
   /// The sample is settled: forgets its attempts and resume point.
@@ -58,25 +58,25 @@
   void Clear();
 
   /// What is known of a gateway.
-  struct GatewayWord {
-    TimePoint heard_at;
+  struct GatewayLiveness {
+    TimePoint last_seen_at;
     bool gone = false;
   };
   /// Drops lost attempts; the samples that no attempt is left of.
-  std::vector<SampleKey> DropLost(TimePoint now, const std::map<NodeId, GatewayWord>& gateways);
+  std::vector<SampleKey> DropLost(TimePoint now, const std::map<NodeId, GatewayLiveness>& gateways);
 
   const std::map<SampleKey, std::vector<LeasedAttempt>>& attempts() const { return attempts_; }
   bool Running(const SampleKey& key) const { return attempts_.contains(key); }
   uint32_t in_flight() const { return in_flight_; }
 
   /// Keeps the further one of the resume points given.
-  void KeepResumePoint(const SampleKey& key, ResumePoint point);
+  void SaveResumePoint(const SampleKey& key, ResumePoint point);
   const ResumePoint* FindResumePoint(const SampleKey& key) const;
   void DropResumePoint(const SampleKey& key) { resume_points_.erase(key); }
 
  private:
-  bool Lost(TimePoint now, const LeasedAttempt& attempt,
-            const std::map<NodeId, GatewayWord>& gateways) const;
+  bool IsLost(TimePoint now, const LeasedAttempt& attempt,
+              const std::map<NodeId, GatewayLiveness>& gateways) const;
 
   AttemptTiming timing_;
   std::map<SampleKey, std::vector<LeasedAttempt>> attempts_;
--- a/source/rollout/stream_leader.cc
+++ b/source/rollout/stream_leader.cc
@@ -109,8 +109,8 @@
   if (!Leads() || !settings_) return;
   Heal();
   const TimePoint now = environment_.Now();
-  std::map<NodeId, AttemptTable::GatewayWord> gateways;
-  for (const auto& [node, asker] : askers_) gateways[node].heard_at = asker.asked_at;
+  std::map<NodeId, AttemptTable::GatewayLiveness> gateways;
+  for (const auto& [node, asker] : askers_) gateways[node].last_seen_at = asker.asked_at;
   for (const auto& [node, gone] : settings_->gone_gateways) gateways[node].gone = gone;
   for (const SampleKey& key : attempts_.DropLost(now, gateways)) {
     if (!state_.IsOpen(key)) continue;
--- a/source/rollout/stream_leader_work.cc
+++ b/source/rollout/stream_leader_work.cc
@@ -61,7 +61,8 @@
     const std::optional<SampleKey> key = state_.FindSample(running.sample);
     // A replica that has just become leader may not have applied the sample's step yet.
     if (!key && now - leads_since_ < options_.settle) continue;
-    if (!key || !state_.IsOpen(*key) || !attempts_.Hear(now, *key, request.gateway, running)) {
+    if (!key || !state_.IsOpen(*key) ||
+        !attempts_.OnAttemptReported(now, *key, request.gateway, running)) {
       asker.cancelled.push_back({running.sample, running.epoch});
       continue;
     }
@@ -77,7 +78,7 @@
     const bool known = attempts_.End(*key, returned.epoch);
     if (!known && attempts_.Running(*key)) continue;
     if (!returned.tokens.empty()) {
-      attempts_.KeepResumePoint(*key, {returned.tokens, returned.spans, returned.kv_source});
+      attempts_.SaveResumePoint(*key, {returned.tokens, returned.spans, returned.kv_source});
     }
     if (!attempts_.Running(*key)) MakeWaiting(*key, true);
   }
@@ -174,7 +175,7 @@
     if (key.step_sequence != oldest) break;
     if (++open > tail) return std::nullopt;
     if (running.size() != 1 || running.front().gateway == gateway) continue;
-    const TimePoint progress = std::min(running.front().progress_at, running.front().heard_at);
+    const TimePoint progress = std::min(running.front().progress_at, running.front().last_seen_at);
     if (progress > stalled_since) continue;
     stalled_since = progress;
     straggler = key;
--- a/test/rollout/work_schedule_test.cc
+++ b/test/rollout/work_schedule_test.cc
@@ -150,11 +150,11 @@
   table.Grant(begin, {1, 0}, AttemptEpoch(1), silent);
   table.Grant(begin, {1, 1}, AttemptEpoch(2), talking);
   table.Grant(begin, {1, 2}, AttemptEpoch(3), dead);
-  std::map<NodeId, AttemptTable::GatewayWord> words;
+  std::map<NodeId, AttemptTable::GatewayLiveness> words;
   words[silent] = {begin, false};
   words[talking] = {begin + std::chrono::milliseconds(1400), false};
   REQUIRE(table.DropLost(begin + std::chrono::seconds(2), words).empty());
-  words[talking].heard_at = begin + std::chrono::milliseconds(1600);
+  words[talking].last_seen_at = begin + std::chrono::milliseconds(1600);
   REQUIRE(table.DropLost(begin + std::chrono::seconds(2), words) == std::vector<SampleKey>{{1, 1}});
   words[dead] = {begin, true};
   REQUIRE(table.DropLost(begin + std::chrono::seconds(2), words) == std::vector<SampleKey>{{1, 2}});
@@ -168,9 +168,9 @@
   const WorkRequest::Running first{SampleId("a/0"), AttemptEpoch(1), 4, WeightVersion(1)};
   const WorkRequest::Running second{SampleId("a/0"), AttemptEpoch(2), 4, WeightVersion(1)};
   const WorkRequest::Running third{SampleId("a/0"), AttemptEpoch(3), 4, WeightVersion(1)};
-  REQUIRE(table.Hear(now, {1, 0}, NodeId("g1"), first));
-  REQUIRE(table.Hear(now, {1, 0}, NodeId("g2"), second));
-  REQUIRE_FALSE(table.Hear(now, {1, 0}, NodeId("g3"), third));
+  REQUIRE(table.OnAttemptReported(now, {1, 0}, NodeId("g1"), first));
+  REQUIRE(table.OnAttemptReported(now, {1, 0}, NodeId("g2"), second));
+  REQUIRE_FALSE(table.OnAttemptReported(now, {1, 0}, NodeId("g3"), third));
   REQUIRE(table.in_flight() == 2);
   REQUIRE(table.End({1, 0}, AttemptEpoch(1)));
   REQUIRE_FALSE(table.End({1, 0}, AttemptEpoch(1)));
