--- a/source/rollout/sample_scorer.cc
+++ b/source/rollout/sample_scorer.cc
@@ -9,12 +9,12 @@
 namespace millstair {
 namespace {
 
-constexpr int kMaxTries = 8;
+constexpr int kMaxAttempts = 8;
 constexpr int kOk = 200;
-constexpr size_t kMaxAnswerBytes = 4096;
-constexpr Duration kTryTimeout = std::chrono::seconds(3);
-constexpr Duration kFirstBackoff = std::chrono::milliseconds(100);
-constexpr Duration kLargestBackoff = std::chrono::seconds(3);
+constexpr size_t kMaxResponseBytes = 4096;
+constexpr Duration kAttemptTimeout = std::chrono::seconds(3);
+constexpr Duration kInitialBackoff = std::chrono::milliseconds(100);
+constexpr Duration kMaxBackoff = std::chrono::seconds(3);
 
 std::optional<double> ParseScore(const std::string& body) {
   boost::json::error_code error;
@@ -36,22 +36,22 @@
   address_ = address;
   request_body_ = boost::json::serialize(boost::json::object{{"text", text}});
   done_ = std::move(done);
-  Try();
+  StartAttempt();
 }
 
-void SampleScorer::Try() {
-  ++tries_;
+void SampleScorer::StartAttempt() {
+  ++attempts_;
   status_ = 0;
   body_.clear();
   HttpRequest request{"POST", "/score", {{"Content-Type", "application/json"}}, request_body_};
   request.headers.push_back({"Content-Length", std::to_string(request_body_.size())});
-  timer_.Arm(kTryTimeout, [this] { Retry("no answer in time"); });
+  timer_.Arm(kAttemptTimeout, [this] { Retry("no answer in time"); });
   call_ = http_.Start(address_, std::move(request), *this);
 }
 
 void SampleScorer::OnFinished() {
   const std::optional<double> score =
-      status_ == kOk && body_.size() <= kMaxAnswerBytes ? ParseScore(body_) : std::nullopt;
+      status_ == kOk && body_.size() <= kMaxResponseBytes ? ParseScore(body_) : std::nullopt;
   if (!score) return Retry("no score in the answer");
   End(*score);
 }
@@ -59,10 +59,10 @@
 void SampleScorer::OnFailed(CallFailure, const std::string& reason) { Retry(reason); }
 
 void SampleScorer::Retry(const std::string& reason) {
-  if (tries_ >= kMaxTries) return End(absl::UnavailableError("scorer: " + reason));
-  const Duration backoff = std::min(kFirstBackoff * (1 << tries_), kLargestBackoff);
+  if (attempts_ >= kMaxAttempts) return End(absl::UnavailableError("scorer: " + reason));
+  const Duration backoff = std::min(kInitialBackoff * (1 << attempts_), kMaxBackoff);
   const Duration delay = DrawDuration(environment_.Random(), backoff / 2, backoff);
-  timer_.Arm(delay, [this] { Try(); });
+  timer_.Arm(delay, [this] { StartAttempt(); });
 }
 
 /// Ends from a timer, so that the callback may drop the call that is just telling us.
--- a/source/rollout/sample_scorer.h
+++ b/source/rollout/sample_scorer.h
@@ -27,7 +27,7 @@
   void OnBody(std::string bytes) override { body_ += bytes; }
   void OnFinished() override;
   void OnFailed(CallFailure failure, const std::string& reason) override;
-  void Try();
+  void StartAttempt();
   void Retry(const std::string& reason);
   void End(absl::StatusOr<double> result);
 
@@ -36,7 +36,7 @@
   std::string address_;
   std::string request_body_;
   Callback done_;
-  int tries_ = 0;
+  int attempts_ = 0;
   int status_ = 0;
   std::string body_;
   ScopedTimer timer_;
