--- a/source/rollout/stream_leader.cc
+++ b/source/rollout/stream_leader.cc
@@ -9,11 +9,11 @@
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(250);
 /// A gateway that was silent for this long is forgotten.
-constexpr Duration kAskerForgotten = std::chrono::seconds(30);
+constexpr Duration kRequesterExpiry = std::chrono::seconds(30);
 constexpr size_t kMaxHeldQueries = 256;
 constexpr std::chrono::milliseconds kMaxQueryWait{1000};
 /// A trainer that asked this lately counts as waiting.
-constexpr Duration kTrainerPresent = std::chrono::milliseconds(1500);
+constexpr Duration kTrainerWaitWindow = std::chrono::milliseconds(1500);
 
 uint32_t StreamsOfPool(const Configuration& configuration, const std::string& pool) {
   uint32_t count = 0;
@@ -73,31 +73,31 @@
     }
     settings_ = std::move(settings);
   }
-  TakeInLeadership();
+  UpdateLeadership();
   if (!Leads() || !settings_) return;
   if (settings_->active != active_) {
     active_ = settings_->active;
     active_since_ = environment_.Now();
     restarted_for_active_ = false;
   }
-  Heal();
+  SyncWithConfiguration();
   ScheduleFlush();
 }
 
-void StreamLeaderNode::TakeInLeadership() {
+void StreamLeaderNode::UpdateLeadership() {
   const bool leads = group_.IsLeader();
   if (leads && (!leading_ || led_term_ != group_.CurrentTerm())) {
-    leads_since_ = environment_.Now();
+    leader_since_ = environment_.Now();
     led_term_ = group_.CurrentTerm();
     last_epoch_ = 0;
     attempts_.Clear();
-    askers_.clear();
+    requesters_.clear();
     RebuildSchedule();
     LogEvent(EventId::kStreamLed, "stream={} term={}", stream_, led_term_);
   }
   if (!leads && leading_) {
     attempts_.Clear();
-    askers_.clear();
+    requesters_.clear();
     AnswerQueries(true);
   }
   leading_ = leads;
@@ -105,21 +105,23 @@
 
 void StreamLeaderNode::Tick() {
   tick_timer_.Arm(kTickInterval, [this] { Tick(); });
-  TakeInLeadership();
+  UpdateLeadership();
   if (!Leads() || !settings_) return;
-  Heal();
+  SyncWithConfiguration();
   const TimePoint now = environment_.Now();
   std::map<NodeId, AttemptTable::GatewayLiveness> gateways;
-  for (const auto& [node, asker] : askers_) gateways[node].last_seen_at = asker.asked_at;
+  for (const auto& [node, requester] : requesters_)
+    gateways[node].last_seen_at = requester.requested_at;
   for (const auto& [node, gone] : settings_->gone_gateways) gateways[node].gone = gone;
   for (const SampleKey& key : attempts_.DropLost(now, gateways)) {
     if (!state_.IsOpen(key)) continue;
     LogEvent(EventId::kAttemptLost, "stream={} sample={}", stream_, state_.PromptOf(key).sample);
-    MakeWaiting(key, true);
+    Enqueue(key, true);
   }
-  std::erase_if(askers_,
-                [&](const auto& asker) { return now - asker.second.asked_at > kAskerForgotten; });
-  StopOldAttempts();
+  std::erase_if(requesters_, [&](const auto& requester) {
+    return now - requester.second.requested_at > kRequesterExpiry;
+  });
+  StopStaleAttempts();
   RestartEarlyAttempts();
   ScheduleFlush();
 }
@@ -127,32 +129,32 @@
 void StreamLeaderNode::RebuildSchedule() {
   schedule_.Clear();
   for (const SampleKey& key : state_.data().open) {
-    if (!attempts_.Running(key)) MakeWaiting(key, false);
+    if (!attempts_.Running(key)) Enqueue(key, false);
   }
 }
 
-void StreamLeaderNode::Heal() {
-  if (healing_) return;
-  const std::optional<StreamCommand> command = NextHealing();
+void StreamLeaderNode::SyncWithConfiguration() {
+  if (syncing_) return;
+  const std::optional<StreamCommand> command = NextSyncCommand();
   if (!command) return;
-  healing_ = true;
+  syncing_ = true;
   group_.Propose(EncodeStreamCommand(*command),
                  alive_.Guard([this](const absl::StatusOr<std::string>& result) {
-                   healing_ = false;
+                   syncing_ = false;
                    // The next one follows at once; a refused one is tried again at the next tick.
-                   if (result.ok() && Leads()) Heal();
+                   if (result.ok() && Leads()) SyncWithConfiguration();
                  }));
 }
 
-std::optional<StreamCommand> StreamLeaderNode::NextHealing() const {
+std::optional<StreamCommand> StreamLeaderNode::NextSyncCommand() const {
   if (!settings_) return std::nullopt;
   const StreamData& data = state_.data();
   if (data.staleness_bound != settings_->stream.staleness_bound) {
     return StreamCommand(SetStalenessBound{settings_->stream.staleness_bound});
   }
-  const uint64_t kept = std::max(data.staleness_bound, kKeptVersions);
+  const uint64_t retained = std::max(data.staleness_bound, kKeptVersions);
   for (const PublishedVersion& version : settings_->published) {
-    if (version.version.value() + kept < data.newest.value()) continue;
+    if (version.version.value() + retained < data.newest.value()) continue;
     if (data.published.contains(version.version)) continue;
     return StreamCommand(RecordPublishedVersion{version.version, version.digest});
   }
@@ -162,7 +164,7 @@
 // --- changes of the state ----------------------------------------------------------------------
 
 void StreamLeaderNode::OnSampleOpened(const SampleKey& key) {
-  MakeWaiting(key, false);
+  Enqueue(key, false);
   if (Leads()) ScheduleFlush();
 }
 
@@ -173,8 +175,9 @@
     // Whoever else works at it is told to stop.
     const SampleId sample = state_.PromptOf(key).sample;
     for (const LeasedAttempt& attempt : found->second) {
-      const auto asker = askers_.find(attempt.gateway);
-      if (asker != askers_.end()) asker->second.cancelled.push_back({sample, attempt.epoch});
+      const auto requester = requesters_.find(attempt.gateway);
+      if (requester != requesters_.end())
+        requester->second.cancelled.push_back({sample, attempt.epoch});
     }
   }
   attempts_.Forget(key);
@@ -200,12 +203,12 @@
 
 // --- queries -----------------------------------------------------------------------------------
 
-bool StreamLeaderNode::Readable(StreamOffset after) const {
+bool StreamLeaderNode::HasReadable(StreamOffset after) const {
   return state_.data().last_offset > after || state_.data().acknowledged < after;
 }
 
-bool StreamLeaderNode::TrainerWaits() const {
-  return waited_at_ && environment_.Now() - *waited_at_ <= kTrainerPresent;
+bool StreamLeaderNode::IsTrainerWaiting() const {
+  return trainer_waited_at_ && environment_.Now() - *trainer_waited_at_ <= kTrainerWaitWindow;
 }
 
 std::string StreamLeaderNode::Status() const {
@@ -218,9 +221,9 @@
                              std::function<void(absl::StatusOr<std::string>)> done) {
   const absl::StatusOr<CursorQuery> decoded = DecodeCursorQuery(query);
   if (!decoded.ok()) return done(decoded.status());
-  const bool hold = decoded->wait.count() > 0 && !Readable(decoded->after);
+  const bool hold = decoded->wait.count() > 0 && !HasReadable(decoded->after);
   if (hold) {
-    waited_at_ = environment_.Now();
+    trainer_waited_at_ = environment_.Now();
     ScheduleFlush();
   }
   if (!hold || queries_.size() >= kMaxHeldQueries) return done(Status());
@@ -234,7 +237,7 @@
   std::vector<HeldQuery> due;
   std::optional<TimePoint> next;
   for (size_t i = 0; i < queries_.size();) {
-    if (all || queries_[i].until <= now || Readable(queries_[i].after)) {
+    if (all || queries_[i].until <= now || HasReadable(queries_[i].after)) {
       due.push_back(std::move(queries_[i]));
       queries_.erase(queries_.begin() + static_cast<std::ptrdiff_t>(i));
     } else {
@@ -243,7 +246,7 @@
     }
   }
   if (next) query_timer_.Arm(*next - now, [this] { AnswerQueries(false); });
-  if (!queries_.empty()) waited_at_ = now;
+  if (!queries_.empty()) trainer_waited_at_ = now;
   const std::string status = Status();
   for (HeldQuery& query : due) query.done(status);
 }
--- a/source/rollout/stream_leader.h
+++ b/source/rollout/stream_leader.h
@@ -45,12 +45,12 @@
     std::map<NodeId, bool> gone_gateways;
   };
   /// A gateway that asked for work.
-  struct Asker {
+  struct Requester {
     uint32_t free_slots = 0;
     uint64_t sequence = 0;
-    TimePoint asked_at;
+    TimePoint requested_at;
     /// It has not been answered yet.
-    bool answer_due = false;
+    bool reply_due = false;
     std::vector<WorkReply::Cancelled> cancelled;
     std::vector<Attempt> granted;
   };
@@ -67,36 +67,36 @@
   void OnReplaced() override;
 
   // Leadership.
-  void TakeInLeadership();
+  void UpdateLeadership();
   bool Leads() const { return leading_ && group_.IsLeader(); }
   void Tick();
   void RebuildSchedule();
 
   // Healing from the configuration.
-  void Heal();
-  std::optional<StreamCommand> NextHealing() const;
-  bool Healed() const { return settings_.has_value() && !NextHealing().has_value(); }
+  void SyncWithConfiguration();
+  std::optional<StreamCommand> NextSyncCommand() const;
+  bool InSync() const { return settings_.has_value() && !NextSyncCommand().has_value(); }
 
   // Work.
-  void TakeReturned(const WorkRequest& request);
-  void TakeRunning(const WorkRequest& request, Asker& asker);
+  void HandleReturned(const WorkRequest& request);
+  void HandleRunning(const WorkRequest& request, Requester& requester);
   bool IsTooStale(const LeasedAttempt& attempt) const;
-  void MakeWaiting(const SampleKey& key, bool urgent);
+  void Enqueue(const SampleKey& key, bool urgent);
   void ScheduleFlush();
   void Flush();
   void GrantRound();
-  bool GrantOne(const NodeId& gateway, Asker& asker);
-  void Grant(const NodeId& gateway, Asker& asker, const SampleKey& key);
-  std::optional<SampleKey> Hedge(const NodeId& gateway) const;
+  bool GrantOne(const NodeId& gateway, Requester& requester);
+  void Grant(const NodeId& gateway, Requester& requester, const SampleKey& key);
+  std::optional<SampleKey> FindHedgeCandidate(const NodeId& gateway) const;
   void StopAttempt(const SampleKey& key, const LeasedAttempt& attempt);
-  void StopOldAttempts();
+  void StopStaleAttempts();
   void RestartEarlyAttempts();
-  ScheduleSituation Situation() const;
+  ScheduleContext MakeScheduleContext() const;
   uint32_t ExpectedTokens(const SampleKey& key) const;
 
   // Queries.
-  bool Readable(StreamOffset after) const;
-  bool TrainerWaits() const;
+  bool HasReadable(StreamOffset after) const;
+  bool IsTrainerWaiting() const;
   std::string Status() const;
   void AnswerQueries(bool all);
 
@@ -110,19 +110,19 @@
   std::optional<Settings> settings_;
   bool leading_ = false;
   Term led_term_;
-  TimePoint leads_since_;
+  TimePoint leader_since_;
   uint32_t last_epoch_ = 0;
-  bool healing_ = false;
+  bool syncing_ = false;
   /// Version that engines were told to serve, since when, and whether attempts were restarted.
   WeightVersion active_;
   TimePoint active_since_;
   bool restarted_for_active_ = true;
-  std::optional<TimePoint> waited_at_;
+  std::optional<TimePoint> trainer_waited_at_;
 
   LengthEstimator lengths_;
   WorkSchedule schedule_;
   AttemptTable attempts_;
-  std::map<NodeId, Asker> askers_;
+  std::map<NodeId, Requester> requesters_;
   std::vector<HeldQuery> queries_;
 
   ScopedTimer tick_timer_;
--- a/source/rollout/stream_leader_work.cc
+++ b/source/rollout/stream_leader_work.cc
@@ -10,27 +10,27 @@
 /// Requests that arrive close together are answered together, so that work is spread over them.
 constexpr Duration kFlushDelay = std::chrono::milliseconds(2);
 /// Room told this long ago is not relied on any more.
-constexpr Duration kRoomValid = std::chrono::milliseconds(2500);
+constexpr Duration kMaxFreeSlotsAge = std::chrono::milliseconds(2500);
 /// Samples given to one gateway before the next one gets its turn.
-constexpr uint32_t kGrantRun = 2;
+constexpr uint32_t kGrantsPerTurn = 2;
 /// Attempts and texts in one reply.
 constexpr size_t kMaxAttemptsPerReply = 256;
 /// From here on a step counts as nearly done: at most this many samples, or this share of it.
 constexpr uint32_t kTailSamples = 4;
 constexpr double kTailShare = 0.05;
 /// Without a new token for this long, a straggler is hedged.
-constexpr Duration kStalled = std::chrono::seconds(3);
+constexpr Duration kStallTimeout = std::chrono::seconds(3);
 /// Idle time weights from here on hedge.
-constexpr double kHedgeWeight = 0.5;
+constexpr double kMinIdleWeightToHedge = 0.5;
 /// Engines take this long to swap once a version is to be served; attempts restarted earlier might
 /// begin on the old one again.
-constexpr Duration kSwapTime = std::chrono::seconds(2);
+constexpr Duration kSwapDuration = std::chrono::seconds(2);
 /// Share of its expected tokens that an attempt may lose to fresher weights at weight 0.
 constexpr double kRestartShare = 0.5;
 
 }  // namespace
 
-void StreamLeaderNode::MakeWaiting(const SampleKey& key, bool urgent) {
+void StreamLeaderNode::Enqueue(const SampleKey& key, bool urgent) {
   const StepRecord& step = state_.data().steps.at(key.step_sequence);
   schedule_.Add(environment_.Now(), key, ExpectedTokens(key),
                 static_cast<uint32_t>(step.samples.size()), urgent);
@@ -42,35 +42,35 @@
 }
 
 void StreamLeaderNode::ReceiveWork(const NodeId&, const PeerMessage& message) {
-  TakeInLeadership();
+  UpdateLeadership();
   const absl::StatusOr<WorkRequest> request = DecodeWorkRequest(message.payload);
   if (!Leads() || !request.ok() || request->stream != stream_) return;
-  Asker& asker = askers_[request->gateway];
-  asker.asked_at = environment_.Now();
-  asker.free_slots = request->free_slots;
-  asker.sequence = request->sequence;
-  asker.answer_due = true;
-  TakeRunning(*request, asker);
-  TakeReturned(*request);
+  Requester& requester = requesters_[request->gateway];
+  requester.requested_at = environment_.Now();
+  requester.free_slots = request->free_slots;
+  requester.sequence = request->sequence;
+  requester.reply_due = true;
+  HandleRunning(*request, requester);
+  HandleReturned(*request);
   ScheduleFlush();
 }
 
-void StreamLeaderNode::TakeRunning(const WorkRequest& request, Asker& asker) {
+void StreamLeaderNode::HandleRunning(const WorkRequest& request, Requester& requester) {
   const TimePoint now = environment_.Now();
   for (const WorkRequest::Running& running : request.running) {
     const std::optional<SampleKey> key = state_.FindSample(running.sample);
     // A replica that has just become leader may not have applied the sample's step yet.
-    if (!key && now - leads_since_ < options_.settle) continue;
+    if (!key && now - leader_since_ < options_.settle) continue;
     if (!key || !state_.IsOpen(*key) ||
         !attempts_.OnAttemptReported(now, *key, request.gateway, running)) {
-      asker.cancelled.push_back({running.sample, running.epoch});
+      requester.cancelled.push_back({running.sample, running.epoch});
       continue;
     }
     schedule_.Remove(*key);
   }
 }
 
-void StreamLeaderNode::TakeReturned(const WorkRequest& request) {
+void StreamLeaderNode::HandleReturned(const WorkRequest& request) {
   for (const WorkRequest::Returned& returned : request.returned) {
     const std::optional<SampleKey> key = state_.FindSample(returned.sample);
     if (!key || !state_.IsOpen(*key)) continue;
@@ -80,20 +80,20 @@
     if (!returned.tokens.empty()) {
       attempts_.SaveResumePoint(*key, {returned.tokens, returned.spans, returned.kv_source});
     }
-    if (!attempts_.Running(*key)) MakeWaiting(*key, true);
+    if (!attempts_.Running(*key)) Enqueue(*key, true);
   }
 }
 
-ScheduleSituation StreamLeaderNode::Situation() const {
-  ScheduleSituation situation;
-  situation.now = environment_.Now();
-  situation.idle_time_weight = settings_->stream.idle_time_weight;
-  situation.staleness_bound = state_.data().staleness_bound;
-  situation.newest = state_.data().newest;
-  situation.trainer_waits = TrainerWaits();
-  situation.swap_pending = active_ < situation.newest || situation.now - active_since_ < kSwapTime;
-  situation.tail_handling = options_.tail_handling;
-  return situation;
+ScheduleContext StreamLeaderNode::MakeScheduleContext() const {
+  ScheduleContext context;
+  context.now = environment_.Now();
+  context.idle_time_weight = settings_->stream.idle_time_weight;
+  context.staleness_bound = state_.data().staleness_bound;
+  context.newest = state_.data().newest;
+  context.trainer_waiting = IsTrainerWaiting();
+  context.swap_pending = active_ < context.newest || context.now - active_since_ < kSwapDuration;
+  context.tail_handling = options_.tail_handling;
+  return context;
 }
 
 void StreamLeaderNode::ScheduleFlush() {
@@ -103,14 +103,15 @@
 
 void StreamLeaderNode::Flush() {
   if (!Leads()) return;
-  const bool settled = environment_.Now() - leads_since_ >= options_.settle;
-  if (settled && Healed() && state_.data().payload_bytes < kMaxPayloadBytes) GrantRound();
-  for (auto& [gateway, asker] : askers_) {
-    if (!asker.answer_due && asker.granted.empty() && asker.cancelled.empty()) continue;
-    asker.answer_due = false;
-    WorkReply reply{stream_, std::move(asker.granted), std::move(asker.cancelled), asker.sequence};
-    asker.granted.clear();
-    asker.cancelled.clear();
+  const bool settled = environment_.Now() - leader_since_ >= options_.settle;
+  if (settled && InSync() && state_.data().payload_bytes < kMaxPayloadBytes) GrantRound();
+  for (auto& [gateway, requester] : requesters_) {
+    if (!requester.reply_due && requester.granted.empty() && requester.cancelled.empty()) continue;
+    requester.reply_due = false;
+    WorkReply reply{stream_, std::move(requester.granted), std::move(requester.cancelled),
+                    requester.sequence};
+    requester.granted.clear();
+    requester.cancelled.clear();
     transport_.Send(gateway, {MessageKind::kWorkReply, EncodeWorkReply(reply)});
   }
 }
@@ -120,25 +121,26 @@
   bool granted = true;
   while (granted) {
     granted = false;
-    for (auto& [gateway, asker] : askers_) {
-      for (uint32_t i = 0; i < kGrantRun; ++i) granted = GrantOne(gateway, asker) || granted;
+    for (auto& [gateway, requester] : requesters_) {
+      for (uint32_t i = 0; i < kGrantsPerTurn; ++i)
+        granted = GrantOne(gateway, requester) || granted;
     }
   }
 }
 
-bool StreamLeaderNode::GrantOne(const NodeId& gateway, Asker& asker) {
-  if (asker.free_slots == 0 || asker.granted.size() >= kMaxAttemptsPerReply) return false;
-  if (environment_.Now() - asker.asked_at > kRoomValid) return false;
+bool StreamLeaderNode::GrantOne(const NodeId& gateway, Requester& requester) {
+  if (requester.free_slots == 0 || requester.granted.size() >= kMaxAttemptsPerReply) return false;
+  if (environment_.Now() - requester.requested_at > kMaxFreeSlotsAge) return false;
   if (settings_->gone_gateways.contains(gateway)) return false;
   if (attempts_.in_flight() >= settings_->max_in_flight) return false;
-  std::optional<SampleKey> key = schedule_.Take(Situation(), state_.data().steps);
-  if (!key) key = Hedge(gateway);
+  std::optional<SampleKey> key = schedule_.Take(MakeScheduleContext(), state_.data().steps);
+  if (!key) key = FindHedgeCandidate(gateway);
   if (!key) return false;
-  Grant(gateway, asker, *key);
+  Grant(gateway, requester, *key);
   return true;
 }
 
-void StreamLeaderNode::Grant(const NodeId& gateway, Asker& asker, const SampleKey& key) {
+void StreamLeaderNode::Grant(const NodeId& gateway, Requester& requester, const SampleKey& key) {
   const AttemptEpoch epoch((led_term_.value() << 32) | ++last_epoch_);
   LeasedAttempt& leased = attempts_.Grant(environment_.Now(), key, epoch, gateway);
   leased.expected_tokens = ExpectedTokens(key);
@@ -153,13 +155,13 @@
     attempt.resume_spans = resume->spans;
     attempt.kv_source = resume->kv_source;
   }
-  asker.granted.push_back(std::move(attempt));
-  --asker.free_slots;
+  requester.granted.push_back(std::move(attempt));
+  --requester.free_slots;
 }
 
 /// A sample of the oldest step whose only attempt has stalled, once the step is nearly done.
-std::optional<SampleKey> StreamLeaderNode::Hedge(const NodeId& gateway) const {
-  if (!options_.tail_handling || settings_->stream.idle_time_weight < kHedgeWeight) {
+std::optional<SampleKey> StreamLeaderNode::FindHedgeCandidate(const NodeId& gateway) const {
+  if (!options_.tail_handling || settings_->stream.idle_time_weight < kMinIdleWeightToHedge) {
     return std::nullopt;
   }
   if (schedule_.waiting() > 0 || attempts_.attempts().empty()) return std::nullopt;
@@ -170,7 +172,7 @@
       std::max(kTailSamples, static_cast<uint32_t>(kTailShare * step->second.samples.size()));
   uint32_t open = 0;
   std::optional<SampleKey> straggler;
-  TimePoint stalled_since = environment_.Now() - kStalled;
+  TimePoint stalled_since = environment_.Now() - kStallTimeout;
   for (const auto& [key, running] : attempts_.attempts()) {
     if (key.step_sequence != oldest) break;
     if (++open > tail) return std::nullopt;
@@ -184,9 +186,9 @@
 }
 
 void StreamLeaderNode::StopAttempt(const SampleKey& key, const LeasedAttempt& attempt) {
-  const auto asker = askers_.find(attempt.gateway);
-  if (asker != askers_.end()) {
-    asker->second.cancelled.push_back({state_.PromptOf(key).sample, attempt.epoch});
+  const auto requester = requesters_.find(attempt.gateway);
+  if (requester != requesters_.end()) {
+    requester->second.cancelled.push_back({state_.PromptOf(key).sample, attempt.epoch});
   }
   attempts_.End(key, attempt.epoch);
 }
@@ -198,14 +200,14 @@
 }
 
 /// Ends attempts that could not be handed on any more.
-void StreamLeaderNode::StopOldAttempts() {
+void StreamLeaderNode::StopStaleAttempts() {
   const auto running = attempts_.attempts();
   for (const auto& [key, leased] : running) {
     for (const LeasedAttempt& attempt : leased) {
       if (!IsTooStale(attempt)) continue;
       StopAttempt(key, attempt);
       attempts_.DropResumePoint(key);
-      if (!attempts_.Running(key)) MakeWaiting(key, true);
+      if (!attempts_.Running(key)) Enqueue(key, true);
     }
   }
 }
@@ -213,7 +215,7 @@
 /// Once engines serve a new version, begins anew what had got little from the old one: what it
 /// costs is at most (1 - w) * kRestartShare of the sample's expected tokens.
 void StreamLeaderNode::RestartEarlyAttempts() {
-  if (restarted_for_active_ || environment_.Now() - active_since_ < kSwapTime) return;
+  if (restarted_for_active_ || environment_.Now() - active_since_ < kSwapDuration) return;
   restarted_for_active_ = true;
   if (!options_.tail_handling) return;
   const double share = (1.0 - settings_->stream.idle_time_weight) * kRestartShare;
@@ -225,7 +227,7 @@
     if (attempt.tokens_done > share * attempt.expected_tokens) continue;
     StopAttempt(key, attempt);
     attempts_.DropResumePoint(key);
-    MakeWaiting(key, true);
+    Enqueue(key, true);
   }
 }
 
--- a/source/rollout/stream_state.cc
+++ b/source/rollout/stream_state.cc
@@ -301,9 +301,9 @@
 }
 
 void StreamState::ForgetVersions() {
-  const uint64_t kept = std::max(data_.staleness_bound, kKeptVersions);
+  const uint64_t retained = std::max(data_.staleness_bound, kKeptVersions);
   while (!data_.published.empty() &&
-         data_.published.begin()->first.value() + kept < data_.newest.value()) {
+         data_.published.begin()->first.value() + retained < data_.newest.value()) {
     data_.published.erase(data_.published.begin());
   }
 }
--- a/source/rollout/work_schedule.cc
+++ b/source/rollout/work_schedule.cc
@@ -58,7 +58,7 @@
   queues_.clear();
 }
 
-std::optional<SampleKey> WorkSchedule::Take(const ScheduleSituation& situation,
+std::optional<SampleKey> WorkSchedule::Take(const ScheduleContext& context,
                                             const std::map<uint64_t, StepRecord>& steps) {
   // Steps that have finished need no queue any more.
   std::erase_if(queues_, [&](const auto& queue) {
@@ -68,7 +68,7 @@
   while (at != order_.end()) {
     const auto steps_before =
         static_cast<uint64_t>(std::distance(steps.begin(), steps.lower_bound(at->step_sequence)));
-    if (MayStart(situation, *at, steps_before)) {
+    if (MayStart(context, *at, steps_before)) {
       const SampleKey key{at->step_sequence, at->index};
       Remove(key);
       return key;
@@ -84,32 +84,32 @@
   return std::nullopt;
 }
 
-bool WorkSchedule::MayStart(const ScheduleSituation& situation, const Rank& rank,
+bool WorkSchedule::MayStart(const ScheduleContext& context, const Rank& rank,
                             uint64_t steps_before) const {
-  if (!situation.tail_handling || !rank.not_urgent) return true;
-  const double weight = std::clamp(situation.idle_time_weight, 0.0, 1.0);
+  if (!context.tail_handling || !rank.not_urgent) return true;
+  const double weight = std::clamp(context.idle_time_weight, 0.0, 1.0);
   const auto by_weight =
-      static_cast<uint64_t>(std::ceil(weight * static_cast<double>(situation.staleness_bound)));
+      static_cast<uint64_t>(std::ceil(weight * static_cast<double>(context.staleness_bound)));
   if (steps_before > by_weight) return false;
   const StepQueue& queue = queues_.at(rank.step_sequence);
   const uint32_t started = queue.samples - std::min(queue.samples, queue.waiting);
   if (started < weight * queue.samples) return true;
-  if (HeldForSwap(situation)) return false;
-  if (situation.trainer_waits && steps_before == 0) return true;
-  return HoldOver(situation, queue);
+  if (HeldForSwap(context)) return false;
+  if (context.trainer_waiting && steps_before == 0) return true;
+  return HoldOver(context, queue);
 }
 
-bool WorkSchedule::HeldForSwap(const ScheduleSituation& situation) const {
-  if (!situation.swap_pending || !published_at_) return false;
-  const double weight = std::clamp(situation.idle_time_weight, 0.0, 1.0);
-  return situation.now - *published_at_ < FromSeconds((1.0 - weight) * ToSeconds(kSwapHold));
+bool WorkSchedule::HeldForSwap(const ScheduleContext& context) const {
+  if (!context.swap_pending || !published_at_) return false;
+  const double weight = std::clamp(context.idle_time_weight, 0.0, 1.0);
+  return context.now - *published_at_ < FromSeconds((1.0 - weight) * ToSeconds(kSwapHold));
 }
 
-bool WorkSchedule::HoldOver(const ScheduleSituation& situation, const StepQueue& queue) const {
-  if (situation.newest > queue.newest_at_put) return true;
+bool WorkSchedule::HoldOver(const ScheduleContext& context, const StepQueue& queue) const {
+  if (context.newest > queue.newest_at_put) return true;
   if (!publish_interval_ || !published_at_) return true;
   const auto limit = Duration(static_cast<Duration::rep>(kHoldSlack * publish_interval_->count()));
-  return situation.now >= *published_at_ + limit;
+  return context.now >= *published_at_ + limit;
 }
 
 }  // namespace millstair
--- a/source/rollout/work_schedule.h
+++ b/source/rollout/work_schedule.h
@@ -23,13 +23,13 @@
 namespace millstair {
 
 /// What the schedule must know of the stream at the moment.
-struct ScheduleSituation {
+struct ScheduleContext {
   TimePoint now;
   double idle_time_weight = 0.5;
   uint64_t staleness_bound = 0;
   WeightVersion newest;
   /// The trainer is reading and there is nothing to read.
-  bool trainer_waits = false;
+  bool trainer_waiting = false;
   /// The newest version is not served by the engines yet.
   bool swap_pending = false;
   /// False starts everything in order at once.
@@ -47,7 +47,7 @@
   void Remove(const SampleKey& key);
   void Clear();
   /// Takes out the next sample that may start; `steps` are the unfinished ones.
-  std::optional<SampleKey> Take(const ScheduleSituation& situation,
+  std::optional<SampleKey> Take(const ScheduleContext& context,
                                 const std::map<uint64_t, StepRecord>& steps);
 
   size_t waiting() const { return order_.size(); }
@@ -69,9 +69,9 @@
     WeightVersion newest_at_put;
   };
 
-  bool MayStart(const ScheduleSituation& situation, const Rank& rank, uint64_t steps_before) const;
-  bool HeldForSwap(const ScheduleSituation& situation) const;
-  bool HoldOver(const ScheduleSituation& situation, const StepQueue& queue) const;
+  bool MayStart(const ScheduleContext& context, const Rank& rank, uint64_t steps_before) const;
+  bool HeldForSwap(const ScheduleContext& context) const;
+  bool HoldOver(const ScheduleContext& context, const StepQueue& queue) const;
 
   std::set<Rank> order_;
   std::map<SampleKey, Rank> ranks_;
--- a/test/rollout/work_schedule_test.cc
+++ b/test/rollout/work_schedule_test.cc
@@ -19,8 +19,8 @@
         schedule.Add(at, {step, i}, 10 * (i + 1), kSamples, false);
       }
     }
-    situation.now = at;
-    situation.staleness_bound = 3;
+    context.now = at;
+    context.staleness_bound = 3;
   }
 
   /// Two versions an interval of 100 s apart, the second one just now.
@@ -28,8 +28,8 @@
     schedule.OnVersionPublished(at, WeightVersion(1));
     at += std::chrono::seconds(100);
     schedule.OnVersionPublished(at, WeightVersion(2));
-    situation.newest = WeightVersion(2);
-    situation.now = at;
+    context.newest = WeightVersion(2);
+    context.now = at;
     // Steps that come now are put under the version just out.
     schedule.Clear();
     for (uint64_t step = 1; step <= 2; ++step) {
@@ -41,7 +41,7 @@
 
   std::vector<SampleKey> TakeAll() {
     std::vector<SampleKey> taken;
-    while (const std::optional<SampleKey> key = schedule.Take(situation, steps)) {
+    while (const std::optional<SampleKey> key = schedule.Take(context, steps)) {
       taken.push_back(*key);
     }
     return taken;
@@ -49,13 +49,13 @@
 
   TimePoint at{std::chrono::hours(1)};
   WorkSchedule schedule;
-  ScheduleSituation situation;
+  ScheduleContext context;
   std::map<uint64_t, StepRecord> steps;
 };
 
 TEST_CASE("older steps come first, and in a step the longest") {
   ScheduleFixture fixture;
-  fixture.situation.idle_time_weight = 1;
+  fixture.context.idle_time_weight = 1;
   const std::vector<SampleKey> taken = fixture.TakeAll();
   REQUIRE(taken.size() == 20);
   REQUIRE(taken.front() == SampleKey{1, 9});
@@ -66,7 +66,7 @@
 TEST_CASE("what was given back goes before everything else") {
   ScheduleFixture fixture;
   fixture.schedule.Add(fixture.at, {2, 0}, 10, kSamples, true);
-  REQUIRE(fixture.schedule.Take(fixture.situation, fixture.steps) == SampleKey{2, 0});
+  REQUIRE(fixture.schedule.Take(fixture.context, fixture.steps) == SampleKey{2, 0});
 }
 
 TEST_CASE("the weight bounds how many steps run ahead") {
@@ -75,44 +75,44 @@
   for (uint32_t i = 0; i < kSamples; ++i) {
     fixture.schedule.Add(fixture.at, {3, i}, 10, kSamples, false);
   }
-  fixture.situation.idle_time_weight = 0;
-  fixture.situation.trainer_waits = true;
+  fixture.context.idle_time_weight = 0;
+  fixture.context.trainer_waiting = true;
   REQUIRE(fixture.TakeAll().size() == kSamples);
-  fixture.situation.idle_time_weight = 0.1;  // ceil(0.1 * 3) = 1 step ahead
+  fixture.context.idle_time_weight = 0.1;  // ceil(0.1 * 3) = 1 step ahead
   REQUIRE(fixture.TakeAll().size() == kSamples);
-  fixture.situation.idle_time_weight = 0.5;  // ceil(0.5 * 3) = 2 steps ahead
+  fixture.context.idle_time_weight = 0.5;  // ceil(0.5 * 3) = 2 steps ahead
   REQUIRE(fixture.TakeAll().size() == kSamples);
 }
 
 TEST_CASE("a bound of zero runs no step ahead whatever the weight") {
   ScheduleFixture fixture;
-  fixture.situation.idle_time_weight = 1;
-  fixture.situation.staleness_bound = 0;
+  fixture.context.idle_time_weight = 1;
+  fixture.context.staleness_bound = 0;
   REQUIRE(fixture.TakeAll().size() == kSamples);
 }
 
 TEST_CASE("the shorter rest of a step waits for the next version") {
   ScheduleFixture fixture;
   fixture.LearnInterval();
-  fixture.situation.idle_time_weight = 0.3;
+  fixture.context.idle_time_weight = 0.3;
   // The longest three of each step, as one step may run ahead.
   REQUIRE(fixture.TakeAll().size() == 6);
   SECTION("until it is out") {
-    fixture.situation.newest = WeightVersion(3);
+    fixture.context.newest = WeightVersion(3);
     REQUIRE(fixture.TakeAll().size() == 14);
   }
   SECTION("but not if the trainer waits for the step") {
-    fixture.situation.trainer_waits = true;
+    fixture.context.trainer_waiting = true;
     REQUIRE(fixture.TakeAll().size() == 7);
   }
   SECTION("and not for ever") {
-    fixture.situation.now += std::chrono::seconds(119);
+    fixture.context.now += std::chrono::seconds(119);
     REQUIRE(fixture.TakeAll().empty());
-    fixture.situation.now += std::chrono::seconds(2);
+    fixture.context.now += std::chrono::seconds(2);
     REQUIRE(fixture.TakeAll().size() == 14);
   }
   SECTION("unless tails are not handled at all") {
-    fixture.situation.tail_handling = false;
+    fixture.context.tail_handling = false;
     REQUIRE(fixture.TakeAll().size() == 14);
   }
 }
@@ -120,11 +120,11 @@
 TEST_CASE("while engines swap, the rest waits even if the trainer does") {
   ScheduleFixture fixture;
   fixture.LearnInterval();
-  fixture.situation.idle_time_weight = 0.2;
-  fixture.situation.trainer_waits = true;
-  fixture.situation.swap_pending = true;
+  fixture.context.idle_time_weight = 0.2;
+  fixture.context.trainer_waiting = true;
+  fixture.context.swap_pending = true;
   REQUIRE(fixture.TakeAll().size() == 4);
-  fixture.situation.now += std::chrono::milliseconds(4100);  // (1 - 0.2) * 5 s are over
+  fixture.context.now += std::chrono::milliseconds(4100);  // (1 - 0.2) * 5 s are over
   REQUIRE(fixture.TakeAll().size() == 8);
 }
 
