--- a/source/rollout/work_schedule.cc
+++ b/source/rollout/work_schedule.cc
@@ -10,7 +10,7 @@
 /// How far beyond the learned interval a held sample waits for a version that does not come.
 constexpr double kHoldSlack = 1.2;
 /// Longest hold for a swap, at weight 0.
-constexpr Duration kSwapHold = std::chrono::seconds(5);
+constexpr Duration kMaxSwapHold = std::chrono::seconds(5);
 /// Weight of a new interval between versions.
 constexpr double kIntervalSmoothing = 0.3;
 
@@ -68,7 +68,7 @@
   while (at != order_.end()) {
     const auto steps_before =
         static_cast<uint64_t>(std::distance(steps.begin(), steps.lower_bound(at->step_sequence)));
-    if (MayStart(context, *at, steps_before)) {
+    if (CanStart(context, *at, steps_before)) {
       const SampleKey key{at->step_sequence, at->index};
       Remove(key);
       return key;
@@ -84,29 +84,29 @@
   return std::nullopt;
 }
 
-bool WorkSchedule::MayStart(const ScheduleContext& context, const Rank& rank,
+bool WorkSchedule::CanStart(const ScheduleContext& context, const Rank& rank,
                             uint64_t steps_before) const {
   if (!context.tail_handling || !rank.not_urgent) return true;
   const double weight = std::clamp(context.idle_time_weight, 0.0, 1.0);
-  const auto by_weight =
+  const auto max_steps_ahead =
       static_cast<uint64_t>(std::ceil(weight * static_cast<double>(context.staleness_bound)));
-  if (steps_before > by_weight) return false;
+  if (steps_before > max_steps_ahead) return false;
   const StepQueue& queue = queues_.at(rank.step_sequence);
   const uint32_t started = queue.samples - std::min(queue.samples, queue.waiting);
   if (started < weight * queue.samples) return true;
-  if (HeldForSwap(context)) return false;
+  if (IsHeldForSwap(context)) return false;
   if (context.trainer_waiting && steps_before == 0) return true;
-  return HoldOver(context, queue);
+  return HoldExpired(context, queue);
 }
 
-bool WorkSchedule::HeldForSwap(const ScheduleContext& context) const {
+bool WorkSchedule::IsHeldForSwap(const ScheduleContext& context) const {
   if (!context.swap_pending || !published_at_) return false;
   const double weight = std::clamp(context.idle_time_weight, 0.0, 1.0);
-  return context.now - *published_at_ < FromSeconds((1.0 - weight) * ToSeconds(kSwapHold));
+  return context.now - *published_at_ < FromSeconds((1.0 - weight) * ToSeconds(kMaxSwapHold));
 }
 
-bool WorkSchedule::HoldOver(const ScheduleContext& context, const StepQueue& queue) const {
-  if (context.newest > queue.newest_at_put) return true;
+bool WorkSchedule::HoldExpired(const ScheduleContext& context, const StepQueue& queue) const {
+  if (context.newest > queue.newest_at_creation) return true;
   if (!publish_interval_ || !published_at_) return true;
   const auto limit = Duration(static_cast<Duration::rep>(kHoldSlack * publish_interval_->count()));
   return context.now >= *published_at_ + limit;
--- a/source/rollout/work_schedule.h
+++ b/source/rollout/work_schedule.h
@@ -8,7 +8,7 @@
 ///   times the learned interval of publishing.
 /// - Swap: while engines are about to swap to a version that is out, the shorter rest is held for
 /// up
-///   to (1 - w) * kSwapHold even if the trainer waits.
+///   to (1 - w) * kMaxSwapHold even if the trainer waits.
 /// - Order: given back ones first, then older steps, then the longest expected.
 #pragma once
 
@@ -66,12 +66,12 @@
     uint32_t samples = 0;
     uint32_t waiting = 0;
     /// Newest version when the step came.
-    WeightVersion newest_at_put;
+    WeightVersion newest_at_creation;
   };
 
-  bool MayStart(const ScheduleContext& context, const Rank& rank, uint64_t steps_before) const;
-  bool HeldForSwap(const ScheduleContext& context) const;
-  bool HoldOver(const ScheduleContext& context, const StepQueue& queue) const;
+  bool CanStart(const ScheduleContext& context, const Rank& rank, uint64_t steps_before) const;
+  bool IsHeldForSwap(const ScheduleContext& context) const;
+  bool HoldExpired(const ScheduleContext& context, const StepQueue& queue) const;
 
   std::set<Rank> order_;
   std::map<SampleKey, Rank> ranks_;
