--- a/source/rollout/stream_leader.cc
+++ b/source/rollout/stream_leader.cc
@@ -152,7 +152,7 @@
   if (data.staleness_bound != settings_->stream.staleness_bound) {
     return StreamCommand(SetStalenessBound{settings_->stream.staleness_bound});
   }
-  const uint64_t retained = std::max(data.staleness_bound, kKeptVersions);
+  const uint64_t retained = std::max(data.staleness_bound, kMinRetainedVersions);
   for (const PublishedVersion& version : settings_->published) {
     if (version.version.value() + retained < data.newest.value()) continue;
     if (data.published.contains(version.version)) continue;
@@ -195,7 +195,7 @@
   if (!queries_.empty()) query_timer_.Arm(Duration(0), [this] { AnswerQueries(false); });
 }
 
-void StreamLeaderNode::OnReplaced() {
+void StreamLeaderNode::OnSnapshotRestored() {
   attempts_.Clear();
   RebuildSchedule();
   OnProgress();
--- a/source/rollout/stream_leader.h
+++ b/source/rollout/stream_leader.h
@@ -64,7 +64,7 @@
   void OnSampleClosed(const SampleKey& key) override;
   void OnSampleAccepted(const SampleKey& key, const Sample& sample) override;
   void OnProgress() override;
-  void OnReplaced() override;
+  void OnSnapshotRestored() override;
 
   // Leadership.
   void UpdateLeadership();
--- a/source/rollout/stream_state.cc
+++ b/source/rollout/stream_state.cc
@@ -31,7 +31,7 @@
 }
 
 /// Why a step is malformed; empty if it is sound.
-std::string FaultOfStep(const PutStep& command) {
+std::string StepError(const PutStep& command) {
   if (command.step.value().empty() || command.step.value().find('/') != std::string::npos) {
     return "a step id is not empty and holds no '/'";
   }
@@ -47,7 +47,7 @@
 }
 
 /// Spans follow each other from token 0 to the last without gap or overlap.
-bool SpansWhole(const Sample& sample) {
+bool SpansCoverSample(const Sample& sample) {
   uint32_t next = 0;
   for (const VersionSpan& span : sample.spans) {
     if (span.first_token != next || span.token_count == 0) return false;
@@ -79,7 +79,7 @@
   absl::StatusOr<StreamData> data = DecodeStreamSnapshot(snapshot);
   if (!data.ok()) return data.status();
   data_ = *std::move(data);
-  if (listener_ != nullptr) listener_->OnReplaced();
+  if (listener_ != nullptr) listener_->OnSnapshotRestored();
   return absl::OkStatus();
 }
 
@@ -126,8 +126,8 @@
 // --- steps -------------------------------------------------------------------------------------
 
 StreamResult StreamState::Handle(const PutStep& command) {
-  std::string fault = FaultOfStep(command);
-  if (!fault.empty()) return Result(StreamResultCode::kInvalid, std::move(fault));
+  std::string error = StepError(command);
+  if (!error.empty()) return Result(StreamResultCode::kInvalid, std::move(error));
   const uint64_t digest = DigestOf(command.prompts);
   if (const auto known = data_.step_sequences.find(command.step);
       known != data_.step_sequences.end()) {
@@ -173,7 +173,7 @@
   }
 }
 
-/// Only under the fault switch step_not_idempotent.
+/// Only under the error switch step_not_idempotent.
 void StreamState::ReopenStep(StepRecord& step, uint64_t sequence, const PutStep& command) {
   for (uint32_t i = 0; i < step.samples.size(); ++i) {
     SampleRecord& sample = step.samples[i];
@@ -188,7 +188,7 @@
 
 void StreamState::SetSampleState(const SampleKey& key, SampleState state) {
   const auto found = data_.steps.find(key.step_sequence);
-  if (found == data_.steps.end()) return;  // finished; only under a fault switch
+  if (found == data_.steps.end()) return;  // finished; only under a error switch
   StepRecord& step = found->second;
   SampleRecord& sample = step.samples.at(key.index);
   const bool was_open = sample.state == SampleState::kOpen;
@@ -211,7 +211,7 @@
 void StreamState::FinishStep(uint64_t sequence) {
   const auto step = data_.steps.find(sequence);
   const StepId id = step->second.step;
-  // A step that was taken as new although it was finished (fault switch) leaves no second trace.
+  // A step that was taken as new although it was finished (error switch) leaves no second trace.
   if (const auto before = data_.finished_steps.find(id); before != data_.finished_steps.end()) {
     data_.finished_order.erase(before->second.sequence);
   }
@@ -235,7 +235,7 @@
     const bool finished = data_.finished_steps.contains(sample.step);
     return Result(finished ? StreamResultCode::kDuplicate : StreamResultCode::kNotFound);
   }
-  if (std::optional<StreamResult> refusal = Refusal(sample, *key)) return *std::move(refusal);
+  if (std::optional<StreamResult> refusal = CheckAppend(sample, *key)) return *std::move(refusal);
   data_.last_offset = Next(data_.last_offset);
   StreamEntry& entry = data_.entries[data_.last_offset];
   entry.key = *key;
@@ -249,14 +249,15 @@
   return result;
 }
 
-std::optional<StreamResult> StreamState::Refusal(const Sample& sample, const SampleKey& key) const {
+std::optional<StreamResult> StreamState::CheckAppend(const Sample& sample,
+                                                     const SampleKey& key) const {
   const SampleRecord& record = data_.steps.at(key.step_sequence).samples.at(key.index);
   const bool fenced = !faults_.first_completion_not_fenced || record.state == SampleState::kDone;
   if (fenced && record.state != SampleState::kOpen) return Result(StreamResultCode::kDuplicate);
   if (sample.step != data_.steps.at(key.step_sequence).step) {
     return Result(StreamResultCode::kInvalid, "sample and step do not belong together");
   }
-  if (!SpansWhole(sample)) {
+  if (!SpansCoverSample(sample)) {
     return Result(StreamResultCode::kVoid, "the spans do not cover the sample");
   }
   if (IsStale(sample, data_.newest)) return Result(StreamResultCode::kStale);
@@ -296,12 +297,12 @@
       WithdrawUnread();
     }
   }
-  ForgetVersions();
+  PruneVersions();
   return Result(StreamResultCode::kOk);
 }
 
-void StreamState::ForgetVersions() {
-  const uint64_t retained = std::max(data_.staleness_bound, kKeptVersions);
+void StreamState::PruneVersions() {
+  const uint64_t retained = std::max(data_.staleness_bound, kMinRetainedVersions);
   while (!data_.published.empty() &&
          data_.published.begin()->first.value() + retained < data_.newest.value()) {
     data_.published.erase(data_.published.begin());
@@ -312,7 +313,7 @@
   if (command.bound == data_.staleness_bound) return Result(StreamResultCode::kDuplicate);
   data_.staleness_bound = command.bound;
   WithdrawUnread();
-  ForgetVersions();
+  PruneVersions();
   return Result(StreamResultCode::kOk);
 }
 
@@ -375,8 +376,8 @@
     return;
   }
   if (entry.seen_withdrawn_from.value() == 0) return;  // open again since its withdrawal
-  const bool saw_withdrawal = through >= entry.seen_withdrawn_from;
-  SetSampleState(entry.key, saw_withdrawal ? SampleState::kOpen : SampleState::kDone);
+  const bool trainer_saw_withdrawal = through >= entry.seen_withdrawn_from;
+  SetSampleState(entry.key, trainer_saw_withdrawal ? SampleState::kOpen : SampleState::kDone);
 }
 
 void StreamState::Withdraw(StreamEntry& entry) {
@@ -400,18 +401,18 @@
 }
 
 void StreamState::WithdrawRead() {
-  const StreamOffset distinct = Next(data_.delivered_through);
+  const StreamOffset next_cursor = Next(data_.delivered_through);
   StreamEntry* last_withdrawn = nullptr;
   for (auto& [offset, entry] : data_.entries) {
     if (offset > data_.delivered_through) break;
     if (entry.state != EntryState::kHeld) continue;
     if (!IsStale(entry.sample, data_.newest_at_delivery)) continue;
     Withdraw(entry);
-    entry.seen_withdrawn_from = distinct;
+    entry.seen_withdrawn_from = next_cursor;
     SetSampleState(entry.key, SampleState::kWithdrawn);
     last_withdrawn = &entry;
   }
-  if (last_withdrawn != nullptr && data_.last_offset < distinct) AppendMarker(*last_withdrawn);
+  if (last_withdrawn != nullptr && data_.last_offset < next_cursor) AppendMarker(*last_withdrawn);
 }
 
 void StreamState::AppendMarker(const StreamEntry& entry) {
--- a/source/rollout/stream_state.h
+++ b/source/rollout/stream_state.h
@@ -31,7 +31,7 @@
 inline constexpr uint64_t kMaxDeliveryBytes = 1024 * 1024;
 inline constexpr uint32_t kMaxDeliverySamples = 4096;
 /// Published versions that are remembered beyond the staleness bound.
-inline constexpr uint64_t kKeptVersions = 64;
+inline constexpr uint64_t kMinRetainedVersions = 64;
 
 /// Hears of changes as they are applied on this replica. Must not change the state.
 class StreamListener {
@@ -45,7 +45,7 @@
   /// Something was appended, read or published.
   virtual void OnProgress() = 0;
   /// The whole state was replaced by a snapshot.
-  virtual void OnReplaced() = 0;
+  virtual void OnSnapshotRestored() = 0;
 };
 
 /// Lives on the node's serial executor.
@@ -81,7 +81,7 @@
   void CreateStep(const PutStep& command, uint64_t digest);
   void ReopenStep(StepRecord& step, uint64_t sequence, const PutStep& command);
   /// Why `sample` can't be accepted; none if it can.
-  std::optional<StreamResult> Refusal(const Sample& sample, const SampleKey& key) const;
+  std::optional<StreamResult> CheckAppend(const Sample& sample, const SampleKey& key) const;
   bool IsStale(const Sample& sample, WeightVersion newest) const;
 
   void Acknowledge(StreamOffset through);
@@ -96,7 +96,7 @@
 
   void SetSampleState(const SampleKey& key, SampleState state);
   void FinishStep(uint64_t sequence);
-  void ForgetVersions();
+  void PruneVersions();
 
   StreamFaults faults_;
   StreamData data_;
--- a/test/rollout/stream_state_test.cc
+++ b/test/rollout/stream_state_test.cc
@@ -196,7 +196,7 @@
     cursor = state.Execute(DeliverSamples{cursor, 10}).next;
   }
   REQUIRE(state.data().finished_steps.size() == kMaxFinishedSteps);
-  REQUIRE(state.data().published.size() == kKeptVersions + 1);
+  REQUIRE(state.data().published.size() == kMinRetainedVersions + 1);
   REQUIRE(state.data().steps.size() == 1);
   REQUIRE(state.data().entries.size() == 1);
   REQUIRE(state.data().issued_cursors.size() == 1);
