--- a/test/rollout/rollout_fakes.h
+++ b/test/rollout/rollout_fakes.h
@@ -83,7 +83,7 @@
   std::optional<Placement> Place(const ResourceKey&, const RoutingRequest& request) override {
     for (size_t i = 0; i < engines.size(); ++i) {
       const auto& [name, address] = engines[next_++ % engines.size()];
-      if (request.excluded.contains(name) || closed.contains(name)) continue;
+      if (request.excluded.contains(name) || unavailable.contains(name)) continue;
       if (running_[name] >= limit) continue;
       ++running_[name];
       Placement placement;
@@ -102,18 +102,18 @@
     ended.push_back(outcome);
   }
   uint32_t RolloutCapacity(const ResourceKey&) const override {
-    uint32_t free_slots = 0;
+    uint32_t capacity = 0;
     for (const auto& [name, address] : engines) {
-      if (closed.contains(name)) continue;
+      if (unavailable.contains(name)) continue;
       const auto running = running_.find(name);
-      free_slots += limit - (running == running_.end() ? 0 : running->second);
+      capacity += limit - (running == running_.end() ? 0 : running->second);
     }
-    return free_slots;
+    return capacity;
   }
 
   uint32_t limit = 8;
   std::vector<std::pair<EngineName, std::string>> engines;
-  std::set<EngineName> closed;
+  std::set<EngineName> unavailable;
   std::vector<PlacementOutcome> ended;
 
  private:
--- a/test/rollout/rollout_fleet.h
+++ b/test/rollout/rollout_fleet.h
@@ -29,7 +29,7 @@
   void Receive(const NodeId&, const PeerMessage&) override {}
 
   /// Answers to lose; the commands take effect all the same.
-  int lose_answers = 0;
+  int answers_to_drop = 0;
   uint64_t submitted = 0;
   /// Commands to the cluster group.
   std::vector<ClusterCommand> cluster_commands;
@@ -39,8 +39,9 @@
   RolloutFleet& fleet_;
 };
 
-struct GatewaySide {
-  GatewaySide(RolloutFleet& fleet, VirtualScheduler& scheduler, const NodeId& name, uint64_t seed);
+struct RolloutGateway {
+  RolloutGateway(RolloutFleet& fleet, VirtualScheduler& scheduler, const NodeId& name,
+                 uint64_t seed);
   NodeId node;
   VirtualEnvironment environment;
   FakeControl control;
@@ -49,7 +50,7 @@
   std::unique_ptr<RolloutWorker> worker;
 };
 
-struct ControlSide {
+struct ControlReplica {
   NodeId node;
   std::unique_ptr<VirtualEnvironment> environment;
   std::unique_ptr<PeerTransport> transport;
@@ -112,7 +113,7 @@
   }
 
   void AddControl(int i) {
-    auto side = std::make_unique<ControlSide>();
+    auto side = std::make_unique<ControlReplica>();
     side->node = NodeId("control-" + std::to_string(i));
     side->environment = std::make_unique<VirtualEnvironment>(scheduler, 10 + i);
     side->transport = MakeTransport(side->node);
@@ -125,7 +126,7 @@
   }
 
   void AddGateway(int i) {
-    gateways.push_back(std::make_unique<GatewaySide>(
+    gateways.push_back(std::make_unique<RolloutGateway>(
         *this, scheduler, NodeId("gateway-" + std::to_string(i)), 20 + i));
   }
 
@@ -150,8 +151,8 @@
     if (down.contains(from) || down.contains(to)) return;
     if (message.kind == MessageKind::kWorkRequest)
       return Leader().leader->ReceiveWork(from, message);
-    if (message.kind == MessageKind::kWorkReply && lose_work_replies > 0) {
-      --lose_work_replies;
+    if (message.kind == MessageKind::kWorkReply && work_replies_to_drop > 0) {
+      --work_replies_to_drop;
       return;
     }
     for (auto& gateway : gateways) {
@@ -159,7 +160,7 @@
     }
   }
 
-  ControlSide& Leader() {
+  ControlReplica& Leader() {
     for (auto& control : controls) {
       if (control->node == log.leader) return *control;
     }
@@ -202,7 +203,7 @@
   }
 
   /// Runs until all samples asked for are accepted; whether that came about.
-  bool RunUntilWhole(Duration limit = std::chrono::seconds(60)) {
+  bool RunUntilComplete(Duration limit = std::chrono::seconds(60)) {
     return scheduler.RunUntilTrue(
         [this] {
           const StreamData& data = Leader().state->data();
@@ -222,14 +223,14 @@
   FakeEngines engines;
   FakeScorer scorer;
   std::set<NodeId> down;
-  int lose_work_replies = 0;
+  int work_replies_to_drop = 0;
   std::vector<std::unique_ptr<EngineModel>> models;
-  std::vector<std::unique_ptr<ControlSide>> controls;
-  std::vector<std::unique_ptr<GatewaySide>> gateways;
+  std::vector<std::unique_ptr<ControlReplica>> controls;
+  std::vector<std::unique_ptr<RolloutGateway>> gateways;
 
  private:
   StreamFaults faults_;
-  friend struct GatewaySide;
+  friend struct RolloutGateway;
 };
 
 inline void FakeControl::Submit(const GroupId& group, CommandMode mode, std::string command,
@@ -242,14 +243,14 @@
   if (mode == CommandMode::kQuery) return fleet_.Leader().leader->Query(command, std::move(done));
   fleet_.log.Append(
       std::move(command), [this, timeout, done](const absl::StatusOr<std::string>& answer) {
-        if (lose_answers <= 0) return done(answer);
-        --lose_answers;
+        if (answers_to_drop <= 0) return done(answer);
+        --answers_to_drop;
         fleet_.scheduler.Schedule(timeout, [done] { done(absl::DeadlineExceededError("lost")); });
       });
 }
 
-inline GatewaySide::GatewaySide(RolloutFleet& fleet, VirtualScheduler& scheduler,
-                                const NodeId& name, uint64_t seed)
+inline RolloutGateway::RolloutGateway(RolloutFleet& fleet, VirtualScheduler& scheduler,
+                                      const NodeId& name, uint64_t seed)
     : node(name), environment(scheduler, seed), control(fleet) {
   transport = fleet.MakeTransport(node);
   for (int i = 0; i < 2; ++i) {
--- a/test/rollout/rollout_flow_test.cc
+++ b/test/rollout/rollout_flow_test.cc
@@ -13,7 +13,7 @@
 }
 
 /// Each sample once, its text the engines' own words under the versions that it names.
-void RequireTrue(const std::vector<DeliveredEntry>& items, uint32_t samples) {
+void RequireSamplesMatch(const std::vector<DeliveredEntry>& items, uint32_t samples) {
   std::set<SampleId> seen;
   for (const DeliveredEntry& item : items) {
     REQUIRE_FALSE(item.withdrawn);
@@ -54,8 +54,8 @@
 TEST_CASE("a step is generated, scored and read once") {
   RolloutFleet fleet;
   fleet.Execute(MakeStep("a", 24));
-  REQUIRE(fleet.RunUntilWhole());
-  RequireTrue(ReadAll(fleet), 24);
+  REQUIRE(fleet.RunUntilComplete());
+  RequireSamplesMatch(ReadAll(fleet), 24);
   for (const auto& gateway : fleet.gateways) {
     REQUIRE(gateway->worker->counts().samples_appended > 0);
   }
@@ -65,11 +65,11 @@
 
 TEST_CASE("answers to appends get lost and nothing is doubled") {
   RolloutFleet fleet;
-  for (auto& gateway : fleet.gateways) gateway->control.lose_answers = 5;
+  for (auto& gateway : fleet.gateways) gateway->control.answers_to_drop = 5;
   fleet.Execute(MakeStep("a", 12));
-  REQUIRE(fleet.RunUntilWhole());
+  REQUIRE(fleet.RunUntilComplete());
   fleet.scheduler.RunFor(std::chrono::seconds(20));
-  RequireTrue(ReadAll(fleet), 12);
+  RequireSamplesMatch(ReadAll(fleet), 12);
   for (const auto& gateway : fleet.gateways) REQUIRE(gateway->worker->running() == 0);
 }
 
@@ -77,10 +77,10 @@
   RolloutFleet fleet;
   fleet.Execute(MakeStep("a", 12));
   fleet.scheduler.RunFor(std::chrono::milliseconds(800));
-  fleet.lose_work_replies = 4;
-  REQUIRE(fleet.RunUntilWhole());
-  REQUIRE(fleet.lose_work_replies == 0);
-  RequireTrue(ReadAll(fleet), 12);
+  fleet.work_replies_to_drop = 4;
+  REQUIRE(fleet.RunUntilComplete());
+  REQUIRE(fleet.work_replies_to_drop == 0);
+  RequireSamplesMatch(ReadAll(fleet), 12);
 }
 
 TEST_CASE("an engine crashes and its streams go on elsewhere in a new span") {
@@ -88,8 +88,9 @@
   fleet.Execute(LongStep(8));
   REQUIRE(RunUntilRunning(fleet, 0, 8));
   fleet.models[0]->Crash();
-  for (auto& gateway : fleet.gateways) gateway->placement.closed.insert(EngineName("engine-0"));
-  REQUIRE(fleet.RunUntilWhole());
+  for (auto& gateway : fleet.gateways)
+    gateway->placement.unavailable.insert(EngineName("engine-0"));
+  REQUIRE(fleet.RunUntilComplete());
   bool resumed = false;
   for (const DeliveredEntry& item : ReadAll(fleet)) {
     std::set<Incarnation> lives;
@@ -114,7 +115,7 @@
   order.kind = OrderKind::kActivate;
   absl::Status swapped;
   fleet.models[0]->ApplyOrder(order, [&](const absl::Status& status) { swapped = status; });
-  REQUIRE(fleet.RunUntilWhole());
+  REQUIRE(fleet.RunUntilComplete());
   REQUIRE(absl::IsAborted(swapped));
   REQUIRE(fleet.models[0]->counts().mixed_tokens > 0);
   uint64_t voided = 0;
@@ -132,7 +133,7 @@
   RolloutFleet fleet(faults);
   fleet.PublishVersion(2);  // wanted, but no engine was told to swap
   fleet.Execute(MakeStep("a", 4));
-  REQUIRE(fleet.RunUntilWhole());
+  REQUIRE(fleet.RunUntilComplete());
   for (const DeliveredEntry& item : ReadAll(fleet)) {
     REQUIRE((item.sample.spans.front().version == WeightVersion(1)) == !broken);
   }
@@ -149,7 +150,7 @@
   fleet.log.leader = fleet.controls[1]->node;
   ++fleet.log.term;
   for (auto& control : fleet.controls) control->leader->OnChange(fleet.configuration.held);
-  REQUIRE(fleet.RunUntilWhole());
+  REQUIRE(fleet.RunUntilComplete());
   const uint64_t after = fleet.gateways[0]->worker->counts().attempts_started +
                          fleet.gateways[1]->worker->counts().attempts_started;
   REQUIRE(started == 12);
@@ -166,7 +167,7 @@
   fleet.gateways[0]->environment.Kill();
   fleet.gateways[0]->worker.reset();
   REQUIRE(lost > 0);
-  REQUIRE(fleet.RunUntilWhole());
+  REQUIRE(fleet.RunUntilComplete());
   REQUIRE(ReadAll(fleet).size() == 12);
 }
 
@@ -180,7 +181,7 @@
   REQUIRE(fleet.scheduler.RunUntilTrue([&] { return drained; }, std::chrono::seconds(5)));
   REQUIRE(fleet.gateways[0]->worker->running() == 0);
   REQUIRE(fleet.gateways[0]->worker->counts().attempts_returned > 0);
-  REQUIRE(fleet.RunUntilWhole());
+  REQUIRE(fleet.RunUntilComplete());
   const bool resumed =
       std::any_of(fleet.engines.requests.begin(), fleet.engines.requests.end(),
                   [](const GenerateRequest& request) { return !request.resume_tokens.empty(); });
@@ -193,11 +194,11 @@
 void SlowDown(RolloutFleet& fleet, Duration step) {
   fleet.Spec().idle_time_weight = 1;
   fleet.Configure();
-  fleet.gateways[1]->placement.closed = {EngineName("engine-0"), EngineName("engine-1")};
+  fleet.gateways[1]->placement.unavailable = {EngineName("engine-0"), EngineName("engine-1")};
   fleet.scheduler.RunFor(std::chrono::seconds(4));
   fleet.Execute(LongStep(1));
   REQUIRE(RunUntilRunning(fleet, 0, 8));
-  fleet.gateways[1]->placement.closed = {EngineName("engine-0")};
+  fleet.gateways[1]->placement.unavailable = {EngineName("engine-0")};
   fleet.models[0]->SetStepTime({step, Duration(0), Duration(0)});
 }
 
@@ -208,7 +209,7 @@
   REQUIRE(fleet.scheduler.RunUntilTrue(
       [&] { return fleet.gateways[1]->worker->counts().attempts_started == 1; },
       std::chrono::milliseconds(4900)));
-  REQUIRE(fleet.RunUntilWhole());
+  REQUIRE(fleet.RunUntilComplete());
   fleet.scheduler.RunFor(std::chrono::seconds(3));
   REQUIRE(ReadAll(fleet).size() == 1);
   REQUIRE(fleet.gateways[0]->worker->running() == 0);
@@ -217,7 +218,7 @@
 TEST_CASE("a straggler moves to a faster engine with its tokens and its KV") {
   RolloutFleet fleet;
   SlowDown(fleet, std::chrono::milliseconds(400));
-  REQUIRE(fleet.RunUntilWhole());
+  REQUIRE(fleet.RunUntilComplete());
   REQUIRE(fleet.gateways[0]->worker->counts().stragglers_moved == 1);
   const GenerateRequest& moved = fleet.engines.requests.back();
   REQUIRE(moved.kv_source == RolloutFleet::Address(0));
@@ -234,15 +235,15 @@
   fleet.scheduler.RunFor(std::chrono::seconds(10));
   REQUIRE(fleet.engines.requests.empty());
   fleet.configuration.lease = true;
-  REQUIRE(fleet.RunUntilWhole());
+  REQUIRE(fleet.RunUntilComplete());
 }
 
 TEST_CASE("a scorer that breaks off is asked again") {
   RolloutFleet fleet;
   fleet.scorer.failures = 5;
   fleet.Execute(MakeStep("a", 3));
-  REQUIRE(fleet.RunUntilWhole());
-  RequireTrue(ReadAll(fleet), 3);
+  REQUIRE(fleet.RunUntilComplete());
+  RequireSamplesMatch(ReadAll(fleet), 3);
   REQUIRE(fleet.scorer.calls == 8);
 }
 
@@ -261,8 +262,8 @@
     });
   }
   fleet.PublishVersion(2);
-  REQUIRE(fleet.RunUntilWhole());
-  REQUIRE(fleet.RunUntilWhole());
+  REQUIRE(fleet.RunUntilComplete());
+  REQUIRE(fleet.RunUntilComplete());
   uint32_t fresh = 0;
   for (const DeliveredEntry& item : ReadAll(fleet)) {
     if (item.withdrawn) continue;
--- a/test/rollout/stream_property_test.cc
+++ b/test/rollout/stream_property_test.cc
@@ -23,7 +23,7 @@
 
 /// What one run did wrong; empty if nothing.
 struct Verdict {
-  std::string fault;
+  std::string violation;
   bool settled = false;
 };
 
@@ -35,27 +35,27 @@
     Publish();
   }
 
-  Verdict Play() {
-    for (int i = 0; i < kOperations && fault_.empty(); ++i) PlayOne();
-    for (int i = 0; i < 200 && fault_.empty(); ++i) {
+  Verdict Run() {
+    for (int i = 0; i < kOperations && violation_.empty(); ++i) RunOneOperation();
+    for (int i = 0; i < 200 && violation_.empty(); ++i) {
       GenerateAll();
       Read(Execute(DeliverSamples{cursor_, 8}));
     }
-    const bool whole = held_.size() == steps_ * kSamplesPerStep;
-    if (fault_.empty() && !whole) fault_ = "samples are missing in the end";
-    return {fault_, whole};
+    const bool complete = held_.size() == steps_ * kSamplesPerStep;
+    if (violation_.empty() && !complete) violation_ = "samples are missing in the end";
+    return {violation_, complete};
   }
 
  private:
-  uint64_t Draw(uint64_t bound) { return random_() % bound; }
+  uint64_t Random(uint64_t bound) { return random_() % bound; }
 
-  void PlayOne() {
-    switch (Draw(9)) {
+  void RunOneOperation() {
+    switch (Random(9)) {
       case 0:
         if (steps_ < 4) Execute(MakeStep("s" + std::to_string(steps_++), kSamplesPerStep));
         break;
       case 1:
-        if (steps_ > 0) Execute(MakeStep("s" + std::to_string(Draw(steps_)), kSamplesPerStep));
+        if (steps_ > 0) Execute(MakeStep("s" + std::to_string(Random(steps_)), kSamplesPerStep));
         break;
       case 2:
         if (newest_ < 12) Publish();
@@ -69,14 +69,14 @@
         break;
       case 6:
         // The answer is lost; a copy of the command may arrive once more, later.
-        Execute(DeliverSamples{cursor_, static_cast<uint32_t>(1 + Draw(4))});
-        late_reads_.push_back(DeliverSamples{cursor_, static_cast<uint32_t>(1 + Draw(4))});
+        Execute(DeliverSamples{cursor_, static_cast<uint32_t>(1 + Random(4))});
+        late_reads_.push_back(DeliverSamples{cursor_, static_cast<uint32_t>(1 + Random(4))});
         break;
       case 7:
-        if (!late_reads_.empty()) Execute(late_reads_[Draw(late_reads_.size())]);
+        if (!late_reads_.empty()) Execute(late_reads_[Random(late_reads_.size())]);
         break;
       default:
-        Read(Execute(DeliverSamples{cursor_, static_cast<uint32_t>(1 + Draw(4))}));
+        Read(Execute(DeliverSamples{cursor_, static_cast<uint32_t>(1 + Random(4))}));
     }
   }
 
@@ -90,10 +90,10 @@
 
   void GenerateOne() {
     if (steps_ == 0) return;
-    const uint64_t first = 1 + Draw(newest_);
-    const uint64_t second = first + Draw(newest_ - first + 1);
-    Execute(MakeSample("s" + std::to_string(Draw(steps_)),
-                       static_cast<uint32_t>(Draw(kSamplesPerStep)), first, second, ++epoch_));
+    const uint64_t first = 1 + Random(newest_);
+    const uint64_t second = first + Random(newest_ - first + 1);
+    Execute(MakeSample("s" + std::to_string(Random(steps_)),
+                       static_cast<uint32_t>(Random(kSamplesPerStep)), first, second, ++epoch_));
   }
 
   void GenerateAll() {
@@ -108,20 +108,20 @@
     const std::string snapshot = state_.TakeSnapshot();
     StreamState restored(faults_);
     REQUIRE(restored.Restore(LogIndex(1), snapshot).ok());
-    if (restored.TakeSnapshot() != snapshot) fault_ = "a snapshot does not restore itself";
+    if (restored.TakeSnapshot() != snapshot) violation_ = "a snapshot does not restore itself";
     state_ = restored;
   }
 
   /// The trainer takes an answer: its cursor moves, and with it what it holds is settled.
   void Read(const StreamResult& result) {
     if (result.code != StreamResultCode::kOk) {
-      fault_ = "a regular read was refused: " + result.message;
+      violation_ = "a regular read was refused: " + result.message;
       return;
     }
-    StreamOffset due = Next(cursor_);
+    StreamOffset expected = Next(cursor_);
     for (const DeliveredEntry& item : result.delivered) {
-      if (item.offset != due) fault_ = "an offset is missing";
-      due = Next(due);
+      if (item.offset != expected) violation_ = "an offset is missing";
+      expected = Next(expected);
       if (item.withdrawn) continue;
       Take(item.sample);
     }
@@ -129,16 +129,17 @@
   }
 
   void Take(const Sample& sample) {
-    if (!held_.insert(sample.sample).second) fault_ = "delivered twice: " + sample.sample.value();
+    if (!held_.insert(sample.sample).second)
+      violation_ = "delivered twice: " + sample.sample.value();
     for (const VersionSpan& span : sample.spans) {
-      if (span.version.value() + kBound < newest_) fault_ = "stale: " + sample.sample.value();
+      if (span.version.value() + kBound < newest_) violation_ = "stale: " + sample.sample.value();
     }
   }
 
   std::mt19937_64 random_;
   StreamFaults faults_;
   StreamState state_;
-  std::string fault_;
+  std::string violation_;
   uint64_t steps_ = 0;
   uint64_t newest_ = 0;
   uint64_t epoch_ = 0;
@@ -148,23 +149,23 @@
 };
 
 /// Fault of the first of many seeds that has one.
-std::string FirstFault(StreamFaults faults) {
+std::string FirstViolation(StreamFaults faults) {
   for (uint64_t seed = 1; seed <= 400; ++seed) {
-    const Verdict verdict = StreamRun(seed, faults).Play();
-    if (!verdict.fault.empty()) return fmt::format("seed {}: {}", seed, verdict.fault);
+    const Verdict verdict = StreamRun(seed, faults).Run();
+    if (!verdict.violation.empty()) return fmt::format("seed {}: {}", seed, verdict.violation);
   }
   return "";
 }
 
 TEST_CASE("each sample reaches the trainer exactly once and fresh") {
   rc::prop("over random interleavings", [](uint64_t seed) {
-    const Verdict verdict = StreamRun(seed, {}).Play();
-    RC_ASSERT(verdict.fault == "");
+    const Verdict verdict = StreamRun(seed, {}).Run();
+    RC_ASSERT(verdict.violation == "");
     RC_ASSERT(verdict.settled);
   });
 }
 
-TEST_CASE("no random run fails without a fault switch") { REQUIRE(FirstFault({}) == ""); }
+TEST_CASE("no random run fails without a fault switch") { REQUIRE(FirstViolation({}) == ""); }
 
 TEST_CASE("the judgement catches each broken stream") {
   StreamFaults faults;
@@ -172,7 +173,7 @@
   SECTION("first completion not fenced") { faults.first_completion_not_fenced = true; }
   SECTION("step not idempotent") { faults.step_not_idempotent = true; }
   SECTION("publish not ordered") { faults.publish_not_ordered = true; }
-  REQUIRE(FirstFault(faults) != "");
+  REQUIRE(FirstViolation(faults) != "");
 }
 
 }  // namespace
--- a/test/rollout/trainer_service_test.cc
+++ b/test/rollout/trainer_service_test.cc
@@ -16,7 +16,9 @@
   void Abort() override { aborted = true; }
   size_t WritableBytes() const override { return 1 << 20; }
   void OnWritable(std::function<void()>) override {}
-  void OnCallerDisconnected(std::function<void()> callback) override { gone = std::move(callback); }
+  void OnCallerDisconnected(std::function<void()> callback) override {
+    on_disconnected = std::move(callback);
+  }
 
   boost::json::object Json() const { return boost::json::parse(body).as_object(); }
   std::string Header(std::string_view name) const {
@@ -27,19 +29,19 @@
   std::string body;
   bool finished = false;
   bool aborted = false;
-  std::function<void()> gone;
+  std::function<void()> on_disconnected;
 };
 
-struct FrontFixture {
+struct ServiceFixture {
   RolloutFleet fleet;
-  GatewaySide& gateway = *fleet.gateways[0];
-  std::unique_ptr<TrainerService> front =
+  RolloutGateway& gateway = *fleet.gateways[0];
+  std::unique_ptr<TrainerService> service =
       MakeTrainerService(gateway.environment, gateway.control, fleet.configuration);
 
   std::shared_ptr<Answer> Send(const std::string& method, const std::string& target,
                                const std::string& body = "") {
     auto answer = std::make_shared<Answer>();
-    front->Handle({method, target, {}, body}, answer);
+    service->Handle({method, target, {}, body}, answer);
     return answer;
   }
 
@@ -54,12 +56,12 @@
 const char kStep[] = R"({"prompts":[{"text":"one"},{"text":"two","max_tokens":8}]})";
 
 TEST_CASE("a trainer puts a step, reads its samples and goes on behind them") {
-  FrontFixture fixture;
+  ServiceFixture fixture;
   const auto put = fixture.Call("PUT", "/v1/streams/drafts/steps/s1", kStep);
   REQUIRE(put->head.status == 200);
   REQUIRE(put->Json().at("samples").to_number<int>() == 2);
   REQUIRE(fixture.Call("PUT", "/v1/streams/drafts/steps/s1", kStep)->head.status == 200);
-  REQUIRE(fixture.fleet.RunUntilWhole());
+  REQUIRE(fixture.fleet.RunUntilComplete());
   const auto read = fixture.Call("GET", "/v1/streams/drafts/samples?after=0&max=10&wait=5");
   REQUIRE(read->head.status == 200);
   REQUIRE(read->Json().at("samples").as_array().size() == 2);
@@ -71,7 +73,7 @@
 }
 
 TEST_CASE("a read waits until there is a sample, and no longer than asked for") {
-  FrontFixture fixture;
+  ServiceFixture fixture;
   const Duration begin = fixture.fleet.scheduler.Now();
   const auto empty = fixture.Call("GET", "/v1/streams/drafts/samples?after=0&wait=3");
   const Duration waited = fixture.fleet.scheduler.Now() - begin;
@@ -86,12 +88,12 @@
 }
 
 TEST_CASE("a drain ends long polls in order") {
-  FrontFixture fixture;
+  ServiceFixture fixture;
   const auto read = fixture.Send("GET", "/v1/streams/drafts/samples?after=0&wait=60");
   fixture.fleet.scheduler.RunFor(std::chrono::seconds(1));
   REQUIRE_FALSE(read->finished);
   bool drained = false;
-  fixture.front->Drain([&] { drained = true; });
+  fixture.service->Drain([&] { drained = true; });
   REQUIRE(fixture.fleet.scheduler.RunUntilTrue([&] { return drained; }, std::chrono::seconds(2)));
   REQUIRE(read->finished);
   REQUIRE_FALSE(read->aborted);
@@ -100,10 +102,10 @@
 }
 
 TEST_CASE("a trainer that went away is not read for") {
-  FrontFixture fixture;
+  ServiceFixture fixture;
   const auto read = fixture.Send("GET", "/v1/streams/drafts/samples?after=0&wait=60");
   fixture.fleet.scheduler.RunFor(std::chrono::seconds(1));
-  read->gone();
+  read->on_disconnected();
   fixture.fleet.scheduler.RunFor(std::chrono::seconds(2));
   const uint64_t submitted = fixture.gateway.control.submitted;
   fixture.fleet.scheduler.RunFor(std::chrono::seconds(10));
@@ -112,7 +114,7 @@
 }
 
 TEST_CASE("all faults of a step come at once, and nothing of it is taken") {
-  FrontFixture fixture;
+  ServiceFixture fixture;
   const auto answer = fixture.Call(
       "PUT", "/v1/streams/drafts/steps/s1",
       R"({"prompts":[{"text":""},{"text":"x","max_tokens":0},{"text":"y","colour":1},3],"more":1})");
@@ -126,7 +128,7 @@
 }
 
 TEST_CASE("bad requests are told as such and do not run") {
-  FrontFixture fixture;
+  ServiceFixture fixture;
   struct Bad {
     const char* method;
     const char* target;
@@ -154,7 +156,7 @@
 }
 
 TEST_CASE("a version is answered once the stream's log holds it") {
-  FrontFixture fixture;
+  ServiceFixture fixture;
   const auto answer = fixture.Call("PUT", "/v1/models/routing/versions/7",
                                    R"({"digest":"digest-7","location":"w/7"})");
   REQUIRE(answer->head.status == 200);
@@ -166,7 +168,7 @@
 }
 
 TEST_CASE("a version that the cluster refuses does not reach the streams") {
-  FrontFixture fixture;
+  ServiceFixture fixture;
   fixture.gateway.control.cluster_result.code = ClusterResultCode::kConflict;
   const auto answer = fixture.Call("PUT", "/v1/models/routing/versions/7",
                                    R"({"digest":"digest-7","location":"w/7"})");
@@ -176,8 +178,8 @@
 }
 
 TEST_CASE("a publish whose answers are lost is told as unknown") {
-  FrontFixture fixture;
-  fixture.gateway.control.lose_answers = 1000;
+  ServiceFixture fixture;
+  fixture.gateway.control.answers_to_drop = 1000;
   const auto answer = fixture.Call("PUT", "/v1/models/routing/versions/7",
                                    R"({"digest":"digest-7","location":"w/7"})");
   REQUIRE(answer->head.status == 503);
--- a/test/rollout/work_schedule_test.cc
+++ b/test/rollout/work_schedule_test.cc
@@ -24,7 +24,7 @@
   }
 
   /// Two versions an interval of 100 s apart, the second one just now.
-  void LearnInterval() {
+  void EstablishInterval() {
     schedule.OnVersionPublished(at, WeightVersion(1));
     at += std::chrono::seconds(100);
     schedule.OnVersionPublished(at, WeightVersion(2));
@@ -93,7 +93,7 @@
 
 TEST_CASE("the shorter rest of a step waits for the next version") {
   ScheduleFixture fixture;
-  fixture.LearnInterval();
+  fixture.EstablishInterval();
   fixture.context.idle_time_weight = 0.3;
   // The longest three of each step, as one step may run ahead.
   REQUIRE(fixture.TakeAll().size() == 6);
@@ -119,7 +119,7 @@
 
 TEST_CASE("while engines swap, the rest waits even if the trainer does") {
   ScheduleFixture fixture;
-  fixture.LearnInterval();
+  fixture.EstablishInterval();
   fixture.context.idle_time_weight = 0.2;
   fixture.context.trainer_waiting = true;
   fixture.context.swap_pending = true;
@@ -144,21 +144,24 @@
 TEST_CASE("attempts are lost by silence, by not being listed, and with their gateway") {
   AttemptTable table({std::chrono::seconds(5), std::chrono::milliseconds(1500)});
   const TimePoint begin{std::chrono::hours(1)};
-  const NodeId silent("silent");
-  const NodeId talking("talking");
+  const NodeId unresponsive("silent");
+  const NodeId responsive("talking");
   const NodeId dead("dead");
-  table.Grant(begin, {1, 0}, AttemptEpoch(1), silent);
-  table.Grant(begin, {1, 1}, AttemptEpoch(2), talking);
+  table.Grant(begin, {1, 0}, AttemptEpoch(1), unresponsive);
+  table.Grant(begin, {1, 1}, AttemptEpoch(2), responsive);
   table.Grant(begin, {1, 2}, AttemptEpoch(3), dead);
-  std::map<NodeId, AttemptTable::GatewayLiveness> words;
-  words[silent] = {begin, false};
-  words[talking] = {begin + std::chrono::milliseconds(1400), false};
-  REQUIRE(table.DropLost(begin + std::chrono::seconds(2), words).empty());
-  words[talking].last_seen_at = begin + std::chrono::milliseconds(1600);
-  REQUIRE(table.DropLost(begin + std::chrono::seconds(2), words) == std::vector<SampleKey>{{1, 1}});
-  words[dead] = {begin, true};
-  REQUIRE(table.DropLost(begin + std::chrono::seconds(2), words) == std::vector<SampleKey>{{1, 2}});
-  REQUIRE(table.DropLost(begin + std::chrono::seconds(5), words) == std::vector<SampleKey>{{1, 0}});
+  std::map<NodeId, AttemptTable::GatewayLiveness> liveness;
+  liveness[unresponsive] = {begin, false};
+  liveness[responsive] = {begin + std::chrono::milliseconds(1400), false};
+  REQUIRE(table.DropLost(begin + std::chrono::seconds(2), liveness).empty());
+  liveness[responsive].last_seen_at = begin + std::chrono::milliseconds(1600);
+  REQUIRE(table.DropLost(begin + std::chrono::seconds(2), liveness) ==
+          std::vector<SampleKey>{{1, 1}});
+  liveness[dead] = {begin, true};
+  REQUIRE(table.DropLost(begin + std::chrono::seconds(2), liveness) ==
+          std::vector<SampleKey>{{1, 2}});
+  REQUIRE(table.DropLost(begin + std::chrono::seconds(5), liveness) ==
+          std::vector<SampleKey>{{1, 0}});
   REQUIRE(table.in_flight() == 0);
 }
 
