--- a/simulator/fleet/control_machine.cc
+++ b/simulator/fleet/control_machine.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "rollout/stream_factory.h"
-#include "weights/weight_duty.h"
+#include "weights/weight_target_task.h"
 
 namespace millstair::simulator {
 namespace {
@@ -124,9 +124,10 @@
   node_ = MakeControlNode(*environment_, *transport_, disk_, *platform_,
                           MakeStreamFactory(*environment_, *transport_, stream, faults_->stream),
                           Options());
-  node_->AddLeaderTask(MakeWeightDuty(*environment_, [node = node_.get()](ClusterCommand command) {
-    node->Propose(std::move(command), [](const absl::StatusOr<ClusterResult>&) {});
-  }));
+  node_->AddLeaderTask(
+      MakeWeightTargetTask(*environment_, [node = node_.get()](ClusterCommand command) {
+        node->Propose(std::move(command), [](const absl::StatusOr<ClusterResult>&) {});
+      }));
   surroundings_.peers.SetReceiver(plan_.node, node_.get());
   surroundings_.http.Listen(plan_.http_address, *node_);
   (void)node_->Start();
--- a/source/server/server_node.cc
+++ b/source/server/server_node.cc
@@ -11,7 +11,7 @@
 #include "rollout/stream_factory.h"
 #include "server/metrics_page.h"
 #include "server/node_options.h"
-#include "weights/weight_duty.h"
+#include "weights/weight_target_task.h"
 
 namespace millstair {
 namespace {
@@ -101,7 +101,7 @@
   control_ =
       MakeControlNode(*environment_, *peers_, *files_, *back_ends_,
                       MakeStreamFactory(*environment_, *peers_), ControlOptionsOf(settings_, self));
-  control_->AddLeaderTask(MakeWeightDuty(*environment_, [this](ClusterCommand command) {
+  control_->AddLeaderTask(MakeWeightTargetTask(*environment_, [this](ClusterCommand command) {
     control_->Propose(std::move(command), [](const absl::StatusOr<ClusterResult>&) {});
   }));
   if (ServesPlatform()) {
--- a/source/weights/weight_duty.cc
+++ b/source/weights/weight_target_task.cc
@@ -1,4 +1,4 @@
-#include "weights/weight_duty.h"
+#include "weights/weight_target_task.h"
 
 #include <algorithm>
 #include <cmath>
@@ -18,10 +18,10 @@
   return newest;
 }
 
-class WeightDuty : public LeaderTask {
+class WeightTargetTask : public LeaderTask {
  public:
-  WeightDuty(Environment& environment, std::function<void(ClusterCommand)> propose,
-             WeightDutyOptions options)
+  WeightTargetTask(Environment& environment, std::function<void(ClusterCommand)> propose,
+                   WeightTargetOptions options)
       : environment_(environment), propose_(std::move(propose)), options_(options) {}
 
   void Run(const Configuration& configuration) override {
@@ -33,19 +33,19 @@
     });
     const PlacementRules& rules = rules_.For(configuration);
     for (const auto& [model, status] : configuration.models) {
-      TakeModel(configuration, rules, status);
+      RefreshModel(configuration, rules, status);
       RunModel(progress_[model]);
     }
   }
 
   void Observe(const NodeId&, const EngineObservation& observation) override {
-    EngineObservation& known = observed_[observation.engine];
-    if (observation.incarnation < known.incarnation) return;
-    if (observation.incarnation > known.incarnation) known = observation;
+    EngineObservation& record = observed_[observation.engine];
+    if (observation.incarnation < record.incarnation) return;
+    if (observation.incarnation > record.incarnation) record = observation;
     // Gateways repeat what they saw long ago. Versions count up, so within one life of the engine
     // the largest ones are the newest word.
-    known.staged = std::max(known.staged, observation.staged);
-    known.active = std::max(known.active, observation.active);
+    record.staged = std::max(record.staged, observation.staged);
+    record.active = std::max(record.active, observation.active);
     for (auto& [model, progress] : progress_) {
       if (progress.status.active < progress.status.staged) RunModel(progress);
     }
@@ -56,18 +56,18 @@
     /// As of the last run.
     ModelStatus status;
     std::vector<EngineName> live_engines;
-    Duration staging_limit{0};
+    Duration staging_timeout{0};
     /// Staged version that is waited for, since when.
     WeightVersion staged;
-    TimePoint staged_since;
+    TimePoint staging_started_at;
     /// Last proposal.
     WeightVersion proposed_staged;
     WeightVersion proposed_active;
     TimePoint proposed_at;
   };
 
-  void TakeModel(const Configuration& configuration, const PlacementRules& rules,
-                 const ModelStatus& status) {
+  void RefreshModel(const Configuration& configuration, const PlacementRules& rules,
+                    const ModelStatus& status) {
     Progress& progress = progress_[status.model];
     progress.status = status;
     progress.live_engines.clear();
@@ -76,18 +76,18 @@
         progress.live_engines.push_back(engine);
       }
     }
-    progress.staging_limit =
-        StagingLimit(configuration, status.model, progress.live_engines.size());
+    progress.staging_timeout =
+        StagingTimeout(configuration, status.model, progress.live_engines.size());
     if (progress.staged == status.staged) return;
     progress.staged = status.staged;
-    progress.staged_since = environment_.Now();
+    progress.staging_started_at = environment_.Now();
   }
 
   void RunModel(Progress& progress) {
     const ModelStatus& status = progress.status;
     WeightVersion staged = status.staged;
     WeightVersion active = status.active;
-    if (status.active < status.staged && StagedEnough(progress)) active = status.staged;
+    if (status.active < status.staged && IsSufficientlyStaged(progress)) active = status.staged;
     // A further version is fetched only once the one before is served, so that a quick publisher
     // can't keep all of them from being served.
     if (active >= status.staged) staged = std::max(staged, NewestPublished(status));
@@ -99,7 +99,7 @@
                WeightVersion active) {
     const TimePoint now = environment_.Now();
     const bool repeated = progress.proposed_staged == staged && progress.proposed_active == active;
-    if (repeated && now - progress.proposed_at < options_.propose_again) return;
+    if (repeated && now - progress.proposed_at < options_.repropose_interval) return;
     progress.proposed_staged = staged;
     progress.proposed_active = active;
     progress.proposed_at = now;
@@ -110,7 +110,7 @@
     propose_(std::move(command));
   }
 
-  bool StagedEnough(const Progress& progress) const {
+  bool IsSufficientlyStaged(const Progress& progress) const {
     const WeightVersion wanted = progress.status.staged;
     size_t holding = 0;
     for (const EngineName& engine : progress.live_engines) {
@@ -120,31 +120,31 @@
       if (holds) ++holding;
     }
     const size_t engines = progress.live_engines.size();
-    constexpr size_t kSpareFrom = 3;
+    constexpr size_t kMinEnginesForSpare = 3;
     size_t spare = 0;
-    if (engines >= kSpareFrom) {
+    if (engines >= kMinEnginesForSpare) {
       const double share = options_.unstaged_share * static_cast<double>(engines);
       spare = std::max<size_t>(1, static_cast<size_t>(share));
     }
     if (holding + spare >= engines) return true;
-    return environment_.Now() - progress.staged_since >= progress.staging_limit;
+    return environment_.Now() - progress.staging_started_at >= progress.staging_timeout;
   }
 
-  Duration StagingLimit(const Configuration& configuration, const ModelName& model,
-                        size_t engines) const {
+  Duration StagingTimeout(const Configuration& configuration, const ModelName& model,
+                          size_t engines) const {
     const auto* spec = configuration.FindSpec<ModelSpec>(ResourceKind::kModel, model.value());
-    if (spec == nullptr || spec->store_bytes_per_second == 0) return options_.shortest_staging;
+    if (spec == nullptr || spec->store_bytes_per_second == 0) return options_.min_staging_time;
     const double seconds = 2.0 * static_cast<double>(engines) *
                            static_cast<double>(spec->version_bytes) /
                            static_cast<double>(spec->store_bytes_per_second);
-    const Duration longest = options_.longest_staging;
+    const Duration longest = options_.max_staging_time;
     if (seconds >= ToSeconds(longest)) return longest;
-    return std::max(FromSeconds(seconds), options_.shortest_staging);
+    return std::max(FromSeconds(seconds), options_.min_staging_time);
   }
 
   Environment& environment_;
   std::function<void(ClusterCommand)> propose_;
-  WeightDutyOptions options_;
+  WeightTargetOptions options_;
   PlacementRulesCache rules_;
   std::map<EngineName, EngineObservation> observed_;
   std::map<ModelName, Progress> progress_;
@@ -152,10 +152,10 @@
 
 }  // namespace
 
-std::unique_ptr<LeaderTask> MakeWeightDuty(Environment& environment,
-                                           std::function<void(ClusterCommand)> propose,
-                                           WeightDutyOptions options) {
-  return std::make_unique<WeightDuty>(environment, std::move(propose), options);
+std::unique_ptr<LeaderTask> MakeWeightTargetTask(Environment& environment,
+                                                 std::function<void(ClusterCommand)> propose,
+                                                 WeightTargetOptions options) {
+  return std::make_unique<WeightTargetTask>(environment, std::move(propose), options);
 }
 
 }  // namespace millstair
--- a/source/weights/weight_duty.h
+++ b/source/weights/weight_target_task.h
@@ -14,20 +14,20 @@
 
 namespace millstair {
 
-struct WeightDutyOptions {
+struct WeightTargetOptions {
   /// Share of a model's live engines that need not hold a version before it is served; at least one
   /// of three or more, so that a dead engine that still counts as live holds nobody up.
   double unstaged_share = 0.1;
   /// Least and largest time given to staging; in between it is twice what the store's rate asks.
-  Duration shortest_staging = std::chrono::seconds(5);
-  Duration longest_staging = std::chrono::seconds(120);
+  Duration min_staging_time = std::chrono::seconds(5);
+  Duration max_staging_time = std::chrono::seconds(120);
   /// A proposal is repeated if it has had no effect after this long.
-  Duration propose_again = std::chrono::seconds(1);
+  Duration repropose_interval = std::chrono::seconds(1);
 };
 
 /// `propose` proposes to the cluster group; whatever becomes of it shows in the configuration.
-std::unique_ptr<LeaderTask> MakeWeightDuty(Environment& environment,
-                                           std::function<void(ClusterCommand)> propose,
-                                           WeightDutyOptions options = {});
+std::unique_ptr<LeaderTask> MakeWeightTargetTask(Environment& environment,
+                                                 std::function<void(ClusterCommand)> propose,
+                                                 WeightTargetOptions options = {});
 
 }  // namespace millstair
--- a/test/weights/reconciler_test.cc
+++ b/test/weights/reconciler_test.cc
@@ -67,7 +67,7 @@
       old.engine = WeightFleet::Name(i);
       old.incarnation = fleet.models[static_cast<size_t>(i)]->incarnation();
       old.active = WeightVersion(1);
-      fleet.duty->Observe(NodeId("other"), old);
+      fleet.task->Observe(NodeId("other"), old);
     }
   };
   for (int i = 0; i < 40 && fleet.Serving(2) < 4; ++i) {
--- a/test/weights/weight_fleet.h
+++ b/test/weights/weight_fleet.h
@@ -1,4 +1,4 @@
-/// Engine models under real weight duty and reconcilers; the cluster state is a plain value.
+/// Engine models under real weight task and reconcilers; the cluster state is a plain value.
 #pragma once
 
 #include <map>
@@ -12,7 +12,7 @@
 #include "fmt/format.h"
 #include "test/cluster/fake_configuration_client.h"
 #include "weights/engine_reconciler.h"
-#include "weights/weight_duty.h"
+#include "weights/weight_target_task.h"
 
 namespace millstair {
 
@@ -70,10 +70,10 @@
     held.models[kCaption].model = kCaption;
     for (int i = 0; i < engine_count; ++i) AddEngine(i);
     for (int i = 0; i < gateway_count; ++i) AddGateway(i, options);
-    duty = MakeWeightDuty(store_environment_,
-                          [this](const ClusterCommand& command) { Apply(command); });
+    task = MakeWeightTargetTask(store_environment_,
+                                [this](const ClusterCommand& command) { Apply(command); });
     Poll();
-    RunDuty();
+    RunTask();
   }
 
   template <class Spec>
@@ -124,13 +124,13 @@
     scheduler.Schedule(kPoll, [this] { Poll(); });
   }
 
-  void RunDuty() {
+  void RunTask() {
     for (const EngineObservation& report : configuration.reports) {
-      duty->Observe(NodeId("gateway"), report);
+      task->Observe(NodeId("gateway"), report);
     }
     configuration.reports.clear();
-    duty->Run(configuration.held);
-    scheduler.Schedule(std::chrono::seconds(1), [this] { RunDuty(); });
+    task->Run(configuration.held);
+    scheduler.Schedule(std::chrono::seconds(1), [this] { RunTask(); });
   }
 
   void Apply(const ClusterCommand& command) {
@@ -151,7 +151,7 @@
     configuration.held.revision = Next(configuration.held.revision);
     configuration.held.models[kCaption].published.push_back(
         {WeightVersion(version), WeightsDigest(version), fmt::format("w{}", version)});
-    duty->Run(configuration.held);
+    task->Run(configuration.held);
   }
 
   uint32_t Serving(uint64_t version) const {
@@ -181,7 +181,7 @@
   WeightsEngines engines;
   std::vector<std::unique_ptr<EngineModel>> models;
   std::vector<std::unique_ptr<EngineReconciler>> gateways;
-  std::unique_ptr<LeaderTask> duty;
+  std::unique_ptr<LeaderTask> task;
   std::vector<SetModelTarget> targets;
   Duration activated_at{0};
 };
