--- a/source/weights/engine_reconciler.cc
+++ b/source/weights/engine_reconciler.cc
@@ -9,7 +9,7 @@
 #include "common/scoped_timer.h"
 #include "routing/placement_rules.h"
 #include "weights/engine_wants.h"
-#include "weights/store_pace.h"
+#include "weights/store_rate_limiter.h"
 
 namespace millstair {
 namespace {
@@ -191,10 +191,10 @@
     // One that only stands in for others takes the share of one engine.
     const double share = std::max(own, 1.0) / std::max<double>(engines.size(), 1.0);
     const TimePoint now = environment_.Now();
-    StorePace& pace = paces_[model];
-    pace.SetRate(now, share * static_cast<double>(spec->store_bytes_per_second),
-                 static_cast<double>(spec->version_bytes));
-    return pace.TakeVersion(now);
+    StoreRateLimiter& limiter = rate_limiters_[model];
+    limiter.SetRate(now, share * static_cast<double>(spec->store_bytes_per_second),
+                    static_cast<double>(spec->version_bytes));
+    return limiter.TryAcquireVersion(now);
   }
 
   /// Engines swap in an order that all gateways agree on. One may swap while fewer than a wave of
@@ -314,7 +314,7 @@
   std::map<EngineName, uint32_t> ranks_;
   std::map<EngineName, Known> known_;
   std::map<ModelName, Activation> activations_;
-  std::map<ModelName, StorePace> paces_;
+  std::map<ModelName, StoreRateLimiter> rate_limiters_;
   PlacementRulesCache rules_;
   ReconcilerCounts counts_;
   uint64_t last_order_ = 0;
