--- a/source/weights/engine_reconciler.cc
+++ b/source/weights/engine_reconciler.cc
@@ -8,7 +8,7 @@
 #include "common/event_log.h"
 #include "common/scoped_timer.h"
 #include "routing/placement_rules.h"
-#include "weights/engine_wants.h"
+#include "weights/engine_target.h"
 #include "weights/store_rate_limiter.h"
 
 namespace millstair {
@@ -43,7 +43,8 @@
 
   bool InDoubt(const EngineName& engine) const override {
     const auto known = known_.find(engine);
-    return known != known_.end() && ReportInDoubt(client_.configuration(), known->second.report);
+    return known != known_.end() &&
+           HasUncertainWeights(client_.configuration(), known->second.report);
   }
 
   const ReconcilerCounts& counts() const override { return counts_; }
@@ -100,7 +101,7 @@
     for (const WeightVersion version : report.staged_versions) {
       observation.staged = std::max(observation.staged, version);
     }
-    observation.consistent = !ReportInDoubt(Configured(), report);
+    observation.consistent = !HasUncertainWeights(Configured(), report);
     const std::optional<EngineObservation>& told = known.told;
     const bool same = told && told->leaving == observation.leaving &&
                       told->staged == observation.staged && told->active == observation.active &&
@@ -118,13 +119,14 @@
     // An engine that leaves gets no new work, orders included.
     if (known.report.draining || EffectiveState(Configured(), engine) != MemberState::kLive) return;
     const PlacementRules& rules = rules_.For(Configured());
-    std::optional<EngineWants> wants = WantsOf(Configured(), rules, engine, known.report.model);
-    if (!wants) return;
+    std::optional<EngineTarget> target =
+        EngineTargetFor(Configured(), rules, engine, known.report.model);
+    if (!target) return;
     // The engine follows a configuration that is newer than ours.
     if (known.report.last_fence > Configured().revision) return;
     // What set its fence is part of our configuration, even if that has been deleted since.
-    wants->fence = std::max(wants->fence, known.report.last_fence);
-    std::optional<EngineOrder> order = NextOrder(*wants, known);
+    target->fence = std::max(target->fence, known.report.last_fence);
+    std::optional<EngineOrder> order = NextOrder(*target, known);
     if (!order) {
       known.differs_since.reset();
       return;
@@ -136,38 +138,38 @@
     Send(engine, known, *order);
   }
 
-  std::optional<EngineOrder> NextOrder(const EngineWants& wants, const Known& known) const {
-    std::optional<EngineOrder> order = NextWeightOrder(wants, known.report);
+  std::optional<EngineOrder> NextOrder(const EngineTarget& target, const Known& known) const {
+    std::optional<EngineOrder> order = NextWeightOrder(target, known.report);
     if (order) return order;
-    if (wants.role && *wants.role != known.report.role) {
-      return OtherOrder(wants, OrderKind::kChangeRole, "", *wants.role);
+    if (target.role && *target.role != known.report.role) {
+      return OtherOrder(target, OrderKind::kChangeRole, "", *target.role);
     }
-    for (const auto& [name, adapter] : wants.adapters) {
+    for (const auto& [name, adapter] : target.adapters) {
       const auto loaded = known.adapters.find(name);
       if (loaded != known.adapters.end() && loaded->second == adapter.version) continue;
       // A changed adapter is unloaded first.
       if (loaded != known.adapters.end()) {
-        return OtherOrder(wants, OrderKind::kUnloadAdapter, name, "");
+        return OtherOrder(target, OrderKind::kUnloadAdapter, name, "");
       }
-      EngineOrder load = OtherOrder(wants, OrderKind::kLoadAdapter, name, "");
+      EngineOrder load = OtherOrder(target, OrderKind::kLoadAdapter, name, "");
       load.location = adapter.location;
       load.digest = adapter.digest;
       return load;
     }
     for (const auto& [name, version] : known.adapters) {
-      if (!wants.adapters.contains(name)) {
-        return OtherOrder(wants, OrderKind::kUnloadAdapter, name, "");
+      if (!target.adapters.contains(name)) {
+        return OtherOrder(target, OrderKind::kUnloadAdapter, name, "");
       }
     }
     return std::nullopt;
   }
 
-  static EngineOrder OtherOrder(const EngineWants& wants, OrderKind kind,
+  static EngineOrder OtherOrder(const EngineTarget& target, OrderKind kind,
                                 const std::string& adapter, const std::string& role) {
     EngineOrder order;
     order.kind = kind;
-    order.fence = wants.fence;
-    order.model = wants.model;
+    order.fence = target.fence;
+    order.model = target.model;
     order.adapter = adapter;
     order.role = role;
     return order;
@@ -205,8 +207,8 @@
       if (EffectiveState(Configured(), other) == MemberState::kLive) live.push_back(other);
     }
     const auto* spec = Configured().FindSpec<ModelSpec>(ResourceKind::kModel, order.model.value());
-    const uint32_t wave = SwapsAtOnce(static_cast<uint32_t>(live.size()),
-                                      spec == nullptr ? 0 : spec->live_capacity_floor);
+    const uint32_t wave = MaxConcurrentSwaps(static_cast<uint32_t>(live.size()),
+                                             spec == nullptr ? 0 : spec->live_capacity_floor);
     const uint32_t position = SwapPosition(live, engine, order.version);
     uint32_t pending = 0;
     for (const EngineName& other : live) {
--- a/source/weights/engine_reconciler.h
+++ b/source/weights/engine_reconciler.h
@@ -1,4 +1,4 @@
-/// Brings engines to the weights, adapters and role that the configuration wants: compares what
+/// Brings engines to the weights, adapters and role that the configuration target: compares what
 /// engines report with what is wanted, and orders the difference, again and again until there is
 /// none. Runs on each gateway for the engines that it observes.
 ///
--- a/source/weights/engine_wants.cc
+++ b/source/weights/engine_target.cc
@@ -1,4 +1,4 @@
-#include "weights/engine_wants.h"
+#include "weights/engine_target.h"
 
 #include <xxhash.h>
 
@@ -15,25 +15,25 @@
   return {};
 }
 
-void TakeAdapters(const Configuration& configuration, EngineWants& wants) {
+void AddAdapters(const Configuration& configuration, EngineTarget& target) {
   for (const auto& [key, resource] : configuration.resources) {
     const auto* adapter = std::get_if<AdapterSpec>(&resource.spec);
-    if (adapter == nullptr || adapter->model != wants.model) continue;
-    wants.adapters[resource.name] = {adapter->location, adapter->digest, resource.version};
-    wants.fence = std::max(wants.fence, resource.version);
+    if (adapter == nullptr || adapter->model != target.model) continue;
+    target.adapters[resource.name] = {adapter->location, adapter->digest, resource.version};
+    target.fence = std::max(target.fence, resource.version);
   }
 }
 
-void TakeRole(const Configuration& configuration, const EngineName& engine, EngineWants& wants) {
+void AddRole(const Configuration& configuration, const EngineName& engine, EngineTarget& target) {
   const Labels labels = EngineLabels(configuration, engine);
-  if (const auto role = labels.find(kRoleLabel); role != labels.end()) wants.role = role->second;
+  if (const auto role = labels.find(kRoleLabel); role != labels.end()) target.role = role->second;
   const auto resource = configuration.resources.find({ResourceKind::kEngine, engine.value()});
   if (resource == configuration.resources.end()) return;
-  wants.fence = std::max(wants.fence, resource->second.version);
+  target.fence = std::max(target.fence, resource->second.version);
   const auto& spec = std::get<EngineSpec>(resource->second.spec);
   const auto machine = configuration.resources.find({ResourceKind::kMachine, spec.machine});
   if (machine != configuration.resources.end()) {
-    wants.fence = std::max(wants.fence, machine->second.version);
+    target.fence = std::max(target.fence, machine->second.version);
   }
 }
 
@@ -42,11 +42,12 @@
          report.staged_versions.end();
 }
 
-EngineOrder WeightOrder(const EngineWants& wants, OrderKind kind, const PublishedVersion& version) {
+EngineOrder MakeWeightOrder(const EngineTarget& target, OrderKind kind,
+                            const PublishedVersion& version) {
   EngineOrder order;
   order.kind = kind;
-  order.fence = wants.fence;
-  order.model = wants.model;
+  order.fence = target.fence;
+  order.model = target.model;
   order.version = version.version;
   order.digest = version.digest;
   order.location = version.location;
@@ -54,33 +55,36 @@
 }
 
 /// The engine serves `wanted`, and all of its shards do.
-bool Serves(const EngineReport& report, const EngineWants& wants, const PublishedVersion& wanted) {
-  return report.model == wants.model && report.shards == ShardState::kConsistent &&
+bool Serves(const EngineReport& report, const EngineTarget& target,
+            const PublishedVersion& wanted) {
+  return report.model == target.model && report.shards == ShardState::kConsistent &&
          report.active_version == wanted.version && report.active_digest == wanted.digest;
 }
 
 }  // namespace
 
-std::optional<EngineWants> WantsOf(const Configuration& configuration, const PlacementRules& rules,
-                                   const EngineName& engine, const ModelName& reported_model) {
+std::optional<EngineTarget> EngineTargetFor(const Configuration& configuration,
+                                            const PlacementRules& rules, const EngineName& engine,
+                                            const ModelName& reported_model) {
   const std::vector<ModelName>& models = rules.ModelsForEngine(engine);
   if (models.empty()) return std::nullopt;
-  EngineWants wants;
-  const bool keeps = std::find(models.begin(), models.end(), reported_model) != models.end();
-  wants.model = keeps ? reported_model : models.front();
-  if (const auto found = configuration.models.find(wants.model);
+  EngineTarget target;
+  const bool keeps_reported =
+      std::find(models.begin(), models.end(), reported_model) != models.end();
+  target.model = keeps_reported ? reported_model : models.front();
+  if (const auto found = configuration.models.find(target.model);
       found != configuration.models.end()) {
     const ModelStatus& status = found->second;
-    wants.staged = FindPublished(status, status.staged);
-    wants.active = FindPublished(status, status.active);
-    wants.fence = std::max(status.staged_at, status.active_at);
+    target.staged = FindPublished(status, status.staged);
+    target.active = FindPublished(status, status.active);
+    target.fence = std::max(status.staged_at, status.active_at);
   }
-  TakeAdapters(configuration, wants);
-  TakeRole(configuration, engine, wants);
-  return wants;
+  AddAdapters(configuration, target);
+  AddRole(configuration, engine, target);
+  return target;
 }
 
-bool ReportInDoubt(const Configuration& configuration, const EngineReport& report) {
+bool HasUncertainWeights(const Configuration& configuration, const EngineReport& report) {
   if (report.shards == ShardState::kMixed) return true;
   const auto model = configuration.models.find(report.model);
   if (model == configuration.models.end()) return false;
@@ -88,25 +92,25 @@
   return published.version.value() != 0 && published.digest != report.active_digest;
 }
 
-std::optional<EngineOrder> NextWeightOrder(const EngineWants& wants, const EngineReport& report) {
-  const bool wants_active = wants.active.version.value() != 0;
-  const bool newer_served = report.model == wants.model &&
+std::optional<EngineOrder> NextWeightOrder(const EngineTarget& target, const EngineReport& report) {
+  const bool has_active_target = target.active.version.value() != 0;
+  const bool newer_served = report.model == target.model &&
                             report.shards == ShardState::kConsistent &&
-                            report.active_version > wants.active.version;
-  if (wants_active && !newer_served && !Serves(report, wants, wants.active)) {
+                            report.active_version > target.active.version;
+  if (has_active_target && !newer_served && !Serves(report, target, target.active)) {
     if (report.shards == ShardState::kSwapping) return std::nullopt;
     const OrderKind kind =
-        Holds(report, wants.active.version) ? OrderKind::kActivate : OrderKind::kStage;
-    return WeightOrder(wants, kind, wants.active);
+        Holds(report, target.active.version) ? OrderKind::kActivate : OrderKind::kStage;
+    return MakeWeightOrder(target, kind, target.active);
   }
-  const bool fetch = wants.staged.version > report.active_version &&
-                     wants.staged.version > wants.active.version &&
-                     !Holds(report, wants.staged.version);
-  if (fetch) return WeightOrder(wants, OrderKind::kStage, wants.staged);
+  const bool needs_staging = target.staged.version > report.active_version &&
+                             target.staged.version > target.active.version &&
+                             !Holds(report, target.staged.version);
+  if (needs_staging) return MakeWeightOrder(target, OrderKind::kStage, target.staged);
   for (const WeightVersion version : report.staged_versions) {
-    const bool wanted = version == wants.staged.version || version == wants.active.version;
-    if (wanted || version == report.active_version || version > wants.staged.version) continue;
-    return WeightOrder(wants, OrderKind::kUnload, {version, WeightDigest(), ""});
+    const bool wanted = version == target.staged.version || version == target.active.version;
+    if (wanted || version == report.active_version || version > target.staged.version) continue;
+    return MakeWeightOrder(target, OrderKind::kUnload, {version, WeightDigest(), ""});
   }
   return std::nullopt;
 }
@@ -125,7 +129,7 @@
   return position;
 }
 
-uint32_t SwapsAtOnce(uint32_t engines, double floor) {
+uint32_t MaxConcurrentSwaps(uint32_t engines, double floor) {
   const double free = std::floor((1.0 - std::clamp(floor, 0.0, 1.0)) * engines + 1e-9);
   return std::max(static_cast<uint32_t>(free), 1U);
 }
--- a/source/weights/engine_wants.h
+++ b/source/weights/engine_target.h
@@ -14,7 +14,7 @@
 namespace millstair {
 
 /// Wanted state of one engine.
-struct EngineWants {
+struct EngineTarget {
   ModelName model;
   /// Version to fetch ahead, and version to serve; with version 0, none.
   PublishedVersion staged;
@@ -34,20 +34,21 @@
 };
 
 /// None if the engine is to hold no model. `reported_model` is kept if it is among the engine's.
-std::optional<EngineWants> WantsOf(const Configuration& configuration, const PlacementRules& rules,
-                                   const EngineName& engine, const ModelName& reported_model);
+std::optional<EngineTarget> EngineTargetFor(const Configuration& configuration,
+                                            const PlacementRules& rules, const EngineName& engine,
+                                            const ModelName& reported_model);
 
 /// The report contradicts itself or what was published: the engine must not be given work.
-bool ReportInDoubt(const Configuration& configuration, const EngineReport& report);
+bool HasUncertainWeights(const Configuration& configuration, const EngineReport& report);
 
 /// Weight order that is due; none if the weights are as wanted. Staging goes first.
-std::optional<EngineOrder> NextWeightOrder(const EngineWants& wants, const EngineReport& report);
+std::optional<EngineOrder> NextWeightOrder(const EngineTarget& target, const EngineReport& report);
 
 /// Place of `engine` in the order in which the engines of a model swap to `version`, from 0.
 uint32_t SwapPosition(const std::vector<EngineName>& engines, const EngineName& engine,
                       WeightVersion version);
 
 /// How many of `engines` may swap at once so that `floor` of them go on; at least 1.
-uint32_t SwapsAtOnce(uint32_t engines, double floor);
+uint32_t MaxConcurrentSwaps(uint32_t engines, double floor);
 
 }  // namespace millstair
--- a/test/weights/reconciler_test.cc
+++ b/test/weights/reconciler_test.cc
@@ -2,7 +2,7 @@
 #include <set>
 
 #include "weight_fleet.h"
-#include "weights/engine_wants.h"
+#include "weights/engine_target.h"
 
 namespace millstair {
 namespace {
@@ -239,10 +239,10 @@
 }
 
 TEST_CASE("at least one engine may swap, and a floor of a half lets half swap") {
-  REQUIRE(SwapsAtOnce(8, 0.5) == 4);
-  REQUIRE(SwapsAtOnce(8, 1.0) == 1);
-  REQUIRE(SwapsAtOnce(10, 0.9) == 1);
-  REQUIRE(SwapsAtOnce(8, 0.0) == 8);
+  REQUIRE(MaxConcurrentSwaps(8, 0.5) == 4);
+  REQUIRE(MaxConcurrentSwaps(8, 1.0) == 1);
+  REQUIRE(MaxConcurrentSwaps(10, 0.9) == 1);
+  REQUIRE(MaxConcurrentSwaps(8, 0.0) == 8);
 }
 
 }  // namespace
