--- a/source/gateway/gateway_node.cc
+++ b/source/gateway/gateway_node.cc
@@ -75,8 +75,8 @@
   void Start() override {
     configuration_->OnChange([this](const ConfigurationDelta&) { OnConfiguration(); });
     observer_.OnReport([this](const EngineName& engine, const EngineReport& report) {
-      reconciler_->Note(engine, report);
-      router_.SetWeightsUncertain(engine, reconciler_->InDoubt(engine));
+      reconciler_->OnEngineReport(engine, report);
+      router_.SetWeightsUncertain(engine, reconciler_->AreWeightsUncertain(engine));
     });
     configuration_->Start();
     observer_.Start();
--- a/source/weights/engine_reconciler.cc
+++ b/source/weights/engine_reconciler.cc
@@ -28,71 +28,72 @@
 
   void SetObserved(std::map<EngineName, uint32_t> ranks) override { ranks_ = std::move(ranks); }
 
-  void Note(const EngineName& engine, const EngineReport& report) override {
-    Known& known = known_[engine];
-    if (report.incarnation < known.report.incarnation) return;
-    if (report.incarnation != known.report.incarnation) {
-      known = Known();
-      known.report = report;
+  void OnEngineReport(const EngineName& engine, const EngineReport& report) override {
+    EngineRecord& record = records_[engine];
+    if (report.incarnation < record.report.incarnation) return;
+    if (report.incarnation != record.report.incarnation) {
+      record = EngineRecord();
+      record.report = report;
     }
-    known.report = report;
+    record.report = report;
     if (!ranks_.contains(engine)) return;
-    Tell(engine, known);
-    Reconcile(engine, known);
+    ReportObservation(engine, record);
+    Reconcile(engine, record);
   }
 
-  bool InDoubt(const EngineName& engine) const override {
-    const auto known = known_.find(engine);
-    return known != known_.end() &&
-           HasUncertainWeights(client_.configuration(), known->second.report);
+  bool AreWeightsUncertain(const EngineName& engine) const override {
+    const auto record = records_.find(engine);
+    return record != records_.end() &&
+           HasUncertainWeights(client_.configuration(), record->second.report);
   }
 
   const ReconcilerCounts& counts() const override { return counts_; }
 
  private:
-  /// An engine as last reported, and what was ordered. Begins anew with each of its incarnations.
-  struct Known {
+  /// An engine as last reported, and what was order_pending. Begins anew with each of its
+  /// incarnations.
+  struct EngineRecord {
     EngineReport report;
     /// An order is under way.
-    bool ordered = false;
+    bool order_pending = false;
     /// Tells answers to the present order from late ones.
     uint64_t order_number = 0;
-    TimePoint ordered_until;
-    TimePoint not_before;
+    TimePoint order_deadline;
+    TimePoint retry_at;
     Duration backoff{0};
     std::optional<TimePoint> differs_since;
     /// Adapters loaded by our orders, with the revision of their resources; reports don't list
     /// them.
     std::map<std::string, Revision> adapters;
-    std::optional<EngineObservation> told;
+    std::optional<EngineObservation> reported;
   };
 
   void Tick() {
     timer_.Arm(options_.tick, [this] { Tick(); });
-    NoteActivations();
-    std::erase_if(known_, [&](const auto& known) {
-      return !Configured().resources.contains({ResourceKind::kEngine, known.first.value()});
+    UpdateActivations();
+    std::erase_if(records_, [&](const auto& record) {
+      return !configuration().resources.contains({ResourceKind::kEngine, record.first.value()});
     });
     for (const auto& [engine, rank] : ranks_) {
-      const auto known = known_.find(engine);
-      if (known == known_.end()) continue;
-      Reconcile(engine, known->second);
+      const auto record = records_.find(engine);
+      if (record == records_.end()) continue;
+      Reconcile(engine, record->second);
     }
   }
 
-  const Configuration& Configured() const { return client_.configuration(); }
+  const Configuration& configuration() const { return client_.configuration(); }
 
   /// Notes since when this gateway knows that a version is to be served.
-  void NoteActivations() {
-    for (const auto& [model, status] : Configured().models) {
+  void UpdateActivations() {
+    for (const auto& [model, status] : configuration().models) {
       Activation& activation = activations_[model];
       if (activation.version == status.active) continue;
       activation = {status.active, environment_.Now()};
     }
   }
 
-  void Tell(const EngineName& engine, Known& known) {
-    const EngineReport& report = known.report;
+  void ReportObservation(const EngineName& engine, EngineRecord& record) {
+    const EngineReport& report = record.report;
     EngineObservation observation;
     observation.engine = engine;
     observation.incarnation = report.incarnation;
@@ -101,71 +102,74 @@
     for (const WeightVersion version : report.staged_versions) {
       observation.staged = std::max(observation.staged, version);
     }
-    observation.consistent = !HasUncertainWeights(Configured(), report);
-    const std::optional<EngineObservation>& told = known.told;
-    const bool same = told && told->leaving == observation.leaving &&
-                      told->staged == observation.staged && told->active == observation.active &&
-                      told->consistent == observation.consistent;
-    if (same) return;
-    known.told = observation;
+    observation.consistent = !HasUncertainWeights(configuration(), report);
+    const std::optional<EngineObservation>& reported = record.reported;
+    const bool unchanged = reported && reported->leaving == observation.leaving &&
+                           reported->staged == observation.staged &&
+                           reported->active == observation.active &&
+                           reported->consistent == observation.consistent;
+    if (unchanged) return;
+    record.reported = observation;
     client_.Report(observation);
   }
 
-  void Reconcile(const EngineName& engine, Known& known) {
+  void Reconcile(const EngineName& engine, EngineRecord& record) {
     const TimePoint now = environment_.Now();
-    if (known.ordered && now < known.ordered_until) return;
-    known.ordered = false;
-    if (now < known.not_before || !client_.LeaseValid()) return;
+    if (record.order_pending && now < record.order_deadline) return;
+    record.order_pending = false;
+    if (now < record.retry_at || !client_.LeaseValid()) return;
     // An engine that leaves gets no new work, orders included.
-    if (known.report.draining || EffectiveState(Configured(), engine) != MemberState::kLive) return;
-    const PlacementRules& rules = rules_.For(Configured());
+    if (record.report.draining || EffectiveState(configuration(), engine) != MemberState::kLive)
+      return;
+    const PlacementRules& rules = rules_.For(configuration());
     std::optional<EngineTarget> target =
-        EngineTargetFor(Configured(), rules, engine, known.report.model);
+        EngineTargetFor(configuration(), rules, engine, record.report.model);
     if (!target) return;
     // The engine follows a configuration that is newer than ours.
-    if (known.report.last_fence > Configured().revision) return;
+    if (record.report.last_fence > configuration().revision) return;
     // What set its fence is part of our configuration, even if that has been deleted since.
-    target->fence = std::max(target->fence, known.report.last_fence);
-    std::optional<EngineOrder> order = NextOrder(*target, known);
+    target->fence = std::max(target->fence, record.report.last_fence);
+    std::optional<EngineOrder> order = NextOrder(*target, record);
     if (!order) {
-      known.differs_since.reset();
+      record.differs_since.reset();
       return;
     }
-    if (!known.differs_since) known.differs_since = now;
-    const bool stand_in = ranks_[engine] != 0;
-    if (stand_in && now - *known.differs_since < options_.stand_in_after) return;
-    if (!Allowed(engine, *order, rules)) return;
-    Send(engine, known, *order);
+    if (!record.differs_since) record.differs_since = now;
+    const bool second_observer = ranks_[engine] != 0;
+    if (second_observer && now - *record.differs_since < options_.second_observer_delay) return;
+    if (!IsAllowed(engine, *order, rules)) return;
+    Send(engine, record, *order);
   }
 
-  std::optional<EngineOrder> NextOrder(const EngineTarget& target, const Known& known) const {
-    std::optional<EngineOrder> order = NextWeightOrder(target, known.report);
+  std::optional<EngineOrder> NextOrder(const EngineTarget& target,
+                                       const EngineRecord& record) const {
+    std::optional<EngineOrder> order = NextWeightOrder(target, record.report);
     if (order) return order;
-    if (target.role && *target.role != known.report.role) {
-      return OtherOrder(target, OrderKind::kChangeRole, "", *target.role);
+    if (target.role && *target.role != record.report.role) {
+      return MakeOrder(target, OrderKind::kChangeRole, "", *target.role);
     }
     for (const auto& [name, adapter] : target.adapters) {
-      const auto loaded = known.adapters.find(name);
-      if (loaded != known.adapters.end() && loaded->second == adapter.version) continue;
+      const auto loaded = record.adapters.find(name);
+      if (loaded != record.adapters.end() && loaded->second == adapter.version) continue;
       // A changed adapter is unloaded first.
-      if (loaded != known.adapters.end()) {
-        return OtherOrder(target, OrderKind::kUnloadAdapter, name, "");
+      if (loaded != record.adapters.end()) {
+        return MakeOrder(target, OrderKind::kUnloadAdapter, name, "");
       }
-      EngineOrder load = OtherOrder(target, OrderKind::kLoadAdapter, name, "");
+      EngineOrder load = MakeOrder(target, OrderKind::kLoadAdapter, name, "");
       load.location = adapter.location;
       load.digest = adapter.digest;
       return load;
     }
-    for (const auto& [name, version] : known.adapters) {
+    for (const auto& [name, version] : record.adapters) {
       if (!target.adapters.contains(name)) {
-        return OtherOrder(target, OrderKind::kUnloadAdapter, name, "");
+        return MakeOrder(target, OrderKind::kUnloadAdapter, name, "");
       }
     }
     return std::nullopt;
   }
 
-  static EngineOrder OtherOrder(const EngineTarget& target, OrderKind kind,
-                                const std::string& adapter, const std::string& role) {
+  static EngineOrder MakeOrder(const EngineTarget& target, OrderKind kind,
+                               const std::string& adapter, const std::string& role) {
     EngineOrder order;
     order.kind = kind;
     order.fence = target.fence;
@@ -175,23 +179,23 @@
     return order;
   }
 
-  bool Allowed(const EngineName& engine, const EngineOrder& order, const PlacementRules& rules) {
-    if (order.kind == OrderKind::kStage) return MayStage(order.model, rules);
+  bool IsAllowed(const EngineName& engine, const EngineOrder& order, const PlacementRules& rules) {
+    if (order.kind == OrderKind::kStage) return CanStage(order.model, rules);
     if (order.kind != OrderKind::kActivate) return true;
-    return MaySwap(engine, order, rules);
+    return CanSwap(engine, order, rules);
   }
 
-  bool MayStage(const ModelName& model, const PlacementRules& rules) {
-    const auto* spec = Configured().FindSpec<ModelSpec>(ResourceKind::kModel, model.value());
+  bool CanStage(const ModelName& model, const PlacementRules& rules) {
+    const auto* spec = configuration().FindSpec<ModelSpec>(ResourceKind::kModel, model.value());
     if (spec == nullptr) return true;
     const std::vector<EngineName>& engines = rules.EnginesForModel(model);
-    const auto own = static_cast<double>(
+    const auto first_observed = static_cast<double>(
         std::count_if(engines.begin(), engines.end(), [&](const EngineName& engine) {
           const auto rank = ranks_.find(engine);
           return rank != ranks_.end() && rank->second == 0;
         }));
     // One that only stands in for others takes the share of one engine.
-    const double share = std::max(own, 1.0) / std::max<double>(engines.size(), 1.0);
+    const double share = std::max(first_observed, 1.0) / std::max<double>(engines.size(), 1.0);
     const TimePoint now = environment_.Now();
     StoreRateLimiter& limiter = rate_limiters_[model];
     limiter.SetRate(now, share * static_cast<double>(spec->store_bytes_per_second),
@@ -201,79 +205,80 @@
 
   /// Engines swap in an order that all gateways agree on. One may swap while fewer than a wave of
   /// those before it have not done so; its wave's time comes at the latest with the swap limit.
-  bool MaySwap(const EngineName& engine, const EngineOrder& order, const PlacementRules& rules) {
+  bool CanSwap(const EngineName& engine, const EngineOrder& order, const PlacementRules& rules) {
     std::vector<EngineName> live;
     for (const EngineName& other : rules.EnginesForModel(order.model)) {
-      if (EffectiveState(Configured(), other) == MemberState::kLive) live.push_back(other);
+      if (EffectiveState(configuration(), other) == MemberState::kLive) live.push_back(other);
     }
-    const auto* spec = Configured().FindSpec<ModelSpec>(ResourceKind::kModel, order.model.value());
+    const auto* spec =
+        configuration().FindSpec<ModelSpec>(ResourceKind::kModel, order.model.value());
     const uint32_t wave = MaxConcurrentSwaps(static_cast<uint32_t>(live.size()),
                                              spec == nullptr ? 0 : spec->live_capacity_floor);
     const uint32_t position = SwapPosition(live, engine, order.version);
     uint32_t pending = 0;
     for (const EngineName& other : live) {
-      if (other == engine || Swapped(other, order)) continue;
+      if (other == engine || HasSwapped(other, order)) continue;
       if (SwapPosition(live, other, order.version) < position) ++pending;
     }
     if (pending < wave) return true;
-    NoteActivations();
+    UpdateActivations();
     const auto waves = static_cast<uint32_t>((live.size() + wave - 1) / wave);
     const Duration step = options_.swap_limit / std::max(waves, 1U);
     const Activation& activation = activations_[order.model];
     return environment_.Now() - activation.since >= step * (position / wave);
   }
 
-  bool Swapped(const EngineName& engine, const EngineOrder& order) const {
-    const auto known = known_.find(engine);
-    if (known == known_.end()) return false;
-    const EngineReport& report = known->second.report;
+  bool HasSwapped(const EngineName& engine, const EngineOrder& order) const {
+    const auto record = records_.find(engine);
+    if (record == records_.end()) return false;
+    const EngineReport& report = record->second.report;
     return report.shards == ShardState::kConsistent && report.active_version >= order.version;
   }
 
-  void Send(const EngineName& engine, Known& known, const EngineOrder& order) {
-    const auto* spec = Configured().FindSpec<EngineSpec>(ResourceKind::kEngine, engine.value());
+  void Send(const EngineName& engine, EngineRecord& record, const EngineOrder& order) {
+    const auto* spec = configuration().FindSpec<EngineSpec>(ResourceKind::kEngine, engine.value());
     if (spec == nullptr) return;
     ++counts_.orders_sent;
     if (order.kind == OrderKind::kStage) ++counts_.stages_sent;
     if (order.kind == OrderKind::kActivate) ++counts_.swaps_sent;
     const bool stage = order.kind == OrderKind::kStage;
-    known.ordered = true;
-    known.order_number = ++last_order_;
-    known.ordered_until =
+    record.order_pending = true;
+    record.order_number = ++last_order_;
+    record.order_deadline =
         environment_.Now() + (stage ? options_.stage_timeout : options_.order_timeout);
     LogEvent(EventId::kEngineOrdered, "engine={} order={} version={} fence={}", engine,
              static_cast<int>(order.kind), order.version, order.fence);
     engines_.SendOrder(
         spec->address, order,
         alive_.Guard([this, engine, order, number = last_order_](const absl::Status& status) {
-          TakeAnswer(engine, order, number, status);
+          OnOrderReply(engine, order, number, status);
         }));
   }
 
-  void TakeAnswer(const EngineName& engine, const EngineOrder& order, uint64_t number,
-                  const absl::Status& status) {
-    const auto found = known_.find(engine);
-    if (found == known_.end() || found->second.order_number != number) return;
-    Known& known = found->second;
-    known.ordered = false;
+  void OnOrderReply(const EngineName& engine, const EngineOrder& order, uint64_t number,
+                    const absl::Status& status) {
+    const auto found = records_.find(engine);
+    if (found == records_.end() || found->second.order_number != number) return;
+    EngineRecord& record = found->second;
+    record.order_pending = false;
     if (!status.ok()) {
       ++counts_.orders_failed;
-      known.backoff =
-          std::clamp(known.backoff * 2, options_.first_backoff, options_.largest_backoff);
-      known.not_before = environment_.Now() + known.backoff;
+      record.backoff =
+          std::clamp(record.backoff * 2, options_.initial_backoff, options_.max_backoff);
+      record.retry_at = environment_.Now() + record.backoff;
       LogEvent(EventId::kEngineOrderFailed, "engine={} order={} version={} reason=\"{}\"", engine,
                static_cast<int>(order.kind), order.version, std::string(status.message()));
       return;
     }
-    known.backoff = Duration(0);
-    TakeEffect(known, order);
-    Reconcile(engine, known);
+    record.backoff = Duration(0);
+    ApplyOrderEffect(record, order);
+    Reconcile(engine, record);
   }
 
   /// Reports lag: counts an order that was obeyed as in force until the next report, so that it is
   /// not given twice and the next one need not wait.
-  void TakeEffect(Known& known, const EngineOrder& order) {
-    EngineReport& report = known.report;
+  void ApplyOrderEffect(EngineRecord& record, const EngineOrder& order) {
+    EngineReport& report = record.report;
     switch (order.kind) {
       case OrderKind::kStage:
         report.staged_versions.push_back(order.version);
@@ -288,10 +293,10 @@
         std::erase(report.staged_versions, order.version);
         break;
       case OrderKind::kLoadAdapter:
-        known.adapters[order.adapter] = AdapterVersion(order.adapter);
+        record.adapters[order.adapter] = AdapterVersion(order.adapter);
         break;
       case OrderKind::kUnloadAdapter:
-        known.adapters.erase(order.adapter);
+        record.adapters.erase(order.adapter);
         break;
       case OrderKind::kChangeRole:
         report.role = order.role;
@@ -300,8 +305,8 @@
   }
 
   Revision AdapterVersion(const std::string& adapter) const {
-    const auto found = Configured().resources.find({ResourceKind::kAdapter, adapter});
-    return found == Configured().resources.end() ? Revision() : found->second.version;
+    const auto found = configuration().resources.find({ResourceKind::kAdapter, adapter});
+    return found == configuration().resources.end() ? Revision() : found->second.version;
   }
 
   struct Activation {
@@ -314,7 +319,7 @@
   ConfigurationClient& client_;
   ReconcilerOptions options_;
   std::map<EngineName, uint32_t> ranks_;
-  std::map<EngineName, Known> known_;
+  std::map<EngineName, EngineRecord> records_;
   std::map<ModelName, Activation> activations_;
   std::map<ModelName, StoreRateLimiter> rate_limiters_;
   PlacementRulesCache rules_;
--- a/source/weights/engine_reconciler.h
+++ b/source/weights/engine_reconciler.h
@@ -22,14 +22,14 @@
 struct ReconcilerOptions {
   Duration tick = std::chrono::milliseconds(100);
   /// The second observer of an engine acts when a difference has lasted for this long.
-  Duration stand_in_after = std::chrono::seconds(3);
+  Duration second_observer_delay = std::chrono::seconds(3);
   /// The last wave begins at most this long after a version became active.
   Duration swap_limit = std::chrono::seconds(4);
   /// An order without an answer counts as lost after this long; staging is paced and takes longer.
   Duration order_timeout = std::chrono::seconds(5);
   Duration stage_timeout = std::chrono::seconds(60);
-  Duration first_backoff = std::chrono::milliseconds(250);
-  Duration largest_backoff = std::chrono::seconds(4);
+  Duration initial_backoff = std::chrono::milliseconds(250);
+  Duration max_backoff = std::chrono::seconds(4);
 };
 
 /// Counts since the start; for metrics.
@@ -49,10 +49,10 @@
   virtual void SetObserved(std::map<EngineName, uint32_t> ranks) = 0;
   /// A report of any engine, own or told by another gateway. For observed engines the control nodes
   /// are told through the ConfigurationClient.
-  virtual void Note(const EngineName& engine, const EngineReport& report) = 0;
+  virtual void OnEngineReport(const EngineName& engine, const EngineReport& report) = 0;
   /// By its newest report the engine must not be given work: its shards hold different weights, or
   /// a digest that was not published for its version.
-  virtual bool InDoubt(const EngineName& engine) const = 0;
+  virtual bool AreWeightsUncertain(const EngineName& engine) const = 0;
   virtual const ReconcilerCounts& counts() const = 0;
 };
 
--- a/test/weights/reconciler_test.cc
+++ b/test/weights/reconciler_test.cc
@@ -108,7 +108,7 @@
   bool doubted = false;
   REQUIRE(fleet.scheduler.RunUntilTrue(
       [&] {
-        doubted = doubted || fleet.gateways[0]->InDoubt(WeightFleet::Name(2));
+        doubted = doubted || fleet.gateways[0]->AreWeightsUncertain(WeightFleet::Name(2));
         return fleet.Serving(2) == 4;
       },
       std::chrono::seconds(60)));
@@ -116,7 +116,7 @@
   REQUIRE(doubted);
   REQUIRE(fleet.scheduler.Now() - fleet.activated_at <= std::chrono::seconds(7));
   fleet.scheduler.RunFor(std::chrono::seconds(2));
-  REQUIRE_FALSE(fleet.gateways[0]->InDoubt(WeightFleet::Name(2)));
+  REQUIRE_FALSE(fleet.gateways[0]->AreWeightsUncertain(WeightFleet::Name(2)));
 }
 
 TEST_CASE("an engine that starts again gets the weights again") {
--- a/test/weights/weight_fleet.h
+++ b/test/weights/weight_fleet.h
@@ -119,7 +119,7 @@
     for (size_t i = 0; i < models.size(); ++i) {
       const absl::StatusOr<EngineReport> report = models[i]->Report();
       if (!report.ok()) continue;
-      for (auto& gateway : gateways) gateway->Note(Name(static_cast<int>(i)), *report);
+      for (auto& gateway : gateways) gateway->OnEngineReport(Name(static_cast<int>(i)), *report);
     }
     scheduler.Schedule(kPoll, [this] { Poll(); });
   }
