--- a/source/rollout/stream_data.h
+++ b/source/rollout/stream_data.h
@@ -1,4 +1,4 @@
-/// The replicated data of one stream, and its snapshots.
+/// Replicated state of one stream, and its snapshots.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +14,11 @@
 
 namespace millstair {
 
-/// Samples of one step.
+/// Maximum number of samples of one step.
 inline constexpr uint32_t kMaxStepSamples = 16384;
 
-/// Where a sample stands among the steps: steps count up in the order in which they were put.
+/// Position of a sample: sequence number of its step, which increases in the order of creation, and
+/// index in the step.
 struct SampleKey {
   uint64_t step_sequence = 0;
   uint32_t index = 0;
@@ -26,8 +27,8 @@
 
 enum class SampleState : uint8_t {
   kOpen = 1,       ///< to be generated
-  kAccepted = 2,   ///< held at an offset
-  kWithdrawn = 3,  ///< withdrawn after it was read; open again once the withdrawal is acknowledged
+  kAccepted = 2,   ///< stored at an offset
+  kWithdrawn = 3,  ///< withdrawn after a read; open once the withdrawal is acknowledged
   kDone = 4,       ///< read and acknowledged
 };
 
@@ -39,14 +40,14 @@
 
 struct StepRecord {
   StepId step;
-  /// Digest of the prompts, to tell a resend from a conflict.
+  /// Digest of the prompts, which distinguishes a repeated request from a conflicting one.
   uint64_t digest = 0;
   std::vector<SampleRecord> samples;
   /// Samples that are not done.
   uint32_t remaining = 0;
 };
 
-/// A step whose samples were all acknowledged.
+/// A step whose samples are all acknowledged.
 struct FinishedStep {
   uint64_t sequence = 0;
   uint64_t digest = 0;
@@ -56,8 +57,7 @@
 enum class EntryState : uint8_t {
   kHeld = 1,
   kWithdrawn = 2,
-  /// Holds no sample: it only makes the cursor behind a withdrawal larger than any given out
-  /// before.
+  /// Holds no sample; makes the cursor after a withdrawal larger than any issued before.
   kMarker = 3,
 };
 
@@ -65,11 +65,11 @@
 struct StreamEntry {
   SampleKey key;
   EntryState state = EntryState::kHeld;
-  /// For a sample that was withdrawn after it had been read: every answer that shows the withdrawal
-  /// ends at this offset or behind it, and every answer that shows the sample ends before it. 0 for
-  /// one that was never read.
+  /// For a sample withdrawn after it was read: every response that shows the withdrawal ends at or
+  /// after this offset, and every response that shows the sample ends before it. 0 for a sample
+  /// that was never read.
   StreamOffset seen_withdrawn_from;
-  /// Without text and spans once it is withdrawn.
+  /// Text and spans are cleared on withdrawal.
   Sample sample;
 };
 
@@ -78,32 +78,32 @@
   /// Digests of the newest published versions.
   std::map<WeightVersion, WeightDigest> published;
   WeightVersion newest;
-  /// Newest version as the hand-on sees it; equals `newest` except under a fault switch.
+  /// Newest version as seen by deliveries; equals `newest` unless a fault switch is set.
   WeightVersion newest_at_delivery;
 
   uint64_t next_step = 1;
   std::map<uint64_t, StepRecord> steps;
   std::map<StepId, uint64_t> step_sequences;
   std::map<StepId, FinishedStep> finished_steps;
-  /// Finished steps by sequence, the oldest first, to forget.
+  /// Finished steps by sequence number, oldest first, for eviction.
   std::map<uint64_t, StepId> finished_order;
 
   std::map<StreamOffset, StreamEntry> entries;
   StreamOffset last_offset;
   StreamOffset acknowledged;
-  /// Largest cursor given out.
+  /// Largest cursor issued.
   StreamOffset delivered_through;
-  /// Cursors given out behind `acknowledged`.
+  /// Cursors issued after `acknowledged`.
   std::set<StreamOffset> issued_cursors;
 
-  /// Derived: samples in state kOpen, and bytes held in memory.
+  /// Derived: samples in state kOpen, and bytes in memory.
   std::set<SampleKey> open;
   uint64_t prompt_bytes = 0;
   uint64_t payload_bytes = 0;
 };
 
 std::string EncodeStreamSnapshot(const StreamData& data);
-/// DataLoss if `bytes` is not a whole snapshot.
+/// DataLoss if `bytes` is not a complete snapshot.
 absl::StatusOr<StreamData> DecodeStreamSnapshot(std::string_view bytes);
 
 }  // namespace millstair
--- a/source/rollout/stream_factory.h
+++ b/source/rollout/stream_factory.h
@@ -1,4 +1,4 @@
-/// Makes the state machine and the leader of stream groups for a control node.
+/// Creates the state machine and the leader of stream groups on a control node.
 #pragma once
 
 #include <memory>
@@ -13,14 +13,14 @@
 
 struct StreamLeaderOptions {
   AttemptTiming attempts;
-  /// How long a new leader listens to what gateways run before it grants attempts.
+  /// How long a new leader collects reports of running attempts before it grants any.
   Duration settle = std::chrono::seconds(1);
-  /// False grants samples in order at once, with no hold, restart or hedge; for the bench.
+  /// False grants samples in order without holds, restarts or hedges; for benchmarks.
   bool tail_handling = true;
 };
 
-/// `environment` and `transport` must outlive the factory and all that it makes. A leader must be
-/// destroyed before its group and state machine.
+/// `environment` and `transport` must outlive the factory and everything it creates. A leader must
+/// be destroyed before its group and state machine.
 std::unique_ptr<StreamFactory> MakeStreamFactory(Environment& environment, PeerTransport& transport,
                                                  StreamLeaderOptions options = {},
                                                  StreamFaults faults = {});
--- a/source/rollout/stream_faults.h
+++ b/source/rollout/stream_faults.h
@@ -1,19 +1,20 @@
-/// Switches that break one promise each, so that tests and the simulator can show that their checks
-/// catch it. All are off in the product.
+/// Fault switches that each break one guarantee, so that tests and the simulator can show that
+/// their checks detect it. All are off in production.
 #pragma once
 
 namespace millstair {
 
 struct StreamFaults {
-  /// A sample that was read before is handed on again without a test of its age.
+  /// A sample that was read before is delivered again without a staleness check.
   bool staleness_untested_at_reread = false;
-  /// Every valid completion of a sample is accepted, not the first only.
+  /// Every valid completion of a sample is accepted, not only the first.
   bool first_completion_not_fenced = false;
-  /// The worker names the version that the configuration wants served, not what the engine said.
+  /// The worker records the version that the configuration wants served, not the one that the
+  /// engine reported.
   bool spans_from_routing_belief = false;
-  /// A step that is put again is taken as new.
+  /// A step that is put again is treated as new.
   bool step_not_idempotent = false;
-  /// A published version counts at hand-on only once a later sample was appended.
+  /// A published version takes effect for deliveries only once a later sample was appended.
   bool publish_not_ordered = false;
 };
 
--- a/source/rollout/stream_snapshot.cc
+++ b/source/rollout/stream_snapshot.cc
@@ -104,7 +104,7 @@
   }
 }
 
-/// Puts the records of a snapshot together. Each method is false for a record that does not fit.
+/// Assembles the records of a snapshot. The methods return false for an invalid record.
 class SnapshotReader {
  public:
   bool Read(const millstair_StreamSnapshotRecord& record) {
@@ -199,7 +199,7 @@
   uint64_t expected_records_ = 0;
 };
 
-/// Cuts the next record off `bytes`; false if it is cut short.
+/// Splits the next record off `bytes`; false if it is truncated.
 bool NextRecord(std::string_view& bytes, std::string_view& record) {
   if (bytes.size() < kLengthBytes) return false;
   size_t length = 0;
@@ -235,7 +235,7 @@
   while (!bytes.empty()) {
     std::string_view record;
     if (!NextRecord(bytes, record)) {
-      return absl::DataLossError("a record of the stream snapshot is cut short");
+      return absl::DataLossError("a record of the stream snapshot is truncated");
     }
     auto decoded = DecodedMessage<millstair_StreamSnapshotRecord>::Decode(
         millstair_StreamSnapshotRecord_fields, record);
--- a/source/rollout/stream_state.cc
+++ b/source/rollout/stream_state.cc
@@ -30,12 +30,12 @@
   return bytes;
 }
 
-/// Why a step is malformed; empty if it is sound.
+/// Returns why a step is malformed; empty if it is valid.
 std::string StepError(const PutStep& command) {
   if (command.step.value().empty() || command.step.value().find('/') != std::string::npos) {
-    return "a step id is not empty and holds no '/'";
+    return "a step id must be non-empty and must not contain '/'";
   }
-  if (command.prompts.empty()) return "a step has at least one prompt";
+  if (command.prompts.empty()) return "a step must have at least one prompt";
   if (command.prompts.size() > kMaxStepSamples) return "the step has too many prompts";
   for (uint32_t i = 0; i < command.prompts.size(); ++i) {
     if (command.prompts[i].sample != SampleIdOf(command.step, i)) {
@@ -46,7 +46,7 @@
   return "";
 }
 
-/// Spans follow each other from token 0 to the last without gap or overlap.
+/// Whether the spans cover the sample from the first token to the last without gap or overlap.
 bool SpansCoverSample(const Sample& sample) {
   uint32_t next = 0;
   for (const VersionSpan& span : sample.spans) {
@@ -112,7 +112,7 @@
   if (parsed.ec != std::errc() || parsed.ptr != end || key.index >= step.samples.size()) {
     return std::nullopt;
   }
-  // One spelling only: "07" is not 7.
+  // Only the canonical spelling is valid: "07" is not 7.
   if (SampleIdOf(step.step, key.index) != sample) return std::nullopt;
   return key;
 }
@@ -140,7 +140,7 @@
   if (data_.open.size() + command.prompts.size() > kMaxOpenSamples ||
       data_.prompt_bytes + PromptBytes(command.prompts) > kMaxPromptBytes ||
       data_.payload_bytes > kMaxPayloadBytes) {
-    return Result(StreamResultCode::kFull, "the stream holds too many samples that were not read");
+    return Result(StreamResultCode::kFull, "the stream holds too many unread samples");
   }
   CreateStep(command, digest);
   return Result(StreamResultCode::kOk);
@@ -148,7 +148,7 @@
 
 StreamResult StreamState::PutKnownStep(const PutStep& command, uint64_t known_digest) {
   if (known_digest != DigestOf(command.prompts)) {
-    return Result(StreamResultCode::kConflict, "the step was put before with other prompts");
+    return Result(StreamResultCode::kConflict, "the step exists with other prompts");
   }
   if (faults_.step_not_idempotent) {
     const uint64_t sequence = data_.step_sequences.at(command.step);
@@ -173,7 +173,7 @@
   }
 }
 
-/// Only under the error switch step_not_idempotent.
+/// Used only with the fault switch step_not_idempotent.
 void StreamState::ReopenStep(StepRecord& step, uint64_t sequence, const PutStep& command) {
   for (uint32_t i = 0; i < step.samples.size(); ++i) {
     SampleRecord& sample = step.samples[i];
@@ -188,7 +188,7 @@
 
 void StreamState::SetSampleState(const SampleKey& key, SampleState state) {
   const auto found = data_.steps.find(key.step_sequence);
-  if (found == data_.steps.end()) return;  // finished; only under a error switch
+  if (found == data_.steps.end()) return;  // finished; only with a fault switch
   StepRecord& step = found->second;
   SampleRecord& sample = step.samples.at(key.index);
   const bool was_open = sample.state == SampleState::kOpen;
@@ -211,7 +211,7 @@
 void StreamState::FinishStep(uint64_t sequence) {
   const auto step = data_.steps.find(sequence);
   const StepId id = step->second.step;
-  // A step that was taken as new although it was finished (error switch) leaves no second trace.
+  // A finished step that was created again (fault switch) must not leave a second entry.
   if (const auto before = data_.finished_steps.find(id); before != data_.finished_steps.end()) {
     data_.finished_order.erase(before->second.sequence);
   }
@@ -255,7 +255,7 @@
   const bool fenced = !faults_.first_completion_not_fenced || record.state == SampleState::kDone;
   if (fenced && record.state != SampleState::kOpen) return Result(StreamResultCode::kDuplicate);
   if (sample.step != data_.steps.at(key.step_sequence).step) {
-    return Result(StreamResultCode::kInvalid, "sample and step do not belong together");
+    return Result(StreamResultCode::kInvalid, "the sample does not belong to the step");
   }
   if (!SpansCoverSample(sample)) {
     return Result(StreamResultCode::kVoid, "the spans do not cover the sample");
@@ -265,7 +265,7 @@
     const auto published = data_.published.find(span.version);
     if (published == data_.published.end()) {
       return Result(StreamResultCode::kVoid,
-                    fmt::format("version {} is not known as published", span.version.value()));
+                    fmt::format("version {} is not known to be published", span.version.value()));
     }
     if (published->second != span.digest) {
       return Result(StreamResultCode::kVoid, fmt::format("version {} was published with another "
@@ -283,7 +283,7 @@
 
 StreamResult StreamState::Handle(const RecordPublishedVersion& command) {
   if (command.version.value() == 0 || command.digest.value().empty()) {
-    return Result(StreamResultCode::kInvalid, "a version counts from 1 and has a digest");
+    return Result(StreamResultCode::kInvalid, "a version must be at least 1 and have a digest");
   }
   const auto [known, added] = data_.published.emplace(command.version, command.digest);
   if (!added) {
@@ -321,10 +321,10 @@
 
 StreamResult StreamState::Handle(const DeliverSamples& command) {
   if (command.after < data_.acknowledged) {
-    return Result(StreamResultCode::kInvalid, "a later cursor was acknowledged before");
+    return Result(StreamResultCode::kInvalid, "a later cursor was already acknowledged");
   }
   if (command.after != data_.acknowledged && !data_.issued_cursors.contains(command.after)) {
-    return Result(StreamResultCode::kInvalid, "this cursor was never given out");
+    return Result(StreamResultCode::kInvalid, "this cursor was never issued");
   }
   Acknowledge(command.after);
   WithdrawUnread();
@@ -369,13 +369,13 @@
 void StreamState::Settle(const StreamEntry& entry, StreamOffset through) {
   if (entry.state == EntryState::kMarker) return;
   const auto step = data_.steps.find(entry.key.step_sequence);
-  if (step == data_.steps.end()) return;  // finished since: nothing is left to settle
+  if (step == data_.steps.end()) return;  // the step has finished since
   const SampleState state = step->second.samples.at(entry.key.index).state;
   if (entry.state == EntryState::kHeld) {
     if (state != SampleState::kDone) SetSampleState(entry.key, SampleState::kDone);
     return;
   }
-  if (entry.seen_withdrawn_from.value() == 0) return;  // open again since its withdrawal
+  if (entry.seen_withdrawn_from.value() == 0) return;  // reopened at its withdrawal
   const bool trainer_saw_withdrawal = through >= entry.seen_withdrawn_from;
   SetSampleState(entry.key, trainer_saw_withdrawal ? SampleState::kOpen : SampleState::kDone);
 }
--- a/source/rollout/stream_state.h
+++ b/source/rollout/stream_state.h
@@ -1,13 +1,14 @@
-/// State machine of a stream group: steps, accepted samples and what the trainer has read.
+/// State machine of a stream group: steps, accepted samples and the read position of the trainer.
 ///
-/// Exactly once: an accepted sample gets one offset; the trainer's cursor is the only
-/// acknowledgement, and reading the same cursor again gives the same samples. A sample that has
-/// gone stale since it was read is withdrawn at its offset; the answer that shows this ends at a
-/// cursor larger than any given out before, so that the next cursor tells whether the trainer holds
-/// the sample or its withdrawal. Only in the second case is the sample generated again.
+/// Exactly-once delivery: an accepted sample gets one offset. The cursor of the trainer is the only
+/// acknowledgement, and repeating a read at the same cursor returns the same samples. A sample that
+/// became stale after it was read is withdrawn at its offset. The response that shows the
+/// withdrawal ends at a cursor larger than any issued before, so that the next cursor tells whether
+/// the trainer has the sample or its withdrawal. Only in the second case is the sample generated
+/// again.
 ///
-/// Memory: what is acknowledged is dropped. Ids of finished steps are kept for the newest
-/// kMaxFinishedSteps, so that a step that is put again long after is still recognized.
+/// Memory: acknowledged entries are dropped. The ids of the newest kMaxFinishedSteps finished steps
+/// are retained, so that a late duplicate of a step is recognized.
 #pragma once
 
 #include <optional>
@@ -21,30 +22,30 @@
 
 namespace millstair {
 
-/// Bounds of a stream's state.
+/// Limits of the state of a stream.
 inline constexpr uint64_t kMaxOpenSamples = 65536;
 inline constexpr uint64_t kMaxPromptBytes = 32ULL * 1024 * 1024;
-/// Accepted and not acknowledged payload beyond which no further step is taken.
+/// Unacknowledged payload beyond which no further step is accepted.
 inline constexpr uint64_t kMaxPayloadBytes = 64ULL * 1024 * 1024;
 inline constexpr uint64_t kMaxFinishedSteps = 32768;
-/// Text of one hand-on; a longer one only where a withdrawal asks for it.
+/// Text bytes of one delivery, exceeded only if a withdrawal requires it.
 inline constexpr uint64_t kMaxDeliveryBytes = 1024 * 1024;
 inline constexpr uint32_t kMaxDeliverySamples = 4096;
-/// Published versions that are remembered beyond the staleness bound.
+/// Published versions retained behind the newest one, unless the staleness bound is larger.
 inline constexpr uint64_t kMinRetainedVersions = 64;
 
-/// Hears of changes as they are applied on this replica. Must not change the state.
+/// Observes changes as they are applied on this replica. Must not change the state.
 class StreamListener {
  public:
   virtual ~StreamListener() = default;
-  /// A sample is to be generated.
+  /// The sample must be generated.
   virtual void OnSampleOpened(const SampleKey& key) = 0;
-  /// It is no more: accepted, or held by the trainer.
+  /// The sample need not be generated any more: accepted, or held by the trainer.
   virtual void OnSampleClosed(const SampleKey& key) = 0;
   virtual void OnSampleAccepted(const SampleKey& key, const Sample& sample) = 0;
   /// Something was appended, read or published.
   virtual void OnProgress() = 0;
-  /// The whole state was replaced by a snapshot.
+  /// The state was replaced by a snapshot.
   virtual void OnSnapshotRestored() = 0;
 };
 
@@ -61,12 +62,12 @@
   StreamResult Execute(const StreamCommand& command);
 
   const StreamData& data() const { return data_; }
-  /// Place of `sample` in the steps that are not finished; none if it is not there.
+  /// Position of `sample` among the unfinished steps; nullopt if it is not there.
   std::optional<SampleKey> FindSample(const SampleId& sample) const;
   bool IsOpen(const SampleKey& key) const { return data_.open.contains(key); }
   /// Id, text and length limit of a sample that is not done.
   Prompt PromptOf(const SampleKey& key) const;
-  /// At most one listener; null takes it back.
+  /// At most one listener; null removes it.
   void SetListener(StreamListener* listener) { listener_ = listener; }
 
  private:
@@ -80,15 +81,15 @@
   StreamResult PutKnownStep(const PutStep& command, uint64_t known_digest);
   void CreateStep(const PutStep& command, uint64_t digest);
   void ReopenStep(StepRecord& step, uint64_t sequence, const PutStep& command);
-  /// Why `sample` can't be accepted; none if it can.
+  /// Returns the reason why `sample` can't be accepted; nullopt if it can.
   std::optional<StreamResult> CheckAppend(const Sample& sample, const SampleKey& key) const;
   bool IsStale(const Sample& sample, WeightVersion newest) const;
 
   void Acknowledge(StreamOffset through);
   void Settle(const StreamEntry& entry, StreamOffset through);
-  /// Withdraws what went stale without ever having been read.
+  /// Withdraws samples that became stale before they were read.
   void WithdrawUnread();
-  /// Withdraws what went stale after it was read.
+  /// Withdraws samples that became stale after they were read.
   void WithdrawRead();
   void Withdraw(StreamEntry& entry);
   void AppendMarker(const StreamEntry& entry);
