--- a/source/rollout/rollout_wire.h
+++ b/source/rollout/rollout_wire.h
@@ -1,5 +1,5 @@
-/// Conversions between the rollout's C++ types and the nanopb messages of api/rollout.proto that
-/// commands, work exchange and snapshots share. Internal to rollout/.
+/// Conversions between the C++ types of the rollout and the nanopb messages of api/rollout.proto
+/// that commands, work requests and snapshots share. Internal to rollout/.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace millstair {
 
-/// Fills `out` with memory of `arena`.
+/// Fill `out`, allocating from `arena`.
 void FillSpans(WireArena& arena, const std::vector<VersionSpan>& spans, pb_size_t* count,
                millstair_RolloutSpan** out);
 void FillPrompt(WireArena& arena, const Prompt& prompt, millstair_RolloutPrompt* out);
@@ -21,7 +21,7 @@
 Prompt ReadPrompt(const millstair_RolloutPrompt& message);
 Sample ReadSample(const millstair_RolloutSample& message);
 
-/// Words joined by single spaces, and back. No word may be empty or hold a space.
+/// Join tokens by single spaces, and split them again. Tokens must not be empty or contain spaces.
 std::string JoinTokens(const std::vector<std::string>& tokens);
 std::vector<std::string> SplitTokens(std::string_view text);
 
--- a/source/rollout/stream_codec.cc
+++ b/source/rollout/stream_codec.cc
@@ -63,7 +63,8 @@
   const millstair_StreamCommandMessage& message = **decoded;
   const int set = message.has_put_step + message.has_append_sample + message.has_note_published +
                   message.has_hand_on + message.has_set_staleness_bound;
-  if (set != 1) return absl::InvalidArgumentError("a stream command holds exactly one operation");
+  if (set != 1)
+    return absl::InvalidArgumentError("a stream command must hold exactly one operation");
   if (message.has_put_step) return StreamCommand(ReadPutStep(message.put_step));
   if (message.has_append_sample) {
     return StreamCommand(AppendSample{ReadSample(message.append_sample)});
@@ -107,7 +108,7 @@
   const millstair_StreamResultMessage& message = **decoded;
   if (message.code < static_cast<uint32_t>(StreamResultCode::kOk) ||
       message.code > static_cast<uint32_t>(StreamResultCode::kFull)) {
-    return absl::InvalidArgumentError("unknown result code of a stream");
+    return absl::InvalidArgumentError("unknown stream result code");
   }
   StreamResult result;
   result.code = static_cast<StreamResultCode>(message.code);
--- a/source/rollout/stream_commands.h
+++ b/source/rollout/stream_commands.h
@@ -1,4 +1,4 @@
-/// Commands, queries and results of a stream group: steps, samples, hand-on.
+/// Commands, queries and results of a stream group.
 #pragma once
 
 #include <cstdint>
@@ -21,8 +21,7 @@
   uint32_t max_tokens = 0;
 };
 
-/// Creates a step. The same id again with the same prompts changes nothing; with others it is
-/// refused.
+/// Creates a step. Idempotent for the same prompts; refused if the id exists with other prompts.
 struct PutStep {
   StepId step;
   std::vector<Prompt> prompts;
@@ -39,26 +38,26 @@
   AttemptEpoch epoch;
 };
 
-/// Accepts a sample if none was accepted for its id and its spans are whole, match published
+/// Accepts a sample if none was accepted for its id, and its spans are complete, match published
 /// digests and are within the staleness bound.
 struct AppendSample {
   Sample sample;
 };
 
-/// The stream learns of a published version; ordered against hand-on in this log.
+/// Records a published version in the log of the stream, which orders it against deliveries.
 struct RecordPublishedVersion {
   WeightVersion version;
   WeightDigest digest;
 };
 
-/// The trainer reads behind `after` (which acknowledges all up to `after`). Committed before the
-/// answer, so that it is ordered against RecordPublishedVersion.
+/// Delivers samples after the cursor `after` to the trainer and acknowledges everything up to it.
+/// Committed before the response, so that it is ordered against RecordPublishedVersion.
 struct DeliverSamples {
   StreamOffset after;
   uint32_t max_samples = 0;
 };
 
-/// Staleness bound from the Stream resource, taken into the log when it changes.
+/// Staleness bound of the Stream resource, recorded in the log when it changes.
 struct SetStalenessBound {
   uint64_t bound = 0;
 };
@@ -68,17 +67,17 @@
 
 enum class StreamResultCode : uint8_t {
   kOk = 1,
-  kDuplicate = 2,  ///< already there; nothing changed
-  kConflict = 3,   ///< same id, other content
-  kStale = 4,      ///< beyond the staleness bound: to be generated anew
-  kVoid = 5,       ///< spans not whole, or a digest that was not published
+  kDuplicate = 2,  ///< exists already; nothing changed
+  kConflict = 3,   ///< same id, different content
+  kStale = 4,      ///< beyond the staleness bound; must be generated again
+  kVoid = 5,       ///< spans incomplete, or a digest that was not published
   kNotFound = 6,
   kInvalid = 7,
-  kFull = 8,  ///< the stream holds as much as it may; come back once samples were read
+  kFull = 8,  ///< stream at capacity; retry after samples were read
 };
 
-/// One position of the stream as handed to the trainer: a sample, or a withdrawal of one that has
-/// gone stale since it was first read (its replacement comes at a later offset).
+/// One offset of the stream as delivered to the trainer: a sample, or the withdrawal of a sample
+/// that became stale after it was first read. Its replacement has a later offset.
 struct DeliveredEntry {
   StreamOffset offset;
   bool withdrawn = false;
@@ -90,7 +89,7 @@
   std::vector<DeliveredEntry> delivered;
   /// Cursor for the next read.
   StreamOffset next;
-  /// Newest published version at the hand-on.
+  /// Newest published version at the delivery.
   WeightVersion newest;
   std::string message;
 };
@@ -100,24 +99,26 @@
 std::string EncodeStreamResult(const StreamResult& result);
 absl::StatusOr<StreamResult> DecodeStreamResult(std::string_view bytes);
 
-/// A gateway asks for attempts at samples, for the free_slots it has, and tells what it runs, so
-/// that a new leader does not lease the same again.
+/// A gateway requests attempts for its free slots and reports the attempts that it runs, so that a
+/// new leader does not grant them again.
 struct WorkRequest {
   StreamName stream;
-  /// Who asks; the leader answers it directly, also when another control node passed this on.
+  /// The requesting gateway; the leader replies to it directly, even if another control node
+  /// forwarded the request.
   NodeId gateway;
   uint32_t free_slots = 0;
-  /// Counts up over the requests of one gateway for this stream.
+  /// Increases with each request of a gateway for this stream.
   uint64_t sequence = 0;
   struct Running {
     SampleId sample;
     AttemptEpoch epoch;
     uint32_t tokens_done = 0;
-    /// Oldest weights in it so far; 0 before the first token.
+    /// Oldest version among its tokens so far; 0 before the first token.
     WeightVersion oldest_version;
   };
   std::vector<Running> running;
-  /// Given back unfinished (drain, engine lost), with the tokens so far so that another resumes.
+  /// Attempts returned unfinished (drain, engine failure), with their tokens so that another
+  /// attempt can resume.
   struct Returned {
     SampleId sample;
     AttemptEpoch epoch;
@@ -137,37 +138,37 @@
   std::vector<std::string> resume_tokens;
   std::vector<VersionSpan> resume_spans;
   std::string kv_source;
-  /// Tokens that the whole sample is expected to have.
+  /// Expected length of the complete sample.
   uint32_t expected_tokens = 0;
 };
 
 struct WorkReply {
   StreamName stream;
   std::vector<Attempt> attempts;
-  /// Attempts that the gateway should stop: done elsewhere, too old to be of use, or fenced by a
-  /// later epoch. Later attempts at the same sample go on.
+  /// Attempts that the gateway must stop: completed elsewhere, too stale, or fenced by a later
+  /// epoch. Later attempts at the same sample continue.
   struct Cancelled {
     SampleId sample;
     AttemptEpoch epoch;
   };
   std::vector<Cancelled> cancelled;
-  /// Newest request of the gateway that the leader had taken in; 0 if none.
+  /// Newest request of the gateway that the leader had processed; 0 if none.
   uint64_t answered = 0;
 };
 
-/// Query of a stream: asks whether there is something to read behind `after`. The leader holds the
-/// answer back for up to `wait` while there is nothing. A hint only; DeliverSamples decides.
+/// Queries whether anything can be read after `after`. The leader delays the reply for up to `wait`
+/// while there is nothing. Only a hint; DeliverSamples decides.
 struct CursorQuery {
   StreamOffset after;
   std::chrono::milliseconds wait{0};
 };
 
 struct CursorStatus {
-  /// Everything up to here was acknowledged by a read that is committed.
+  /// Everything up to here was acknowledged by a committed read.
   StreamOffset acknowledged;
   StreamOffset last_offset;
   WeightVersion newest;
-  /// Samples asked for and not accepted yet.
+  /// Samples requested and not accepted yet.
   uint32_t open_samples = 0;
 };
 
@@ -176,7 +177,7 @@
 std::string EncodeCursorStatus(const CursorStatus& status);
 absl::StatusOr<CursorStatus> DecodeCursorStatus(std::string_view bytes);
 
-/// Group that holds the log of `stream`.
+/// Raft group that holds the log of `stream`.
 inline GroupId StreamGroup(const StreamName& stream) { return GroupId("stream/" + stream.value()); }
 /// Stream of `group`, "stream/<name>" or "stream/<name>@<generation>"; empty if it is no stream
 /// group.
--- a/source/rollout/work_codec.cc
+++ b/source/rollout/work_codec.cc
@@ -1,4 +1,4 @@
-/// Encoding of the work exchange between gateways and stream leaders.
+/// Encoding of the work requests and replies between gateways and stream leaders.
 #include "rollout/rollout_wire.h"
 #include "rollout/stream_commands.h"
 
