--- a/source/rollout/attempt_table.cc
+++ b/source/rollout/attempt_table.cc
@@ -5,7 +5,7 @@
 namespace millstair {
 namespace {
 
-/// Attempts at one sample at once: the first one and a hedge.
+/// Concurrent attempts at one sample: the first one and a hedge.
 constexpr size_t kMaxAttemptsPerSample = 2;
 
 }  // namespace
@@ -34,7 +34,7 @@
     if (attempt == nullptr && known->size() >= kMaxAttemptsPerSample) return false;
   }
   if (attempt == nullptr) {
-    // Granted by an earlier leader, or taken for lost: it goes on.
+    // Granted by an earlier leader, or considered lost by this one: adopt it.
     attempt = &Grant(now, key, running.epoch, gateway);
   }
   attempt->last_seen_at = now;
--- a/source/rollout/stream_leader.cc
+++ b/source/rollout/stream_leader.cc
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(250);
-/// A gateway that was silent for this long is forgotten.
+/// State of a gateway that has sent no request for this long is dropped.
 constexpr Duration kRequesterExpiry = std::chrono::seconds(30);
 constexpr size_t kMaxHeldQueries = 256;
 constexpr std::chrono::milliseconds kMaxQueryWait{1000};
-/// A trainer that asked this lately counts as waiting.
+/// A trainer counts as waiting for this long after a query that had to wait.
 constexpr Duration kTrainerWaitWindow = std::chrono::milliseconds(1500);
 
 uint32_t StreamsOfPool(const Configuration& configuration, const std::string& pool) {
@@ -141,7 +141,7 @@
   group_.Propose(EncodeStreamCommand(*command),
                  alive_.Guard([this](const absl::StatusOr<std::string>& result) {
                    syncing_ = false;
-                   // The next one follows at once; a refused one is tried again at the next tick.
+                   // The next command follows at once; a failed one is retried at the next tick.
                    if (result.ok() && Leads()) SyncWithConfiguration();
                  }));
 }
@@ -172,7 +172,7 @@
   schedule_.Remove(key);
   const auto found = attempts_.attempts().find(key);
   if (found != attempts_.attempts().end()) {
-    // Whoever else works at it is told to stop.
+    // Stop the other attempts at this sample.
     const SampleId sample = state_.PromptOf(key).sample;
     for (const LeasedAttempt& attempt : found->second) {
       const auto requester = requesters_.find(attempt.gateway);
@@ -186,7 +186,7 @@
 void StreamLeaderNode::OnSampleAccepted(const SampleKey& key, const Sample& sample) {
   const Prompt prompt = state_.PromptOf(key);
   lengths_.RecordLength(prompt.text, prompt.max_tokens, sample.token_count);
-  // The gateway that appended it needs no word to stop.
+  // The gateway that appended the sample does not need to be notified.
   attempts_.End(key, sample.epoch);
 }
 
--- a/source/rollout/stream_leader.h
+++ b/source/rollout/stream_leader.h
@@ -1,5 +1,5 @@
-/// Leads a stream: leases attempts to gateways, holds trainers' queries until there is something to
-/// read, and keeps the stream's log in step with the configuration.
+/// Leader of a stream: leases attempts to gateways, holds trainers' queries until there is
+/// something to read, and keeps the log of the stream in sync with the configuration.
 #pragma once
 
 #include <cstdint>
@@ -35,21 +35,21 @@
   void OnChange(const Configuration& configuration) override;
 
  private:
-  /// What the configuration says about this stream.
+  /// Settings of this stream from the configuration.
   struct Settings {
     StreamSpec stream;
     std::vector<PublishedVersion> published;
     WeightVersion active;
-    /// Attempts of this stream at once; its share of the pool.
+    /// Maximum concurrent attempts of this stream: its share of the pool.
     uint32_t max_in_flight = 0;
     std::map<NodeId, bool> gone_gateways;
   };
-  /// A gateway that asked for work.
+  /// A gateway that requests work.
   struct Requester {
     uint32_t free_slots = 0;
     uint64_t sequence = 0;
     TimePoint requested_at;
-    /// It has not been answered yet.
+    /// The latest request has not been replied to yet.
     bool reply_due = false;
     std::vector<WorkReply::Cancelled> cancelled;
     std::vector<Attempt> granted;
@@ -72,7 +72,7 @@
   void Tick();
   void RebuildSchedule();
 
-  // Healing from the configuration.
+  // Synchronization with the configuration.
   void SyncWithConfiguration();
   std::optional<StreamCommand> NextSyncCommand() const;
   bool InSync() const { return settings_.has_value() && !NextSyncCommand().has_value(); }
@@ -113,7 +113,8 @@
   TimePoint leader_since_;
   uint32_t last_epoch_ = 0;
   bool syncing_ = false;
-  /// Version that engines were told to serve, since when, and whether attempts were restarted.
+  /// Version that engines are to serve, since when, and whether early attempts were restarted for
+  /// it.
   WeightVersion active_;
   TimePoint active_since_;
   bool restarted_for_active_ = true;
--- a/source/rollout/stream_leader_work.cc
+++ b/source/rollout/stream_leader_work.cc
@@ -1,4 +1,4 @@
-/// The part of the stream leader that leases attempts.
+/// Leasing of attempts by the stream leader.
 #include <algorithm>
 
 #include "common/event_log.h"
@@ -7,25 +7,26 @@
 namespace millstair {
 namespace {
 
-/// Requests that arrive close together are answered together, so that work is spread over them.
+/// Requests that arrive within this time are processed together, so that work is spread over them.
 constexpr Duration kFlushDelay = std::chrono::milliseconds(2);
-/// Room told this long ago is not relied on any more.
+/// Free slots reported longer ago are ignored.
 constexpr Duration kMaxFreeSlotsAge = std::chrono::milliseconds(2500);
-/// Samples given to one gateway before the next one gets its turn.
+/// Samples granted to a gateway before it is the next one's turn.
 constexpr uint32_t kGrantsPerTurn = 2;
-/// Attempts and texts in one reply.
+/// Limit of one reply.
 constexpr size_t kMaxAttemptsPerReply = 256;
-/// From here on a step counts as nearly done: at most this many samples, or this share of it.
+/// A step is nearly done at this number or fraction of open samples, whichever is larger.
 constexpr uint32_t kTailSamples = 4;
 constexpr double kTailShare = 0.05;
-/// Without a new token for this long, a straggler is hedged.
+/// A straggler without a new token for this long is hedged.
 constexpr Duration kStallTimeout = std::chrono::seconds(3);
-/// Idle time weights from here on hedge.
+/// Hedges are issued only if the idle time weight of the stream is at least this.
 constexpr double kMinIdleWeightToHedge = 0.5;
-/// Engines take this long to swap once a version is to be served; attempts restarted earlier might
-/// begin on the old one again.
+/// Time for engines to swap to a new active version. Attempts restarted earlier might begin on the
+/// old version again.
 constexpr Duration kSwapDuration = std::chrono::seconds(2);
-/// Share of its expected tokens that an attempt may lose to fresher weights at weight 0.
+/// Fraction of its expected tokens that an attempt may discard for newer weights, at an idle time
+/// weight of 0.
 constexpr double kRestartShare = 0.5;
 
 }  // namespace
@@ -59,7 +60,7 @@
   const TimePoint now = environment_.Now();
   for (const WorkRequest::Running& running : request.running) {
     const std::optional<SampleKey> key = state_.FindSample(running.sample);
-    // A replica that has just become leader may not have applied the sample's step yet.
+    // A new leader may not have applied the step of the sample yet.
     if (!key && now - leader_since_ < options_.settle) continue;
     if (!key || !state_.IsOpen(*key) ||
         !attempts_.OnAttemptReported(now, *key, request.gateway, running)) {
@@ -74,7 +75,7 @@
   for (const WorkRequest::Returned& returned : request.returned) {
     const std::optional<SampleKey> key = state_.FindSample(returned.sample);
     if (!key || !state_.IsOpen(*key)) continue;
-    // A repeated return of an attempt that is settled already changes nothing.
+    // A repeated return of a settled attempt has no effect.
     const bool known = attempts_.End(*key, returned.epoch);
     if (!known && attempts_.Running(*key)) continue;
     if (!returned.tokens.empty()) {
@@ -116,7 +117,7 @@
   }
 }
 
-/// Deals samples out in turns, so that a small step is spread over all gateways with free_slots.
+/// Grants samples round-robin, so that a small step is spread over all gateways with free slots.
 void StreamLeaderNode::GrantRound() {
   bool granted = true;
   while (granted) {
@@ -159,7 +160,8 @@
   --requester.free_slots;
 }
 
-/// A sample of the oldest step whose only attempt has stalled, once the step is nearly done.
+/// Selects a sample of the oldest step whose only attempt has stalled, once the step is nearly
+/// done.
 std::optional<SampleKey> StreamLeaderNode::FindHedgeCandidate(const NodeId& gateway) const {
   if (!options_.tail_handling || settings_->stream.idle_time_weight < kMinIdleWeightToHedge) {
     return std::nullopt;
@@ -199,7 +201,7 @@
   return data.newest.value() - attempt.oldest_version.value() > data.staleness_bound;
 }
 
-/// Ends attempts that could not be handed on any more.
+/// Stops attempts whose samples are too stale to be delivered.
 void StreamLeaderNode::StopStaleAttempts() {
   const auto running = attempts_.attempts();
   for (const auto& [key, leased] : running) {
@@ -212,8 +214,8 @@
   }
 }
 
-/// Once engines serve a new version, begins anew what had got little from the old one: what it
-/// costs is at most (1 - w) * kRestartShare of the sample's expected tokens.
+/// Once engines serve a new version, restarts attempts that have few tokens from an older one.
+/// Discards at most (1 - w) * kRestartShare of the expected tokens of a sample.
 void StreamLeaderNode::RestartEarlyAttempts() {
   if (restarted_for_active_ || environment_.Now() - active_since_ < kSwapDuration) return;
   restarted_for_active_ = true;
