--- a/source/rollout/length_estimator.cc
+++ b/source/rollout/length_estimator.cc
@@ -9,11 +9,12 @@
 namespace {
 
 constexpr size_t kMaxPrompts = 16384;
-/// Weight of a new length of the same prompt.
+/// Smoothing factor for the length of a prompt.
 constexpr double kPromptSmoothing = 0.5;
-/// Weight of a new length in the mean over all prompts.
+/// Smoothing factor for the mean over all prompts.
 constexpr double kMeanSmoothing = 0.01;
-/// What is left of a sample that outran its estimate, as a share of its limit's remainder.
+/// Once a sample has exceeded its estimate: expected remainder as a fraction of the tokens left up
+/// to its limit.
 constexpr double kOverrunShare = 0.5;
 
 uint64_t HashOf(const std::string& prompt) { return XXH64(prompt.data(), prompt.size(), 0); }
--- a/source/rollout/length_estimator.h
+++ b/source/rollout/length_estimator.h
@@ -1,4 +1,4 @@
-/// Learns how long the samples of a prompt get, so that long ones start early.
+/// Estimates the length of samples by prompt, so that long ones are started early.
 #pragma once
 
 #include <cstdint>
@@ -7,14 +7,15 @@
 
 namespace millstair {
 
-/// Smoothed lengths of the prompts seen lately, and a smoothed share of the limit for all others.
+/// Smoothed sample lengths of recent prompts, and a smoothed fraction of the limit for all others.
 class LengthEstimator {
  public:
-  /// A sample of `prompt` had `tokens` of at most `max_tokens` tokens.
+  /// Records that a sample of `prompt` had `tokens` of at most `max_tokens` tokens.
   void RecordLength(const std::string& prompt, uint32_t max_tokens, uint32_t tokens);
-  /// Expected tokens, 1..max_tokens.
+  /// Expected tokens, from 1 to max_tokens.
   uint32_t Expected(const std::string& prompt, uint32_t max_tokens) const;
-  /// Expected tokens of a sample that has `done` already: longer than that by the mean remainder.
+  /// Expected tokens still to come of a sample that has `done` tokens. Positive below the limit,
+  /// also once the sample has exceeded its estimate.
   static uint32_t Remaining(uint32_t expected, uint32_t max_tokens, uint32_t done);
 
  private:
@@ -25,7 +26,7 @@
   void EvictOldest();
 
   std::map<uint64_t, PromptLength> lengths_;
-  /// Prompts by the time of their last use.
+  /// Prompt hashes by last use, for eviction of the least recently used.
   std::map<uint64_t, uint64_t> by_use_;
   uint64_t uses_ = 0;
   double mean_share_ = 0.3;
--- a/source/rollout/work_schedule.cc
+++ b/source/rollout/work_schedule.cc
@@ -7,11 +7,12 @@
 namespace millstair {
 namespace {
 
-/// How far beyond the learned interval a held sample waits for a version that does not come.
+/// A held sample starts after this multiple of the estimated publish interval if no new version
+/// arrives.
 constexpr double kHoldSlack = 1.2;
-/// Longest hold for a swap, at weight 0.
+/// Longest hold for a swap, at an idle time weight of 0.
 constexpr Duration kMaxSwapHold = std::chrono::seconds(5);
-/// Weight of a new interval between versions.
+/// Smoothing factor for the publish interval.
 constexpr double kIntervalSmoothing = 0.3;
 
 }  // namespace
@@ -60,7 +61,7 @@
 
 std::optional<SampleKey> WorkSchedule::Take(const ScheduleContext& context,
                                             const std::map<uint64_t, StepRecord>& steps) {
-  // Steps that have finished need no queue any more.
+  // Drop the queues of finished steps.
   std::erase_if(queues_, [&](const auto& queue) {
     return queue.second.waiting == 0 && !steps.contains(queue.first);
   });
@@ -77,7 +78,7 @@
       ++at;
       continue;
     }
-    // The rest of this step is shorter and held as well.
+    // The rest of this step is shorter and therefore held as well.
     const Rank next_step{true, at->step_sequence + 1, 0, 0};
     at = order_.lower_bound(next_step);
   }
--- a/source/rollout/work_schedule.h
+++ b/source/rollout/work_schedule.h
@@ -1,15 +1,14 @@
-/// Which open sample is started next, and which are held back for fresher weights.
+/// Selects the open sample to start next, and holds samples back for newer weights.
 ///
-/// One setting drives it: w = StreamSpec.idle_time_weight, 0..1.
+/// Controlled by one setting, w = StreamSpec.idle_time_weight, 0..1:
 /// - Steps ahead: a step may start while at most ceil(w * staleness bound) older ones are
-/// unfinished.
-/// - Hold: of a step that the trainer does not wait for, the longest share w of the samples starts
-///   at once; the shorter rest is held until the next version is out, but not beyond kHoldSlack
-///   times the learned interval of publishing.
-/// - Swap: while engines are about to swap to a version that is out, the shorter rest is held for
-/// up
-///   to (1 - w) * kMaxSwapHold even if the trainer waits.
-/// - Order: given back ones first, then older steps, then the longest expected.
+///   unfinished.
+/// - Hold: in a step that the trainer is not waiting for, the longest fraction w of the samples
+///   starts at once. The shorter rest is held until the next version is published, for at most
+///   kHoldSlack times the estimated publish interval.
+/// - Swap: while engines are about to swap to a published version, the shorter rest is held for up
+///   to (1 - w) * kMaxSwapHold, even if the trainer is waiting.
+/// - Order: returned samples first, then older steps, then the longest expected.
 #pragma once
 
 #include <cstdint>
@@ -22,36 +21,36 @@
 
 namespace millstair {
 
-/// What the schedule must know of the stream at the moment.
+/// Current state of the stream as the schedule needs it.
 struct ScheduleContext {
   TimePoint now;
   double idle_time_weight = 0.5;
   uint64_t staleness_bound = 0;
   WeightVersion newest;
-  /// The trainer is reading and there is nothing to read.
+  /// The trainer is reading and nothing is available.
   bool trainer_waiting = false;
-  /// The newest version is not served by the engines yet.
+  /// The engines do not serve the newest version yet.
   bool swap_pending = false;
-  /// False starts everything in order at once.
+  /// False starts all samples in order at once.
   bool tail_handling = true;
 };
 
-/// Lives on the executor of the stream leader.
+/// Lives on the node's serial executor.
 class WorkSchedule {
  public:
-  /// A version was published. Learns the interval.
+  /// Updates the estimated publish interval.
   void OnVersionPublished(TimePoint now, WeightVersion version);
-  /// Adds a sample that nobody works at. `urgent` ones, given back or lost, go first.
+  /// Adds a sample without a running attempt. `urgent` ones, returned or lost, go first.
   void Add(TimePoint now, const SampleKey& key, uint32_t expected_tokens, uint32_t step_samples,
            bool urgent);
   void Remove(const SampleKey& key);
   void Clear();
-  /// Takes out the next sample that may start; `steps` are the unfinished ones.
+  /// Removes and returns the next sample that may start. `steps` are the unfinished steps.
   std::optional<SampleKey> Take(const ScheduleContext& context,
                                 const std::map<uint64_t, StepRecord>& steps);
 
   size_t waiting() const { return order_.size(); }
-  /// Learned time between two versions; none before the third.
+  /// Estimated time between two versions; nullopt before the third.
   std::optional<Duration> publish_interval() const { return publish_interval_; }
 
  private:
@@ -65,7 +64,7 @@
   struct StepQueue {
     uint32_t samples = 0;
     uint32_t waiting = 0;
-    /// Newest version when the step came.
+    /// Newest version when the step was created.
     WeightVersion newest_at_creation;
   };
 
