--- a/source/rollout/attempt_run.cc
+++ b/source/rollout/attempt_run.cc
@@ -11,18 +11,18 @@
 namespace {
 
 constexpr Duration kPlacementRetryDelay = std::chrono::milliseconds(200);
-/// Given back when no engine took it for this long.
+/// An attempt is returned if no engine accepts it for this long.
 constexpr Duration kPlacementTimeout = std::chrono::seconds(10);
 constexpr Duration kProgressCheckInterval = std::chrono::milliseconds(500);
-/// A stream without a chunk for this long has failed.
+/// A stream without a chunk for this long counts as failed.
 constexpr Duration kStreamStallTimeout = std::chrono::seconds(5);
-/// With less than this left, an attempt stays where it is.
+/// An attempt with less estimated time left is not moved.
 constexpr Duration kMinRemainingToMove = std::chrono::seconds(3);
-/// A straggler moves if the other engine needs at most 1 / this of the time.
+/// A straggler moves only to an engine that is estimated to finish this many times faster.
 constexpr double kMinMoveSpeedup = 1.5;
 constexpr uint32_t kMaxMoves = 2;
 constexpr uint32_t kMaxDiscards = 5;
-/// Idle time weights from here on move stragglers.
+/// Stragglers are moved only if the idle time weight of the stream is at least this.
 constexpr double kMinIdleWeightToMove = 0.5;
 constexpr Duration kAppendTimeout = std::chrono::seconds(5);
 constexpr uint32_t kMaxAppendAttempts = 12;
@@ -109,7 +109,7 @@
     if (std::optional<Placement> placement = context_.placement.Place(pool, Request())) {
       return Generate(*placement);
     }
-    // Engines that failed once are better than none.
+    // No other engine is available: allow engines that failed before.
     excluded_.clear();
   }
   if (context_.environment.Now() - placement_started_at_ >= kPlacementTimeout) {
@@ -158,7 +158,7 @@
   if (phase_ != Phase::kGenerating || !placement_) return;
   progress_timer_.Cancel();
   excluded_.insert(placement_->choice.engine);
-  // A leaving engine still serves its KV; one that broke does not.
+  // A draining engine still serves its KV cache; a failed one does not.
   if (leaving) kv_source_ = placement_->choice.address;
   EndPlacement(PlacementEnd::kFailed, failure, leaving);
   ++context_.counts.resumed_elsewhere;
@@ -180,7 +180,7 @@
   context_.placement.End(id, outcome);
 }
 
-/// Throws away what was collected and starts again, on another engine.
+/// Discards the collected tokens and starts over on another engine.
 void AttemptRun::DiscardAndRestart(const std::string& reason) {
   LogEvent(EventId::kSampleVoided, "stream={} sample={} engine={} reason=\"{}\"", stream_,
            attempt_.prompt.sample, placement_->choice.engine, reason);
@@ -211,7 +211,7 @@
   if (phase_ != Phase::kGenerating || !placement_) return;
   progress_timer_.Arm(kProgressCheckInterval, [this] { CheckProgress(); });
   if (context_.environment.Now() - progress_at_ >= kStreamStallTimeout) {
-    return OnFailed(CallFailure::kUnknown, false, "silent");
+    return OnFailed(CallFailure::kUnknown, false, "no chunk within 5 s");
   }
   if (IsTooStale()) {
     progress_timer_.Cancel();
@@ -234,7 +234,7 @@
          MemberState::kLive;
 }
 
-/// Time that the attempt still needs at the pace of its present stream.
+/// Estimated time to completion at the speed of the current stream.
 Duration AttemptRun::RemainingTime() const {
   const uint32_t done = collected_.token_count() - tokens_at_stream_start_;
   if (done == 0) return Duration(0);
@@ -244,7 +244,7 @@
                                                 collected_.token_count());
 }
 
-/// Moves to an engine that is expected to need at most remaining / min_speedup; any engine if
+/// Moves to an engine that is estimated to need at most remaining / min_speedup; to any engine if
 /// min_speedup is 0.
 void AttemptRun::MaybeMove(Duration remaining, double min_speedup) {
   if (!context_.configuration.LeaseValid()) return;
@@ -282,7 +282,7 @@
                    LogEvent(EventId::kScoringFailed, "stream={} sample={} reason=\"{}\"", stream_,
                             attempt_.prompt.sample, std::string(score.status().message()));
                    ++context_.counts.scorings_failed;
-                   // Whole already, it only has to be scored by whoever gets it next.
+                   // The text is complete; the next attempt only has to score it.
                    End(AttemptEnd::kReturned);
                  });
 }
@@ -326,7 +326,7 @@
   absl::StatusOr<StreamResult> result =
       answer.ok() ? DecodeStreamResult(*answer) : absl::StatusOr<StreamResult>(answer.status());
   if (!result.ok()) {
-    // Unknown whether it was appended: the sample's id makes a repetition harmless.
+    // Outcome unknown. Appending is idempotent by sample id, so retry.
     if (append_attempts_ >= kMaxAppendAttempts) return End(AttemptEnd::kReturned);
     step_timer_.Arm(kPlacementRetryDelay, [this] { Append(); });
     return;
@@ -350,8 +350,8 @@
   End(AttemptEnd::kRestart);
 }
 
-/// The stream may lag behind the configuration: tells it of the version and appends again. False
-/// if there is nothing to tell.
+/// The log of the stream may lag behind the configuration: submits a published version that the
+/// stream does not know yet and appends again. Returns false if there is none.
 bool AttemptRun::SubmitPublishedVersion(const StreamResult& result) {
   const ModelStatus* model = Model();
   if (model == nullptr || append_attempts_ > 2) return false;
--- a/source/rollout/attempt_run.h
+++ b/source/rollout/attempt_run.h
@@ -1,5 +1,5 @@
-/// One leased attempt on a gateway: places it on an engine, follows its stream, moves it when the
-/// engine fails, then scores and appends the sample.
+/// Runs one leased attempt on a gateway: places it on an engine, follows its token stream, moves it
+/// if the engine fails, then scores and appends the sample.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 
 namespace millstair {
 
-/// What attempts share with their worker.
+/// Dependencies and counters shared by the attempts of a worker.
 struct RolloutContext {
   Environment& environment;
   EngineClient& engines;
@@ -31,26 +31,26 @@
 };
 
 enum class AttemptEnd : uint8_t {
-  kSettled = 1,   ///< appended here or elsewhere: nothing is left to do
-  kReturned = 2,  ///< to be given back; the tokens so far are worth keeping
-  kRestart = 3,   ///< to be given back; another attempt starts from nothing
+  kSettled = 1,   ///< appended, here or elsewhere, or obsolete; nothing left to do
+  kReturned = 2,  ///< returned to the leader with its tokens, to be resumed
+  kRestart = 3,   ///< returned to the leader without tokens, to be started over
 };
 
-/// Lives on the node's serial executor. Dropping it cancels what is under way.
+/// Lives on the node's serial executor. The destructor cancels outstanding work.
 class AttemptRun : private GenerateObserver {
  public:
-  /// `ended` is called once, from a timer of its own.
+  /// `ended` is called once, from a timer callback.
   AttemptRun(RolloutContext& context, StreamName stream, Attempt attempt,
              std::function<void(AttemptEnd)> ended);
   ~AttemptRun() override;
 
   void Start() { StartPlacement(); }
-  /// Gives back what is still being generated; a finished sample goes on to be appended.
+  /// Returns an attempt that is still generating; a finished sample is still scored and appended.
   void Stop();
 
   const Attempt& attempt() const { return attempt_; }
   const SpanCollector& collected() const { return collected_; }
-  /// Engine that still holds the attempt's KV; empty if none does.
+  /// Engine that still holds the KV cache of the attempt; empty if none.
   const std::string& kv_source() const { return kv_source_; }
 
  private:
@@ -59,7 +59,7 @@
   void OnChunk(const GenerateChunk& chunk) override;
   void OnFailed(CallFailure failure, bool leaving, const std::string& reason) override;
 
-  /// Spec of the stream; null once it was deleted.
+  /// Spec of the stream; null if the stream was deleted.
   const StreamSpec* Spec() const;
   const ModelStatus* Model() const;
   RoutingRequest Request() const;
@@ -82,7 +82,7 @@
   bool SubmitPublishedVersion(const StreamResult& result);
   Sample MakeSample(double score) const;
   void End(AttemptEnd end);
-  /// Runs `step` from a timer, out of any callback of what it may drop.
+  /// Runs `step` from a timer, so that it may destroy the object whose callback is running.
   void Defer(std::function<void()> step) { step_timer_.Arm(Duration(0), std::move(step)); }
 
   RolloutContext& context_;
--- a/source/rollout/rollout_worker.cc
+++ b/source/rollout/rollout_worker.cc
@@ -10,17 +10,17 @@
 namespace millstair {
 namespace {
 
-/// After an attempt has ended, work is asked for this soon, so that ends close together share a
-/// request.
+/// Delay of a work request after an attempt has ended, so that ends close together share a request.
 constexpr Duration kRequestDelay = std::chrono::milliseconds(20);
-/// Without an answer for this long another control node is asked.
+/// After this long without a reply, requests go to another control node.
 constexpr Duration kReplyTimeout = std::chrono::milliseconds(1500);
-/// A drain ends after this long, whatever is still under way.
+/// A drain completes after this long even if attempts are still running.
 constexpr Duration kDrainTimeout = std::chrono::seconds(20);
-/// Attempts taken beyond the free_slots that was told, in case answers cross.
+/// Bound on the attempts of a stream; replies that cross requests may grant more than the free
+/// slots reported.
 constexpr uint32_t kMaxRunningPerStream = 4096;
 
-/// The work for one stream. Lives in the worker.
+/// Attempts of one stream on this gateway. Owned by the worker.
 class StreamWork {
  public:
   StreamWork(RolloutContext& context, PeerTransport& transport, StreamName stream,
@@ -58,7 +58,7 @@
  private:
   struct PendingReturn {
     WorkRequest::Returned returned;
-    /// Request that it was sent with last; 0 if with none yet.
+    /// Sequence number of the last request that included it; 0 if none.
     uint64_t sent = 0;
   };
 
@@ -66,7 +66,7 @@
     const SampleId sample = attempt.prompt.sample;
     if (draining_ || runs_.size() >= kMaxRunningPerStream) return DeclineAttempt(attempt);
     const auto found = runs_.find(sample);
-    // A repeated answer, or an attempt that is older than the one that runs.
+    // Duplicate reply, or an older attempt than the running one.
     if (found != runs_.end() && found->second->attempt().epoch >= attempt.epoch) return;
     if (returned_.contains({sample, attempt.epoch})) return;
     ++context_.counts.attempts_started;
@@ -103,7 +103,7 @@
     } else if (end == AttemptEnd::kRestart) {
       ReturnAttempt({sample, epoch, {}, {}, ""});
     }
-    // The run is telling us this from its own timer: it goes after it has returned.
+    // Called from a timer of the run: destroy the run after the callback has returned.
     ended_.push_back(std::move(found->second));
     runs_.erase(found);
     reap_timer_.Arm(Duration(0), [this] { ended_.clear(); });
@@ -234,8 +234,8 @@
     return nodes.empty() ? NodeId() : nodes[control_index_ % nodes.size()].node;
   }
 
-  /// Share of `stream` in the free_slots of its pool, so that two streams do not fill the same
-  /// free_slots. The remainder goes to the streams first by name.
+  /// Free slots for `stream`: its share of the capacity of the pool, so that two streams do not
+  /// claim the same slots. The remainder goes to the first streams by name.
   uint32_t FreeSlots(const StreamName& stream) const {
     const Configuration& configuration = context_.configuration.configuration();
     const auto* spec = configuration.FindSpec<StreamSpec>(ResourceKind::kStream, stream.value());
--- a/source/rollout/rollout_worker.h
+++ b/source/rollout/rollout_worker.h
@@ -1,5 +1,5 @@
-/// The rollout work of a gateway: leases attempts for the free_slots that its engines have,
-/// generates, scores and appends samples.
+/// The rollout worker of a gateway: leases attempts for the free slots of its engines, generates,
+/// scores and appends samples.
 #pragma once
 
 #include <cstdint>
@@ -22,16 +22,16 @@
   NodeId self;
   Zone zone;
   std::vector<ControlEndpoint> control_nodes;
-  /// Time between requests for work while there is free_slots and something changes.
+  /// Interval between requests for work while the gateway is busy and has free slots.
   Duration work_poll = std::chrono::milliseconds(200);
-  /// Time between requests when nothing changes. Leaders push work that comes up in between.
+  /// Interval between requests otherwise. Leaders push work that becomes available in between.
   Duration idle_poll = std::chrono::seconds(1);
-  /// False never moves a straggler to another engine; for the bench.
+  /// False disables moving stragglers to other engines; for benchmarks.
   bool tail_handling = true;
   StreamFaults faults;
 };
 
-/// What the worker did since it started; for metrics.
+/// Counters since the start, for metrics.
 struct RolloutCounts {
   uint64_t attempts_started = 0;
   uint64_t samples_appended = 0;
@@ -50,13 +50,13 @@
  public:
   virtual ~RolloutWorker() = default;
   virtual void Start() = 0;
-  /// Messages of kind kWorkReply.
+  /// Handles messages of kind kWorkReply.
   virtual void Receive(const NodeId& from, const PeerMessage& message) = 0;
-  /// Takes no new work, gives unfinished attempts back with their tokens, lets finished ones be
-  /// scored and appended, then calls `done`. Bounded in time.
+  /// Accepts no new work, returns unfinished attempts with their tokens, completes the scoring and
+  /// appending of finished ones, then calls `done`. Bounded in time.
   virtual void Drain(std::function<void()> done) = 0;
   virtual const RolloutCounts& counts() const = 0;
-  /// Attempts under way.
+  /// Number of running attempts.
   virtual uint32_t running() const = 0;
 };
 
--- a/source/rollout/sample_scorer.cc
+++ b/source/rollout/sample_scorer.cc
@@ -45,14 +45,14 @@
   body_.clear();
   HttpRequest request{"POST", "/score", {{"Content-Type", "application/json"}}, request_body_};
   request.headers.push_back({"Content-Length", std::to_string(request_body_.size())});
-  timer_.Arm(kAttemptTimeout, [this] { Retry("no answer in time"); });
+  timer_.Arm(kAttemptTimeout, [this] { Retry("no response within 3 s"); });
   call_ = http_.Start(address_, std::move(request), *this);
 }
 
 void SampleScorer::OnFinished() {
   const std::optional<double> score =
       status_ == kOk && body_.size() <= kMaxResponseBytes ? ParseScore(body_) : std::nullopt;
-  if (!score) return Retry("no score in the answer");
+  if (!score) return Retry("response holds no valid score");
   End(*score);
 }
 
@@ -65,7 +65,7 @@
   timer_.Arm(delay, [this] { StartAttempt(); });
 }
 
-/// Ends from a timer, so that the callback may drop the call that is just telling us.
+/// Calls back from a timer, so that the callback may destroy the call whose observer is running.
 void SampleScorer::End(absl::StatusOr<double> result) {
   timer_.Arm(Duration(0), [this, result = std::move(result)] {
     const Callback done = std::move(done_);
--- a/source/rollout/sample_scorer.h
+++ b/source/rollout/sample_scorer.h
@@ -1,4 +1,4 @@
-/// Scores a text through the platform's scoring service.
+/// Scores texts with the platform's scoring service.
 #pragma once
 
 #include <functional>
@@ -12,14 +12,15 @@
 
 namespace millstair {
 
-/// One scoring with its retries. Lives on the node's serial executor; dropping it cancels.
+/// One scoring call with its retries. Lives on the node's serial executor; the destructor cancels
+/// it.
 class SampleScorer : private HttpCallObserver {
  public:
   using Callback = std::function<void(absl::StatusOr<double>)>;
 
   SampleScorer(Environment& environment, HttpCaller& http);
-  /// POST http://`address`/score {"text"} -> {"score"}, up to a few tries. Unavailable if none was
-  /// answered. Called once.
+  /// Sends POST http://`address`/score {"text"}, which responds {"score"}, and retries a limited
+  /// number of times. Unavailable if no attempt succeeded. May be called once only.
   void Score(const std::string& address, const std::string& text, Callback done);
 
  private:
--- a/source/rollout/span_collector.cc
+++ b/source/rollout/span_collector.cc
@@ -7,7 +7,7 @@
 namespace millstair {
 namespace {
 
-/// Whether `digest` contradicts what was published as `version`.
+/// Whether `digest` differs from the published digest of `version`.
 bool Contradicts(const std::vector<PublishedVersion>& published, WeightVersion version,
                  const WeightDigest& digest) {
   WeightVersion newest;
@@ -15,7 +15,8 @@
     if (candidate.version == version) return candidate.digest != digest;
     newest = std::max(newest, candidate.version);
   }
-  // Unknown: either newer than what is known here, or never published.
+  // Not in the list: a version newer than all listed may be unknown here yet, any other was never
+  // published.
   return version < newest;
 }
 
@@ -34,7 +35,7 @@
     if (span.first_token != covered) break;
     covered += span.token_count;
   }
-  // Tokens whose origin is not known are worth nothing.
+  // Tokens without a known version are unusable.
   if (covered != tokens.size()) return Clear();
   tokens_ = std::move(tokens);
   spans_ = std::move(spans);
@@ -49,16 +50,16 @@
                                 const std::vector<PublishedVersion>& published) {
   if (stream_incarnation_.value() == 0) stream_incarnation_ = chunk.engine_incarnation;
   if (chunk.engine_incarnation != stream_incarnation_) {
-    return absl::DataLossError("the engine changed its incarnation within a stream");
+    return absl::DataLossError("engine incarnation changed within a stream");
   }
   if (chunk.tokens.empty()) return absl::OkStatus();
   if (chunk.first_token != tokens_.size()) {
     return absl::DataLossError(
-        fmt::format("token {} came where {} was due", chunk.first_token, tokens_.size()));
+        fmt::format("chunk begins at token {}, expected {}", chunk.first_token, tokens_.size()));
   }
   if (chunk.version.value() == 0 || chunk.digest.value().empty() ||
       Contradicts(published, chunk.version, chunk.digest)) {
-    return absl::DataLossError(fmt::format("version {} with digest {} was not published",
+    return absl::DataLossError(fmt::format("version {} was not published with digest {}",
                                            chunk.version.value(), chunk.digest.value()));
   }
   tokens_.insert(tokens_.end(), chunk.tokens.begin(), chunk.tokens.end());
--- a/source/rollout/span_collector.h
+++ b/source/rollout/span_collector.h
@@ -1,5 +1,5 @@
-/// Collects the tokens of one sample and the weights that produced them, from what engines say in
-/// their own streams and from nothing else.
+/// Collects the tokens of one sample and the weight versions that produced them, solely from what
+/// the engines report in their streams.
 #pragma once
 
 #include <string>
@@ -13,18 +13,18 @@
 /// Oldest version in `spans`; 0 if there is none.
 WeightVersion OldestVersionOf(const std::vector<VersionSpan>& spans);
 
-/// Value type; lives in its attempt.
+/// Value type, owned by its attempt.
 class SpanCollector {
  public:
-  /// Starts from tokens that were generated elsewhere.
+  /// Resumes from tokens that were generated elsewhere.
   void Resume(std::vector<std::string> tokens, std::vector<VersionSpan> spans);
   void Clear();
-  /// A new stream begins; its engine may be another one.
+  /// Begins a new stream, possibly from another engine.
   void BeginStream() { stream_incarnation_ = Incarnation(); }
-  /// Takes a chunk in. Not OK, with the reason, if it makes what was collected unusable: a gap or
-  /// overlap in the tokens, an engine that changed its incarnation within the stream, or a digest
-  /// that is not the one published for its version. `published` may lag; a version that it does
-  /// not know yet is taken, and judged when the sample is appended.
+  /// Adds a chunk. Returns an error if the collected sample becomes unusable: a gap or overlap in
+  /// the tokens, a changed engine incarnation within the stream, or a digest that differs from the
+  /// published one of its version. `published` may lag: a version newer than all listed is accepted
+  /// here and checked when the sample is appended.
   absl::Status Add(const GenerateChunk& chunk, const std::vector<PublishedVersion>& published);
 
   const std::vector<std::string>& tokens() const { return tokens_; }
