--- a/source/rollout/trainer_requests.cc
+++ b/source/rollout/trainer_requests.cc
@@ -46,13 +46,13 @@
 
 Location At(std::string where) { return Location{std::move(where), 0, 0}; }
 
-/// The body as an object; null, with a finding, if it is none.
+/// Parses the body as a JSON object. Returns null and adds a finding if it is not one.
 const boost::json::object* ParseObject(const std::string& body, boost::json::value& storage,
                                        Findings& findings) {
   boost::json::error_code error;
   storage = boost::json::parse(body, error);
   if (error) {
-    findings.Add(At("body"), "is no JSON: " + error.message());
+    findings.Add(At("body"), "is not valid JSON: " + error.message());
     return nullptr;
   }
   if (!storage.is_object()) {
@@ -75,7 +75,7 @@
                      std::string_view name, Findings& findings) {
   const boost::json::value* value = object.if_contains(name);
   if (value == nullptr || !value->is_string() || value->as_string().empty()) {
-    findings.Add(At(where), fmt::format("\"{}\" must be a string that is not empty", name));
+    findings.Add(At(where), fmt::format("\"{}\" must be a non-empty string", name));
     return "";
   }
   return std::string(value->as_string());
@@ -124,7 +124,7 @@
     const std::string_view name = pair.substr(0, equals);
     const auto value = ParseNumber(pair.substr(std::min(equals + 1, pair.size())));
     if (name == "after") {
-      if (!value) findings.Add(At("after"), "must be a cursor: a whole number from 0");
+      if (!value) findings.Add(At("after"), "must be a cursor: a non-negative integer");
       request.after = StreamOffset(value.value_or(0));
     } else if (name == "max") {
       if (!value || *value == 0 || *value > kMaxDeliverySamples) {
@@ -150,7 +150,7 @@
   command.step = StepId(step);
   if (step.empty() || step.size() > kMaxStepIdLength || step.find('/') != std::string::npos ||
       step.find('\0') != std::string::npos) {
-    findings.Add(At("step"), "must have 1 to 200 characters, and no '/' among them");
+    findings.Add(At("step"), "must have 1 to 200 characters and must not contain '/'");
   }
   boost::json::value storage;
   const boost::json::object* object = ParseObject(body, storage, findings);
@@ -182,7 +182,7 @@
   PublishedVersion published;
   const std::optional<uint64_t> number = ParseNumber(version);
   if (!number || *number == 0) {
-    findings.Add(At("version"), "must be a whole number from 1");
+    findings.Add(At("version"), "must be a positive integer");
   }
   published.version = WeightVersion(number.value_or(0));
   boost::json::value storage;
--- a/source/rollout/trainer_requests.h
+++ b/source/rollout/trainer_requests.h
@@ -1,5 +1,5 @@
-/// Parses and writes the JSON and the paths of the trainers' API. Faults are collected and come all
-/// at once.
+/// Parses and writes the JSON and the paths of the trainers' API. All findings of a request are
+/// reported together.
 #pragma once
 
 #include <cstdint>
--- a/source/rollout/trainer_service.cc
+++ b/source/rollout/trainer_service.cc
@@ -24,7 +24,7 @@
 constexpr Duration kRetryAfter = std::chrono::seconds(2);
 const char kJson[] = "application/json";
 
-/// One request of a trainer until it is answered.
+/// One request of a trainer until it is responded to.
 struct Exchange {
   std::shared_ptr<ResponseWriter> writer;
   bool finished = false;
@@ -48,12 +48,11 @@
 
 Problem OutcomeUnknown(const absl::Status& status) {
   return {503, "Control nodes did not answer",
-          "Repeat the request: it has the same effect however often it is sent. " +
-              std::string(status.message()),
+          "Repeat the request; it is idempotent. " + std::string(status.message()),
           Outcome::kUnknown, kRetryAfter};
 }
 
-/// A read of samples that may wait.
+/// A read of samples that may wait for new ones.
 struct PendingRead {
   Exchange exchange;
   StreamName stream;
@@ -61,11 +60,11 @@
   TimePoint until;
   TimePoint queried_at;
   bool delivering = false;
-  /// Newest version that the stream told of while we waited.
+  /// Newest version that the stream reported during the wait.
   WeightVersion newest;
 };
 
-/// A version on its way into the streams' logs.
+/// A published version that is being recorded in the logs of the streams.
 struct PendingPublish {
   Exchange exchange;
   ModelName model;
@@ -197,7 +196,7 @@
     if (!findings.empty()) return exchange->Fail(BadRequest(findings));
     read->stream = stream;
     read->until = environment_.Now() + read->request.wait;
-    // The read lives as long as its exchange is referred to; both share the caller's state.
+    // The read takes over the response; `exchange` must not respond any more.
     read->exchange.writer = exchange->writer;
     exchange->finished = true;
     read->exchange.writer->OnCallerDisconnected([weak = std::weak_ptr<PendingRead>(read)] {
@@ -214,7 +213,7 @@
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(read->until - now);
     CursorQuery query{read->request.after,
                       std::clamp(left, std::chrono::milliseconds(0), kQueryWait)};
-    // A plain read needs no hint: it is ordered at once.
+    // A read without a wait needs no hint.
     if (read->request.wait.count() == 0) return Read(read);
     Submit(
         StreamGroup(read->stream), CommandMode::kQuery, EncodeCursorQuery(query), kQueryTimeout,
@@ -231,7 +230,7 @@
                                        status->acknowledged < read->request.after);
     if (ready) return Read(read);
     if (WaitExpired(*read)) return AnswerEmpty(*read);
-    // A leader that holds no more queries answers at once: don't ask it again and again.
+    // A leader at its limit of held queries replies at once: delay the next query.
     const bool held = environment_.Now() - read->queried_at >= kRetryDelay;
     if (status.ok() && held) return QueryCursor(read);
     RunAfter(kRetryDelay, [this, read] { QueryCursor(read); });
@@ -266,7 +265,7 @@
     read->exchange.AnswerText(SamplesJson(*result));
   }
 
-  /// No sample: the cursor stays where it is.
+  /// Responds with no sample and an unchanged cursor.
   void AnswerEmpty(PendingRead& read) {
     StreamResult empty;
     empty.next = read.request.after;
@@ -325,8 +324,8 @@
     return streams;
   }
 
-  /// The publisher is answered only once each stream's log holds the version, so that no hand-on
-  /// after the answer measures against an older one.
+  /// Responds to the publisher only once the log of each stream holds the version, so that no
+  /// delivery after the response is checked against an older one.
   void PublishToStream(const std::shared_ptr<PendingPublish>& publish,
                        const SharedExchange& exchange, const StreamName& stream) {
     const RecordPublishedVersion command{publish->version.version, publish->version.digest};
@@ -336,7 +335,7 @@
              if (!result.ok()) return exchange->Fail(OutcomeUnknown(result.status()));
              if (result->code == StreamResultCode::kConflict) {
                return exchange->Fail({409, "Version refused",
-                                      "a stream knows this version with another digest",
+                                      "a stream has this version with another digest",
                                       Outcome::kUnknown, std::nullopt});
              }
              publish->pending_streams.erase(stream);
--- a/source/rollout/trainer_service.h
+++ b/source/rollout/trainer_service.h
@@ -1,4 +1,4 @@
-/// The trainers' HTTP API on a gateway: steps, samples, published versions.
+/// HTTP API for trainers on a gateway: steps, samples, published versions.
 #pragma once
 
 #include <functional>
@@ -15,12 +15,12 @@
 /// Lives on the node's serial executor.
 class TrainerService : public RequestHandler {
  public:
-  /// Whether `target` (path and query) belongs to the trainers' API.
+  /// Whether `target` (path and query) belongs to this API.
   static bool Serves(std::string_view target) {
     return target.starts_with("/v1/streams/") || target.starts_with("/v1/models/");
   }
-  /// Ends long polls with what there is, answers what is under way, then calls `done`. Bounded by
-  /// the time limits of the commands.
+  /// Ends long polls with an empty result, completes outstanding requests, then calls `done`.
+  /// Bounded by the timeouts of the commands.
   virtual void Drain(std::function<void()> done) = 0;
 };
 
