--- a/test/rollout/rollout_codec_test.cc
+++ b/test/rollout/rollout_codec_test.cc
@@ -70,7 +70,7 @@
   REQUIRE_FALSE(DecodeStreamCommand(both).ok());
 }
 
-TEST_CASE("damaged messages are refused or read as something else, never more") {
+TEST_CASE("damaged messages are refused or decode to another valid message") {
   std::mt19937_64 random(5);
   const std::vector<std::string> whole = {
       EncodeWorkRequest(MakeWorkRequest()), EncodeWorkReply(MakeWorkReply()),
--- a/test/rollout/rollout_fakes.h
+++ b/test/rollout/rollout_fakes.h
@@ -1,4 +1,4 @@
-/// Stand-ins for what surrounds the rollout code: configuration, consensus, routing, engines by
+/// Fakes for the dependencies of the rollout code: configuration, consensus, routing, engines by
 /// address, the scorer.
 #pragma once
 
@@ -26,7 +26,8 @@
 inline const StreamName kStream("drafts");
 inline const ModelName kModel("routing");
 
-/// One log with a replica of the stream per control node. Every entry is applied to all replicas.
+/// One log with a replica of the stream on each control node. Every entry is applied to all
+/// replicas.
 class FakeLog {
  public:
   explicit FakeLog(VirtualScheduler& scheduler) : scheduler_(scheduler) {}
@@ -77,7 +78,7 @@
   NodeId node_;
 };
 
-/// Engines in rotation, up to a number of generations each.
+/// Places generations round-robin, up to a limit for each engine.
 class FakePlacement : public EnginePlacement {
  public:
   std::optional<Placement> Place(const ResourceKey&, const RoutingRequest& request) override {
@@ -123,7 +124,7 @@
   std::map<PlacementId, EngineName> placed_;
 };
 
-/// Hands calls to engine models by address.
+/// Dispatches calls to engine models by address.
 class FakeEngines : public EngineClient {
  public:
   std::unique_ptr<CallHandle> Generate(const std::string& address, GenerateRequest request,
@@ -156,7 +157,7 @@
   std::vector<GenerateRequest> requests;
 };
 
-/// Answers POST /score after a while; the first `failures` calls break off.
+/// Responds to POST /score after a delay; the first `failures` calls fail.
 class FakeScorer : public HttpCaller {
  public:
   explicit FakeScorer(VirtualScheduler& scheduler) : scheduler_(scheduler) {}
--- a/test/rollout/rollout_fleet.h
+++ b/test/rollout/rollout_fleet.h
@@ -1,6 +1,5 @@
-/// A small fleet in virtual time around the real rollout code: replicas of one stream, gateways
-/// with workers, engine models, a scorer. Consensus, configuration and routing are simple
-/// stand-ins.
+/// A small fleet in virtual time with the real rollout code: replicas of one stream, gateways with
+/// workers, engine models, a scorer. Consensus, configuration and routing are fakes.
 #pragma once
 
 #include <map>
@@ -20,7 +19,7 @@
 
 class RolloutFleet;
 
-/// Commands of a gateway, with answers that may get lost.
+/// Submits the commands of a gateway; replies may be dropped.
 class FakeControl : public ControlClient {
  public:
   explicit FakeControl(RolloutFleet& fleet) : fleet_(fleet) {}
@@ -28,7 +27,7 @@
               Callback done) override;
   void Receive(const NodeId&, const PeerMessage&) override {}
 
-  /// Answers to lose; the commands take effect all the same.
+  /// Number of replies to drop; the commands still take effect.
   int answers_to_drop = 0;
   uint64_t submitted = 0;
   /// Commands to the cluster group.
@@ -202,7 +201,7 @@
     return result;
   }
 
-  /// Runs until all samples asked for are accepted; whether that came about.
+  /// Runs until all requested samples are accepted; false if `limit` passes first.
   bool RunUntilComplete(Duration limit = std::chrono::seconds(60)) {
     return scheduler.RunUntilTrue(
         [this] {
--- a/test/rollout/rollout_flow_test.cc
+++ b/test/rollout/rollout_flow_test.cc
@@ -1,4 +1,4 @@
-/// Leader and workers together, under what fails around them.
+/// Leader and workers together, under failures of engines, gateways, leaders and messages.
 #include <catch2/catch.hpp>
 
 #include "engine/prefix_blocks.h"
@@ -7,12 +7,13 @@
 namespace millstair {
 namespace {
 
-/// All samples of step "a", read at once.
+/// All samples of step "a", in one read.
 std::vector<DeliveredEntry> ReadAll(RolloutFleet& fleet) {
   return fleet.Read(StreamOffset(0)).delivered;
 }
 
-/// Each sample once, its text the engines' own words under the versions that it names.
+/// Checks that each sample occurs once, and that its text is what the engines generate with the
+/// versions in its spans.
 void RequireSamplesMatch(const std::vector<DeliveredEntry>& items, uint32_t samples) {
   std::set<SampleId> seen;
   for (const DeliveredEntry& item : items) {
@@ -35,7 +36,7 @@
   REQUIRE(seen.size() == samples);
 }
 
-/// Prompts that generate long enough to be interrupted.
+/// Prompts with generations long enough to be interrupted.
 PutStep LongStep(uint32_t samples) {
   PutStep step = MakeStep("a", samples);
   for (Prompt& prompt : step.prompts) prompt.max_tokens = 256;
@@ -63,7 +64,7 @@
   for (const auto& gateway : fleet.gateways) REQUIRE(gateway->worker->running() == 0);
 }
 
-TEST_CASE("answers to appends get lost and nothing is doubled") {
+TEST_CASE("lost replies to appends cause no duplicates") {
   RolloutFleet fleet;
   for (auto& gateway : fleet.gateways) gateway->control.answers_to_drop = 5;
   fleet.Execute(MakeStep("a", 12));
@@ -73,7 +74,7 @@
   for (const auto& gateway : fleet.gateways) REQUIRE(gateway->worker->running() == 0);
 }
 
-TEST_CASE("answers that lease work get lost and the samples are issued again") {
+TEST_CASE("samples are granted again if the replies that lease them are lost") {
   RolloutFleet fleet;
   fleet.Execute(MakeStep("a", 12));
   fleet.scheduler.RunFor(std::chrono::milliseconds(800));
@@ -83,7 +84,7 @@
   RequireSamplesMatch(ReadAll(fleet), 12);
 }
 
-TEST_CASE("an engine crashes and its streams go on elsewhere in a new span") {
+TEST_CASE("streams of a crashed engine continue on another one in a new span") {
   RolloutFleet fleet;
   fleet.Execute(LongStep(8));
   REQUIRE(RunUntilRunning(fleet, 0, 8));
@@ -126,12 +127,12 @@
   }
 }
 
-TEST_CASE("versions come from the engines, not from what is to be served") {
+TEST_CASE("versions in spans come from the engines, not from the configuration") {
   StreamFaults faults;
   const bool broken = GENERATE(false, true);
   faults.spans_from_routing_belief = broken;
   RolloutFleet fleet(faults);
-  fleet.PublishVersion(2);  // wanted, but no engine was told to swap
+  fleet.PublishVersion(2);  // active, but no engine was ordered to swap
   fleet.Execute(MakeStep("a", 4));
   REQUIRE(fleet.RunUntilComplete());
   for (const DeliveredEntry& item : ReadAll(fleet)) {
@@ -139,7 +140,7 @@
   }
 }
 
-TEST_CASE("a new leader takes over what runs") {
+TEST_CASE("a new leader adopts the running attempts") {
   RolloutFleet fleet;
   fleet.Spec().idle_time_weight = 1;
   fleet.Configure();
@@ -158,7 +159,7 @@
   REQUIRE(ReadAll(fleet).size() == 12);
 }
 
-TEST_CASE("a gateway dies and its samples are issued again") {
+TEST_CASE("samples of a dead gateway are granted again") {
   RolloutFleet fleet;
   fleet.Execute(LongStep(12));
   REQUIRE(RunUntilRunning(fleet, 0, 1));
@@ -171,7 +172,7 @@
   REQUIRE(ReadAll(fleet).size() == 12);
 }
 
-TEST_CASE("a gateway that drains gives its attempts back with their tokens") {
+TEST_CASE("a draining gateway returns its attempts with their tokens") {
   RolloutFleet fleet;
   fleet.Execute(LongStep(12));
   REQUIRE(RunUntilRunning(fleet, 0, 8));
@@ -189,7 +190,7 @@
   REQUIRE(ReadAll(fleet).size() == 12);
 }
 
-/// One long sample on gateway 0 and engine 0, whose steps then take `step` each; gateway 1 has
+/// One long sample on gateway 0 and engine 0, whose steps then take `step` each. Gateway 1 can use
 /// only engine 1.
 void SlowDown(RolloutFleet& fleet, Duration step) {
   fleet.Spec().idle_time_weight = 1;
@@ -202,7 +203,7 @@
   fleet.models[0]->SetStepTime({step, Duration(0), Duration(0)});
 }
 
-TEST_CASE("a sample that stalls at the end of a step is tried a second time elsewhere") {
+TEST_CASE("a sample that stalls at the end of a step is hedged on another gateway") {
   RolloutFleet fleet;
   SlowDown(fleet, std::chrono::hours(1));
   REQUIRE(fleet.gateways[1]->worker->counts().attempts_started == 0);
@@ -215,7 +216,7 @@
   REQUIRE(fleet.gateways[0]->worker->running() == 0);
 }
 
-TEST_CASE("a straggler moves to a faster engine with its tokens and its KV") {
+TEST_CASE("a straggler moves to a faster engine with its tokens and its KV cache") {
   RolloutFleet fleet;
   SlowDown(fleet, std::chrono::milliseconds(400));
   REQUIRE(fleet.RunUntilComplete());
@@ -238,7 +239,7 @@
   REQUIRE(fleet.RunUntilComplete());
 }
 
-TEST_CASE("a scorer that breaks off is asked again") {
+TEST_CASE("a failed scoring call is retried") {
   RolloutFleet fleet;
   fleet.scorer.failures = 5;
   fleet.Execute(MakeStep("a", 3));
@@ -247,7 +248,7 @@
   REQUIRE(fleet.scorer.calls == 8);
 }
 
-TEST_CASE("attempts that went beyond the bound are begun anew") {
+TEST_CASE("attempts beyond the staleness bound are restarted") {
   RolloutFleet fleet;
   fleet.Spec().staleness_bound = 0;
   fleet.Configure();
--- a/test/rollout/stream_property_test.cc
+++ b/test/rollout/stream_property_test.cc
@@ -1,4 +1,4 @@
-/// Random interleavings of everything that a stream can meet, judged by what its trainer holds.
+/// Random interleavings of stream operations, checked against what the trainer holds in the end.
 #include <rapidcheck/catch.h>
 
 #include <catch2/catch.hpp>
@@ -14,20 +14,20 @@
 namespace millstair {
 namespace {
 
-/// RapidCheck draws from the same seed in each run, unless one is set from outside.
+/// Makes RapidCheck use a fixed seed unless one is set from outside.
 [[maybe_unused]] const int kSeedSet = setenv("RC_PARAMS", "seed=20261202", 0);
 
 constexpr uint64_t kBound = 1;
 constexpr uint32_t kSamplesPerStep = 3;
 constexpr int kOperations = 120;
 
-/// What one run did wrong; empty if nothing.
+/// Violation found in one run; empty if none.
 struct Verdict {
   std::string violation;
   bool settled = false;
 };
 
-/// A trainer, its lost and late reads, generation and publishing on one state machine.
+/// A trainer with lost and late reads, generation and publishing on one state machine.
 class StreamRun {
  public:
   StreamRun(uint64_t seed, StreamFaults faults) : random_(seed), faults_(faults), state_(faults) {
@@ -42,7 +42,7 @@
       Read(Execute(DeliverSamples{cursor_, 8}));
     }
     const bool complete = held_.size() == steps_ * kSamplesPerStep;
-    if (violation_.empty() && !complete) violation_ = "samples are missing in the end";
+    if (violation_.empty() && !complete) violation_ = "samples are missing at the end";
     return {violation_, complete};
   }
 
@@ -68,7 +68,7 @@
         SnapshotAndRestore();
         break;
       case 6:
-        // The answer is lost; a copy of the command may arrive once more, later.
+        // The reply is lost; a copy of the command may be applied later.
         Execute(DeliverSamples{cursor_, static_cast<uint32_t>(1 + Random(4))});
         late_reads_.push_back(DeliverSamples{cursor_, static_cast<uint32_t>(1 + Random(4))});
         break;
@@ -108,11 +108,11 @@
     const std::string snapshot = state_.TakeSnapshot();
     StreamState restored(faults_);
     REQUIRE(restored.Restore(LogIndex(1), snapshot).ok());
-    if (restored.TakeSnapshot() != snapshot) violation_ = "a snapshot does not restore itself";
+    if (restored.TakeSnapshot() != snapshot) violation_ = "a restored snapshot differs";
     state_ = restored;
   }
 
-  /// The trainer takes an answer: its cursor moves, and with it what it holds is settled.
+  /// The trainer processes a response: advances its cursor, which settles what it holds.
   void Read(const StreamResult& result) {
     if (result.code != StreamResultCode::kOk) {
       violation_ = "a regular read was refused: " + result.message;
@@ -148,7 +148,7 @@
   std::vector<DeliverSamples> late_reads_;
 };
 
-/// Fault of the first of many seeds that has one.
+/// Violation of the first seed that has one.
 std::string FirstViolation(StreamFaults faults) {
   for (uint64_t seed = 1; seed <= 400; ++seed) {
     const Verdict verdict = StreamRun(seed, faults).Run();
@@ -167,7 +167,7 @@
 
 TEST_CASE("no random run fails without a fault switch") { REQUIRE(FirstViolation({}) == ""); }
 
-TEST_CASE("the judgement catches each broken stream") {
+TEST_CASE("the checks detect each fault switch") {
   StreamFaults faults;
   SECTION("staleness untested at a re-read") { faults.staleness_untested_at_reread = true; }
   SECTION("first completion not fenced") { faults.first_completion_not_fenced = true; }
--- a/test/rollout/stream_state_test.cc
+++ b/test/rollout/stream_state_test.cc
@@ -11,7 +11,7 @@
   return state.Execute(command).code;
 }
 
-/// Bound 1, version 1 published, one step "a" of three samples.
+/// Staleness bound 1, version 1 published, one step "a" of three samples.
 StreamState StartedState(StreamFaults faults = {}) {
   StreamState state(faults);
   Run(state, SetStalenessBound{1});
@@ -20,7 +20,7 @@
   return state;
 }
 
-TEST_CASE("a step that is put again is not taken twice, and another one is a conflict") {
+TEST_CASE("putting a step again is idempotent, and other prompts are a conflict") {
   StreamState state = StartedState();
   REQUIRE(Run(state, MakeStep("a", 3)) == StreamResultCode::kDuplicate);
   REQUIRE(Run(state, MakeStep("a", 2)) == StreamResultCode::kConflict);
@@ -102,7 +102,7 @@
   REQUIRE(Run(state, DeliverSamples{StreamOffset(0), 10}) == StreamResultCode::kInvalid);
 }
 
-TEST_CASE("a cursor that was never given out acknowledges nothing") {
+TEST_CASE("a cursor that was never issued acknowledges nothing") {
   StreamState state = StartedState();
   Run(state, MakeSample("a", 0, 1, 1));
   Run(state, MakeSample("a", 1, 1, 1));
@@ -112,7 +112,7 @@
   REQUIRE(state.data().entries.size() == 2);
 }
 
-TEST_CASE("a sample that goes stale before it was read is generated anew at once") {
+TEST_CASE("a sample that becomes stale before it was read is generated again at once") {
   StreamState state = StartedState();
   Run(state, MakeSample("a", 0, 1, 1));
   Run(state, MakePublish(3));
@@ -138,19 +138,19 @@
   REQUIRE(Run(state, MakeSample("a", 0, 3, 3)) == StreamResultCode::kOk);
 }
 
-TEST_CASE("a withdrawal that the trainer did not see leaves it the sample") {
+TEST_CASE("the trainer keeps a sample whose withdrawal it did not see") {
   StreamState state = StartedState();
   Run(state, MakeSample("a", 0, 1, 1));
   const StreamResult fresh = state.Execute(DeliverSamples{StreamOffset(0), 10});
   Run(state, MakePublish(3));
-  // A read of the same cursor that was sent earlier arrives late; its answer goes nowhere.
+  // An earlier read at the same cursor arrives late; its response is lost.
   Run(state, DeliverSamples{StreamOffset(0), 10});
   Run(state, DeliverSamples{fresh.next, 10});
   REQUIRE(state.data().open.size() == 2);
   REQUIRE(Run(state, MakeSample("a", 0, 3, 3)) == StreamResultCode::kDuplicate);
 }
 
-TEST_CASE("an answer that shows a withdrawal is longer than asked for if need be") {
+TEST_CASE("a response that shows a withdrawal may exceed the requested limit") {
   StreamState state = StartedState();
   for (uint32_t i = 0; i < 3; ++i) Run(state, MakeSample("a", i, 1, 1));
   const StreamResult fresh = state.Execute(DeliverSamples{StreamOffset(0), 10});
@@ -160,7 +160,7 @@
   REQUIRE(reread.next > fresh.next);
 }
 
-TEST_CASE("a smaller bound withdraws what was not read") {
+TEST_CASE("a smaller bound withdraws unread samples") {
   StreamState state = StartedState();
   Run(state, MakePublish(2));
   Run(state, MakeSample("a", 0, 1, 2));
@@ -176,7 +176,7 @@
           StreamResultCode::kConflict);
 }
 
-TEST_CASE("a stream that is full takes no further step") {
+TEST_CASE("a full stream accepts no further step") {
   StreamState state = StartedState();
   for (int i = 0; i < 3; ++i) Run(state, MakeStep("s" + std::to_string(i), kMaxStepSamples));
   REQUIRE(Run(state, MakeStep("last", kMaxStepSamples)) == StreamResultCode::kFull);
@@ -202,7 +202,7 @@
   REQUIRE(state.data().issued_cursors.size() == 1);
 }
 
-TEST_CASE("a damaged snapshot is refused and leaves the state alone") {
+TEST_CASE("a damaged snapshot is refused and leaves the state unchanged") {
   StreamState state = StartedState();
   Run(state, MakeSample("a", 0, 1, 1));
   const std::string snapshot = state.TakeSnapshot();
@@ -217,7 +217,7 @@
   REQUIRE(other.TakeSnapshot() == snapshot);
 }
 
-TEST_CASE("garbage is answered and changes nothing") {
+TEST_CASE("an undecodable command returns an error and changes nothing") {
   StreamState state = StartedState();
   const std::string before = state.TakeSnapshot();
   const auto result = DecodeStreamResult(state.Apply(LogIndex(4), "\xff\x01garbage"));
--- a/test/rollout/trainer_service_test.cc
+++ b/test/rollout/trainer_service_test.cc
@@ -7,7 +7,7 @@
 namespace millstair {
 namespace {
 
-/// Keeps an answer.
+/// Records a response.
 class Answer : public ResponseWriter {
  public:
   void SendHead(HttpResponseHead sent) override { head = std::move(sent); }
@@ -55,7 +55,7 @@
 
 const char kStep[] = R"({"prompts":[{"text":"one"},{"text":"two","max_tokens":8}]})";
 
-TEST_CASE("a trainer puts a step, reads its samples and goes on behind them") {
+TEST_CASE("a trainer puts a step, reads its samples and continues after them") {
   ServiceFixture fixture;
   const auto put = fixture.Call("PUT", "/v1/streams/drafts/steps/s1", kStep);
   REQUIRE(put->head.status == 200);
@@ -72,7 +72,7 @@
   REQUIRE(fixture.Call("GET", "/v1/streams/drafts/samples?after=0")->head.status == 409);
 }
 
-TEST_CASE("a read waits until there is a sample, and no longer than asked for") {
+TEST_CASE("a read waits until there is a sample, up to the requested time") {
   ServiceFixture fixture;
   const Duration begin = fixture.fleet.scheduler.Now();
   const auto empty = fixture.Call("GET", "/v1/streams/drafts/samples?after=0&wait=3");
@@ -87,7 +87,7 @@
   REQUIRE_FALSE(read->Json().at("samples").as_array().empty());
 }
 
-TEST_CASE("a drain ends long polls in order") {
+TEST_CASE("a drain ends long polls with an empty result") {
   ServiceFixture fixture;
   const auto read = fixture.Send("GET", "/v1/streams/drafts/samples?after=0&wait=60");
   fixture.fleet.scheduler.RunFor(std::chrono::seconds(1));
@@ -101,7 +101,7 @@
   REQUIRE(read->Json().at("next").to_number<int>() == 0);
 }
 
-TEST_CASE("a trainer that went away is not read for") {
+TEST_CASE("nothing is read for a trainer that has disconnected") {
   ServiceFixture fixture;
   const auto read = fixture.Send("GET", "/v1/streams/drafts/samples?after=0&wait=60");
   fixture.fleet.scheduler.RunFor(std::chrono::seconds(1));
@@ -113,7 +113,7 @@
   REQUIRE_FALSE(read->finished);
 }
 
-TEST_CASE("all faults of a step come at once, and nothing of it is taken") {
+TEST_CASE("all findings of a step are reported at once, and the step is not created") {
   ServiceFixture fixture;
   const auto answer = fixture.Call(
       "PUT", "/v1/streams/drafts/steps/s1",
@@ -127,7 +127,7 @@
   REQUIRE(fixture.fleet.Leader().state->data().open.empty());
 }
 
-TEST_CASE("bad requests are told as such and do not run") {
+TEST_CASE("bad requests are refused and do not run") {
   ServiceFixture fixture;
   struct Bad {
     const char* method;
@@ -155,7 +155,7 @@
   REQUIRE(answer->Header("Millstair-Outcome") == "not-run");
 }
 
-TEST_CASE("a version is answered once the stream's log holds it") {
+TEST_CASE("a publish completes once the stream's log holds the version") {
   ServiceFixture fixture;
   const auto answer = fixture.Call("PUT", "/v1/models/routing/versions/7",
                                    R"({"digest":"digest-7","location":"w/7"})");
@@ -177,7 +177,7 @@
   REQUIRE(fixture.fleet.Leader().state->data().newest == WeightVersion(1));
 }
 
-TEST_CASE("a publish whose answers are lost is told as unknown") {
+TEST_CASE("a publish whose replies are lost has an unknown outcome") {
   ServiceFixture fixture;
   fixture.gateway.control.answers_to_drop = 1000;
   const auto answer = fixture.Call("PUT", "/v1/models/routing/versions/7",
--- a/test/rollout/work_schedule_test.cc
+++ b/test/rollout/work_schedule_test.cc
@@ -23,14 +23,14 @@
     context.staleness_bound = 3;
   }
 
-  /// Two versions an interval of 100 s apart, the second one just now.
+  /// Two versions 100 s apart, the second one published just now.
   void EstablishInterval() {
     schedule.OnVersionPublished(at, WeightVersion(1));
     at += std::chrono::seconds(100);
     schedule.OnVersionPublished(at, WeightVersion(2));
     context.newest = WeightVersion(2);
     context.now = at;
-    // Steps that come now are put under the version just out.
+    // Steps created now are associated with the newest version.
     schedule.Clear();
     for (uint64_t step = 1; step <= 2; ++step) {
       for (uint32_t i = 0; i < kSamples; ++i) {
@@ -63,7 +63,7 @@
   REQUIRE(taken[10] == SampleKey{2, 9});
 }
 
-TEST_CASE("what was given back goes before everything else") {
+TEST_CASE("returned samples go first") {
   ScheduleFixture fixture;
   fixture.schedule.Add(fixture.at, {2, 0}, 10, kSamples, true);
   REQUIRE(fixture.schedule.Take(fixture.context, fixture.steps) == SampleKey{2, 0});
@@ -84,7 +84,7 @@
   REQUIRE(fixture.TakeAll().size() == kSamples);
 }
 
-TEST_CASE("a bound of zero runs no step ahead whatever the weight") {
+TEST_CASE("a staleness bound of zero allows no step ahead at any weight") {
   ScheduleFixture fixture;
   fixture.context.idle_time_weight = 1;
   fixture.context.staleness_bound = 0;
@@ -95,7 +95,7 @@
   ScheduleFixture fixture;
   fixture.EstablishInterval();
   fixture.context.idle_time_weight = 0.3;
-  // The longest three of each step, as one step may run ahead.
+  // The longest three of each step, because one step may run ahead.
   REQUIRE(fixture.TakeAll().size() == 6);
   SECTION("until it is out") {
     fixture.context.newest = WeightVersion(3);
@@ -117,18 +117,18 @@
   }
 }
 
-TEST_CASE("while engines swap, the rest waits even if the trainer does") {
+TEST_CASE("while engines swap, the rest is held even if the trainer is waiting") {
   ScheduleFixture fixture;
   fixture.EstablishInterval();
   fixture.context.idle_time_weight = 0.2;
   fixture.context.trainer_waiting = true;
   fixture.context.swap_pending = true;
   REQUIRE(fixture.TakeAll().size() == 4);
-  fixture.context.now += std::chrono::milliseconds(4100);  // (1 - 0.2) * 5 s are over
+  fixture.context.now += std::chrono::milliseconds(4100);  // (1 - 0.2) * 5 s have passed
   REQUIRE(fixture.TakeAll().size() == 8);
 }
 
-TEST_CASE("lengths are learned by prompt, and the mean serves for unknown ones") {
+TEST_CASE("lengths are estimated by prompt, and by the mean for unknown prompts") {
   LengthEstimator lengths;
   for (int i = 0; i < 8; ++i) lengths.RecordLength("long one", 100, 90);
   REQUIRE(lengths.Expected("long one", 100) == 90);
@@ -141,11 +141,11 @@
   REQUIRE(LengthEstimator::Remaining(50, 100, 100) == 0);
 }
 
-TEST_CASE("attempts are lost by silence, by not being listed, and with their gateway") {
+TEST_CASE("attempts are lost if not reported, if not listed, or if their gateway is gone") {
   AttemptTable table({std::chrono::seconds(5), std::chrono::milliseconds(1500)});
   const TimePoint begin{std::chrono::hours(1)};
-  const NodeId unresponsive("silent");
-  const NodeId responsive("talking");
+  const NodeId unresponsive("unresponsive");
+  const NodeId responsive("responsive");
   const NodeId dead("dead");
   table.Grant(begin, {1, 0}, AttemptEpoch(1), unresponsive);
   table.Grant(begin, {1, 1}, AttemptEpoch(2), responsive);
@@ -165,7 +165,7 @@
   REQUIRE(table.in_flight() == 0);
 }
 
-TEST_CASE("a third attempt at a sample is stopped, an unknown one is taken over") {
+TEST_CASE("a third attempt at a sample is stopped, an unknown one is adopted") {
   AttemptTable table({});
   const TimePoint now{std::chrono::hours(1)};
   const WorkRequest::Running first{SampleId("a/0"), AttemptEpoch(1), 4, WeightVersion(1)};
