--- a/source/weights/engine_reconciler.cc
+++ b/source/weights/engine_reconciler.cc
@@ -50,20 +50,19 @@
   const ReconcilerCounts& counts() const override { return counts_; }
 
  private:
-  /// An engine as last reported, and what was order_pending. Begins anew with each of its
-  /// incarnations.
+  /// Newest report and order state of an engine. Reset for each of its incarnations.
   struct EngineRecord {
     EngineReport report;
-    /// An order is under way.
+    /// An order was sent and neither replied to nor timed out.
     bool order_pending = false;
-    /// Tells answers to the present order from late ones.
+    /// Distinguishes replies to the current order from late ones.
     uint64_t order_number = 0;
     TimePoint order_deadline;
     TimePoint retry_at;
     Duration backoff{0};
     std::optional<TimePoint> differs_since;
-    /// Adapters loaded by our orders, with the revision of their resources; reports don't list
-    /// them.
+    /// Adapters loaded by orders of this gateway, with the revision of their resources; reports do
+    /// not list adapters.
     std::map<std::string, Revision> adapters;
     std::optional<EngineObservation> reported;
   };
@@ -83,7 +82,7 @@
 
   const Configuration& configuration() const { return client_.configuration(); }
 
-  /// Notes since when this gateway knows that a version is to be served.
+  /// Records when this gateway first saw each active version.
   void UpdateActivations() {
     for (const auto& [model, status] : configuration().models) {
       Activation& activation = activations_[model];
@@ -118,16 +117,16 @@
     if (record.order_pending && now < record.order_deadline) return;
     record.order_pending = false;
     if (now < record.retry_at || !client_.LeaseValid()) return;
-    // An engine that leaves gets no new work, orders included.
+    // A draining engine gets no orders.
     if (record.report.draining || EffectiveState(configuration(), engine) != MemberState::kLive)
       return;
     const PlacementRules& rules = rules_.For(configuration());
     std::optional<EngineTarget> target =
         EngineTargetFor(configuration(), rules, engine, record.report.model);
     if (!target) return;
-    // The engine follows a configuration that is newer than ours.
+    // The engine has applied an order from a newer configuration than ours.
     if (record.report.last_fence > configuration().revision) return;
-    // What set its fence is part of our configuration, even if that has been deleted since.
+    // The resource that set its fence is part of our configuration, or was deleted since.
     target->fence = std::max(target->fence, record.report.last_fence);
     std::optional<EngineOrder> order = NextOrder(*target, record);
     if (!order) {
@@ -194,7 +193,7 @@
           const auto rank = ranks_.find(engine);
           return rank != ranks_.end() && rank->second == 0;
         }));
-    // One that only stands in for others takes the share of one engine.
+    // A gateway that is only a second observer takes the share of one engine.
     const double share = std::max(first_observed, 1.0) / std::max<double>(engines.size(), 1.0);
     const TimePoint now = environment_.Now();
     StoreRateLimiter& limiter = rate_limiters_[model];
@@ -203,8 +202,8 @@
     return limiter.TryAcquireVersion(now);
   }
 
-  /// Engines swap in an order that all gateways agree on. One may swap while fewer than a wave of
-  /// those before it have not done so; its wave's time comes at the latest with the swap limit.
+  /// Engines swap in an order that all gateways compute alike. An engine may swap while fewer
+  /// engines before it than one wave have yet to swap, or once the time of its wave has come.
   bool CanSwap(const EngineName& engine, const EngineOrder& order, const PlacementRules& rules) {
     std::vector<EngineName> live;
     for (const EngineName& other : rules.EnginesForModel(order.model)) {
@@ -275,8 +274,8 @@
     Reconcile(engine, record);
   }
 
-  /// Reports lag: counts an order that was obeyed as in force until the next report, so that it is
-  /// not given twice and the next one need not wait.
+  /// Applies a completed order to the stored report, because reports lag: otherwise the order would
+  /// be sent twice and the next one delayed.
   void ApplyOrderEffect(EngineRecord& record, const EngineOrder& order) {
     EngineReport& report = record.report;
     switch (order.kind) {
--- a/source/weights/engine_target.cc
+++ b/source/weights/engine_target.cc
@@ -54,7 +54,7 @@
   return order;
 }
 
-/// The engine serves `wanted`, and all of its shards do.
+/// Whether all shards of the engine serve `wanted`.
 bool Serves(const EngineReport& report, const EngineTarget& target,
             const PublishedVersion& wanted) {
   return report.model == target.model && report.shards == ShardState::kConsistent &&
--- a/source/weights/engine_target.h
+++ b/source/weights/engine_target.h
@@ -1,5 +1,5 @@
-/// What an engine is to hold and serve, worked out from one configuration, and the next order that
-/// brings it closer. Pure functions.
+/// Computes the target state of an engine from a configuration, and the next weight order towards
+/// it. Pure functions.
 #pragma once
 
 #include <map>
@@ -13,13 +13,13 @@
 
 namespace millstair {
 
-/// Wanted state of one engine.
+/// Target state of one engine.
 struct EngineTarget {
   ModelName model;
-  /// Version to fetch ahead, and version to serve; with version 0, none.
+  /// Version to stage, and version to serve; version 0 if none.
   PublishedVersion staged;
   PublishedVersion active;
-  /// Wanted role; none leaves it as it is.
+  /// Role; nullopt leaves it unchanged.
   std::optional<std::string> role;
   /// Adapters of the model, with the revision of their resources.
   struct Adapter {
@@ -28,27 +28,31 @@
     Revision version;
   };
   std::map<std::string, Adapter> adapters;
-  /// Newest revision that any of this depends on: fence of every order to the engine, so that an
-  /// observer that knows less can't undo what one did that knows more.
+  /// Newest revision that the target depends on. Sent as the fence of every order to the engine, so
+  /// that an observer with an older configuration can't undo the orders of one with a newer
+  /// configuration.
   Revision fence;
 };
 
-/// None if the engine is to hold no model. `reported_model` is kept if it is among the engine's.
+/// Returns nullopt if no model is assigned to the engine. `reported_model` is retained if it is
+/// among the assigned ones.
 std::optional<EngineTarget> EngineTargetFor(const Configuration& configuration,
                                             const PlacementRules& rules, const EngineName& engine,
                                             const ModelName& reported_model);
 
-/// The report contradicts itself or what was published: the engine must not be given work.
+/// Whether the shards of the engine hold different weights, or a digest that was not published for
+/// its version. The engine must not be given work.
 bool HasUncertainWeights(const Configuration& configuration, const EngineReport& report);
 
-/// Weight order that is due; none if the weights are as wanted. Staging goes first.
+/// Next weight order; nullopt if the weights match the target. Staging goes first.
 std::optional<EngineOrder> NextWeightOrder(const EngineTarget& target, const EngineReport& report);
 
-/// Place of `engine` in the order in which the engines of a model swap to `version`, from 0.
+/// Position of `engine`, from 0, in the order in which the engines of a model swap to `version`.
 uint32_t SwapPosition(const std::vector<EngineName>& engines, const EngineName& engine,
                       WeightVersion version);
 
-/// How many of `engines` may swap at once so that `floor` of them go on; at least 1.
+/// How many of `engines` may swap at once so that the fraction `floor` of them keeps serving; at
+/// least 1.
 uint32_t MaxConcurrentSwaps(uint32_t engines, double floor);
 
 }  // namespace millstair
--- a/source/weights/store_rate_limiter.h
+++ b/source/weights/store_rate_limiter.h
@@ -1,4 +1,4 @@
-/// A gateway's share of the weight store's rate.
+/// Limits staging to the gateway's share of the weight store's rate.
 #pragma once
 
 #include <cstdint>
@@ -7,12 +7,12 @@
 
 namespace millstair {
 
-/// Token bucket over bytes. Value type; time is that of the node's environment.
+/// Token bucket over bytes. Value type; `now` is the time of the node's environment.
 class StoreRateLimiter {
  public:
-  /// `bytes_per_second` 0 is no limit. The bucket holds at least one version.
+  /// No limit if `bytes_per_second` or `version_bytes` is 0. The bucket holds one version.
   void SetRate(TimePoint now, double bytes_per_second, double version_bytes);
-  /// Takes the bytes of one version; false if they are not there yet.
+  /// Takes the bytes of one version; false if not enough are available yet.
   bool TryAcquireVersion(TimePoint now);
 
  private:
--- a/source/weights/weight_target_task.cc
+++ b/source/weights/weight_target_task.cc
@@ -42,8 +42,8 @@
     EngineObservation& record = observed_[observation.engine];
     if (observation.incarnation < record.incarnation) return;
     if (observation.incarnation > record.incarnation) record = observation;
-    // Gateways repeat what they saw long ago. Versions count up, so within one life of the engine
-    // the largest ones are the newest word.
+    // Gateways may repeat old observations. Versions only increase within one incarnation of the
+    // engine, so the largest ones are the newest.
     record.staged = std::max(record.staged, observation.staged);
     record.active = std::max(record.active, observation.active);
     for (auto& [model, progress] : progress_) {
@@ -53,11 +53,11 @@
 
  private:
   struct Progress {
-    /// As of the last run.
+    /// Status at the last run.
     ModelStatus status;
     std::vector<EngineName> live_engines;
     Duration staging_timeout{0};
-    /// Staged version that is waited for, since when.
+    /// Version being staged, and since when.
     WeightVersion staged;
     TimePoint staging_started_at;
     /// Last proposal.
@@ -88,8 +88,8 @@
     WeightVersion staged = status.staged;
     WeightVersion active = status.active;
     if (status.active < status.staged && IsSufficientlyStaged(progress)) active = status.staged;
-    // A further version is fetched only once the one before is served, so that a quick publisher
-    // can't keep all of them from being served.
+    // The next version is staged only once the previous one is active, so that frequent publishing
+    // can't prevent versions from being served.
     if (active >= status.staged) staged = std::max(staged, NewestPublished(status));
     if (staged == status.staged && active == status.active) return;
     Propose(progress, status.model, staged, active);
--- a/source/weights/weight_target_task.h
+++ b/source/weights/weight_target_task.h
@@ -1,8 +1,8 @@
-/// Decides on the cluster leader which version of a model engines fetch and which they serve.
+/// Leader task that decides which version of a model engines stage and which they serve.
 ///
-/// A published version is staged at once, unless an earlier one is still on its way: that one is
-/// served first. It is served once enough engines hold it, or after a time that staging ought to
-/// have taken. An older version is never served again.
+/// A published version is staged at once, unless an earlier one is still being staged; that one is
+/// served first. A version is served once enough engines have staged it, or after a timeout. An
+/// older version is never served again.
 #pragma once
 
 #include <functional>
@@ -15,17 +15,19 @@
 namespace millstair {
 
 struct WeightTargetOptions {
-  /// Share of a model's live engines that need not hold a version before it is served; at least one
-  /// of three or more, so that a dead engine that still counts as live holds nobody up.
+  /// Fraction of a model's live engines that need not have staged a version before it is served; at
+  /// least one engine of three or more, so that a dead engine that still counts as live does not
+  /// block the others.
   double unstaged_share = 0.1;
-  /// Least and largest time given to staging; in between it is twice what the store's rate asks.
+  /// Bounds of the staging timeout, which is twice the time needed at the rate of the store.
   Duration min_staging_time = std::chrono::seconds(5);
   Duration max_staging_time = std::chrono::seconds(120);
-  /// A proposal is repeated if it has had no effect after this long.
+  /// A proposal without effect is repeated after this long.
   Duration repropose_interval = std::chrono::seconds(1);
 };
 
-/// `propose` proposes to the cluster group; whatever becomes of it shows in the configuration.
+/// `propose` submits a command to the cluster group; its effect is observed through the
+/// configuration.
 std::unique_ptr<LeaderTask> MakeWeightTargetTask(Environment& environment,
                                                  std::function<void(ClusterCommand)> propose,
                                                  WeightTargetOptions options = {});
--- a/test/weights/reconciler_test.cc
+++ b/test/weights/reconciler_test.cc
@@ -18,7 +18,7 @@
   REQUIRE(fleet.store.refused() == 0);
 }
 
-TEST_CASE("a staged version that is wanted no more is unloaded") {
+TEST_CASE("a staged version that is no longer wanted is unloaded") {
   WeightFleet fleet(1, 1);
   fleet.Publish(1);
   REQUIRE(fleet.RunUntilServing(1));
@@ -55,7 +55,7 @@
   }
 }
 
-TEST_CASE("a gateway that repeats an old observation does not hold a version up") {
+TEST_CASE("a gateway that repeats an old observation does not delay a version") {
   WeightFleet fleet(4);
   fleet.Publish(1);
   REQUIRE(fleet.RunUntilServing(1));
@@ -99,7 +99,7 @@
   REQUIRE(least < 8);
 }
 
-TEST_CASE("a swap that failed partway is driven again and the engine is in doubt until then") {
+TEST_CASE("a swap that failed partway is retried and the weights are uncertain until then") {
   WeightFleet fleet(4);
   fleet.Publish(1);
   REQUIRE(fleet.RunUntilServing(1));
@@ -119,7 +119,7 @@
   REQUIRE_FALSE(fleet.gateways[0]->AreWeightsUncertain(WeightFleet::Name(2)));
 }
 
-TEST_CASE("an engine that starts again gets the weights again") {
+TEST_CASE("a restarted engine gets its weights again") {
   WeightFleet fleet(3);
   fleet.Publish(1);
   REQUIRE(fleet.RunUntilServing(1));
@@ -130,7 +130,7 @@
   REQUIRE(fleet.RunUntilServing(1));
 }
 
-TEST_CASE("an engine that does not answer holds nobody up") {
+TEST_CASE("an unresponsive engine does not block the others") {
   WeightFleet fleet(6);
   fleet.Publish(1);
   REQUIRE(fleet.RunUntilServing(1));
@@ -141,7 +141,7 @@
   REQUIRE(fleet.scheduler.Now() - fleet.activated_at <= std::chrono::seconds(7));
 }
 
-TEST_CASE("the second observer stands in for one that is gone") {
+TEST_CASE("the second observer replaces a failed first one") {
   WeightFleet fleet(4);
   fleet.gateways[0].reset();
   fleet.gateways.erase(fleet.gateways.begin());
@@ -149,7 +149,7 @@
   REQUIRE(fleet.RunUntilServing(1));
 }
 
-TEST_CASE("an engine that leaves gets no order") {
+TEST_CASE("a draining engine gets no orders") {
   WeightFleet fleet(3);
   fleet.Publish(1);
   REQUIRE(fleet.RunUntilServing(1));
@@ -167,7 +167,7 @@
   REQUIRE(fleet.models[1]->counts().orders_accepted == before);
 }
 
-TEST_CASE("without a lease a gateway orders nothing") {
+TEST_CASE("a gateway without a lease sends no orders") {
   WeightFleet fleet(2);
   fleet.configuration.lease = false;
   fleet.Publish(1);
@@ -205,7 +205,8 @@
   fleet.scheduler.RunFor(std::chrono::seconds(5));
   REQUIRE(fleet.models[0]->CurrentReport().role == "prefill");
   REQUIRE(fleet.models[1]->CurrentReport().role.empty());
-  // Reports do not list adapters, so each observer orders its own load; the second has no effect.
+  // Reports do not list adapters, so each observer sends its own load order; the second one has no
+  // effect.
   REQUIRE(fleet.engines.Count(OrderKind::kLoadAdapter) == 4);
   fleet.configuration.held.resources.erase({ResourceKind::kAdapter, "adapter-a"});
   fleet.scheduler.RunFor(std::chrono::seconds(5));
--- a/test/weights/weight_fleet.h
+++ b/test/weights/weight_fleet.h
@@ -1,4 +1,5 @@
-/// Engine models under real weight task and reconcilers; the cluster state is a plain value.
+/// Engine models with the real weight target task and reconcilers; the cluster state is a plain
+/// value.
 #pragma once
 
 #include <map>
@@ -22,7 +23,7 @@
   return WeightDigest(fmt::format("sha-w{}", version));
 }
 
-/// Sends orders to engine models and keeps them.
+/// Sends orders to engine models and records them.
 class WeightsEngines : public EngineClient {
  public:
   std::unique_ptr<CallHandle> Generate(const std::string&, GenerateRequest,
@@ -32,7 +33,7 @@
   void SendOrder(const std::string& address, const EngineOrder& order,
                  std::function<void(absl::Status)> done) override {
     orders.push_back(order);
-    if (unreachable == address) return;  // the answer never comes
+    if (unreachable == address) return;  // no reply
     models.at(address)->ApplyOrder(order, std::move(done));
   }
   void FetchReport(const std::string&, std::function<void(absl::StatusOr<EngineReport>)>) override {
@@ -102,7 +103,8 @@
     engines.models[Address(i)] = models.back().get();
   }
 
-  /// Gateway 0 is first observer of even engines and second of odd ones; gateway 1 the reverse.
+  /// Gateway 0 is the first observer of even engines and the second of odd ones; gateway 1 the
+  /// reverse.
   void AddGateway(int i, ReconcilerOptions options) {
     environments_.push_back(std::make_unique<VirtualEnvironment>(scheduler, 80 + i));
     gateways.push_back(
