--- a/source/rollout/trainer_service.cc
+++ b/source/rollout/trainer_service.cc
@@ -86,8 +86,8 @@
     exchange->writer = std::move(writer);
     exchanges_.push_back(exchange);
     std::erase_if(exchanges_, [](const auto& known) {
-      const auto held = known.lock();
-      return held == nullptr || held->finished;
+      const auto locked = known.lock();
+      return locked == nullptr || locked->finished;
     });
     exchange->writer->OnCallerDisconnected([weak = std::weak_ptr<Exchange>(exchange)] {
       if (const auto locked = weak.lock()) locked->finished = true;
@@ -231,8 +231,8 @@
     if (ready) return Read(read);
     if (WaitExpired(*read)) return AnswerEmpty(*read);
     // A leader at its limit of held queries replies at once: delay the next query.
-    const bool held = environment_.Now() - read->queried_at >= kRetryDelay;
-    if (status.ok() && held) return QueryCursor(read);
+    const bool was_held = environment_.Now() - read->queried_at >= kRetryDelay;
+    if (status.ok() && was_held) return QueryCursor(read);
     RunAfter(kRetryDelay, [this, read] { QueryCursor(read); });
   }
 
--- a/source/weights/store_rate_limiter.cc
+++ b/source/weights/store_rate_limiter.cc
@@ -22,8 +22,8 @@
   if (rate_ <= 0 || version_bytes_ <= 0) return true;
   Refill(now);
   // A rounding error must not cause another wait.
-  constexpr double kRoundingTolerance = 0.999;
-  if (tokens_ < kRoundingTolerance * version_bytes_) return false;
+  constexpr double kMinFillFraction = 0.999;
+  if (tokens_ < kMinFillFraction * version_bytes_) return false;
   tokens_ -= version_bytes_;
   return true;
 }
--- a/test/rollout/rollout_codec_test.cc
+++ b/test/rollout/rollout_codec_test.cc
@@ -72,12 +72,12 @@
 
 TEST_CASE("damaged messages are refused or decode to another valid message") {
   std::mt19937_64 random(5);
-  const std::vector<std::string> whole = {
+  const std::vector<std::string> valid_messages = {
       EncodeWorkRequest(MakeWorkRequest()), EncodeWorkReply(MakeWorkReply()),
       EncodeStreamCommand(MakeStep("a", 3)), EncodeStreamCommand(MakeSample("a", 0, 1, 2))};
   uint64_t refused = 0;
   for (int round = 0; round < 4000; ++round) {
-    std::string bytes = whole[random() % whole.size()];
+    std::string bytes = valid_messages[random() % valid_messages.size()];
     for (uint64_t i = random() % 4 + 1; i > 0; --i) {
       bytes[random() % bytes.size()] = static_cast<char>(random());
     }
--- a/test/rollout/stream_state_test.cc
+++ b/test/rollout/stream_state_test.cc
@@ -208,9 +208,9 @@
   const std::string snapshot = state.TakeSnapshot();
   StreamState other;
   REQUIRE(absl::IsDataLoss(other.Restore(LogIndex(1), snapshot.substr(0, snapshot.size() - 5))));
-  const std::string_view whole = snapshot;
+  const std::string_view complete = snapshot;
   const size_t first_record = 4 + static_cast<unsigned char>(snapshot[0]);
-  REQUIRE(absl::IsDataLoss(other.Restore(LogIndex(1), whole.substr(0, first_record))));
+  REQUIRE(absl::IsDataLoss(other.Restore(LogIndex(1), complete.substr(0, first_record))));
   REQUIRE(absl::IsDataLoss(other.Restore(LogIndex(1), "")));
   REQUIRE(other.data().steps.empty());
   REQUIRE(other.Restore(LogIndex(1), snapshot).ok());
--- a/test/rollout/trainer_service_test.cc
+++ b/test/rollout/trainer_service_test.cc
@@ -67,8 +67,8 @@
   REQUIRE(read->Json().at("samples").as_array().size() == 2);
   REQUIRE(read->Json().at("next").to_number<int>() == 2);
   REQUIRE(read->Json().at("newest").to_number<int>() == 1);
-  const auto behind = fixture.Call("GET", "/v1/streams/drafts/samples?after=2&max=10");
-  REQUIRE(behind->Json().at("samples").as_array().empty());
+  const auto after_last = fixture.Call("GET", "/v1/streams/drafts/samples?after=2&max=10");
+  REQUIRE(after_last->Json().at("samples").as_array().empty());
   REQUIRE(fixture.Call("GET", "/v1/streams/drafts/samples?after=0")->head.status == 409);
 }
 
@@ -121,8 +121,8 @@
   REQUIRE(answer->head.status == 400);
   REQUIRE(answer->Header("Millstair-Outcome") == "not-run");
   const std::string detail(answer->Json().at("detail").as_string());
-  for (const char* place : {"prompts[0]", "prompts[1]", "prompts[2]", "prompts[3]", "more"}) {
-    REQUIRE(detail.find(place) != std::string::npos);
+  for (const char* location : {"prompts[0]", "prompts[1]", "prompts[2]", "prompts[3]", "more"}) {
+    REQUIRE(detail.find(location) != std::string::npos);
   }
   REQUIRE(fixture.fleet.Leader().state->data().open.empty());
 }
--- a/test/weights/reconciler_test.cc
+++ b/test/weights/reconciler_test.cc
@@ -153,8 +153,8 @@
   WeightFleet fleet(3);
   fleet.Publish(1);
   REQUIRE(fleet.RunUntilServing(1));
-  SECTION("by its own word") { fleet.models[1]->Drain(); }
-  SECTION("by the operators' wish") {
+  SECTION("according to its report") { fleet.models[1]->Drain(); }
+  SECTION("according to the configuration") {
     auto& engine = fleet.configuration.held.resources.at({ResourceKind::kEngine, "engine-1"});
     std::get<EngineSpec>(engine.spec).drain = true;
   }
