--- a/source/rollout/attempt_run.h
+++ b/source/rollout/attempt_run.h
@@ -1,5 +1,5 @@
-/// One leased attempt on a gateway: places it on an engine, follows its stream, moves it when the
-/// engine fails, then scores and appends the sample.
+/// Runs one leased attempt on a gateway: places it on an engine, follows its token stream, moves it
+/// if the engine fails, then scores and appends the sample.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 
 namespace millstair {
 
-/// What attempts share with their worker.
+/// Dependencies and counters shared by the attempts of a worker.
 struct RolloutContext {
   Environment& environment;
   EngineClient& engines;
@@ -31,26 +31,26 @@
 };
 
 enum class AttemptEnd : uint8_t {
-  kSettled = 1,   ///< appended here or elsewhere: nothing is left to do
-  kReturned = 2,  ///< to be given back; the tokens so far are worth keeping
-  kAnew = 3,      ///< to be given back; another attempt starts from nothing
+  kSettled = 1,   ///< appended, here or elsewhere, or obsolete; nothing left to do
+  kReturned = 2,  ///< returned to the leader with its tokens, to be resumed
+  kRestart = 3,   ///< returned to the leader without tokens, to be started over
 };
 
-/// Lives on the node's serial executor. Dropping it cancels what is under way.
+/// Lives on the node's serial executor. The destructor cancels outstanding work.
 class AttemptRun : private GenerateObserver {
  public:
-  /// `ended` is called once, from a timer of its own.
+  /// `ended` is called once, from a timer callback.
   AttemptRun(RolloutContext& context, StreamName stream, Attempt attempt,
              std::function<void(AttemptEnd)> ended);
   ~AttemptRun() override;
 
-  void Start() { BeginPlacing(); }
-  /// Gives back what is still being generated; a finished sample goes on to be appended.
+  void Start() { StartPlacement(); }
+  /// Returns an attempt that is still generating; a finished sample is still scored and appended.
   void Stop();
 
   const Attempt& attempt() const { return attempt_; }
   const SpanCollector& collected() const { return collected_; }
-  /// Engine that still holds the attempt's KV; empty if none does.
+  /// Engine that still holds the KV cache of the attempt; empty if none.
   const std::string& kv_source() const { return kv_source_; }
 
  private:
@@ -59,31 +59,31 @@
   void OnChunk(const GenerateChunk& chunk) override;
   void OnFailed(CallFailure failure, bool leaving, const std::string& reason) override;
 
-  /// Spec of the stream; null once it was deleted.
+  /// Spec of the stream; null if the stream was deleted.
   const StreamSpec* Spec() const;
   const ModelStatus* Model() const;
   RoutingRequest Request() const;
 
-  void BeginPlacing();
-  void TryPlacing();
+  void StartPlacement();
+  void AttemptPlacement();
   void Generate(const Placement& placement);
   void EndPlacement(PlacementEnd end, CallFailure failure, bool leaving);
-  void Void(const std::string& reason);
-  void Watch();
-  bool EngineLeaves() const;
+  void DiscardAndRestart(const std::string& reason);
+  void CheckProgress();
+  bool IsEngineLeaving() const;
   Duration RemainingTime() const;
-  void ConsiderMove(Duration remaining, double gain);
-  bool TooOld() const;
+  void MaybeMove(Duration remaining, double min_speedup);
+  bool IsTooStale() const;
 
-  void BeginScoring();
-  void BeginAppending(double score);
+  void StartScoring();
+  void StartAppending(double score);
   void Append();
-  void TakeResult(const absl::StatusOr<std::string>& answer);
-  bool TellPublished(const StreamResult& result);
+  void OnAppendReply(const absl::StatusOr<std::string>& answer);
+  bool SubmitPublishedVersion(const StreamResult& result);
   Sample MakeSample(double score) const;
   void End(AttemptEnd end);
-  /// Runs `step` from a timer, out of any callback of what it may drop.
-  void Later(std::function<void()> step) { step_timer_.Arm(Duration(0), std::move(step)); }
+  /// Runs `step` from a timer, so that it may destroy the object whose callback is running.
+  void Defer(std::function<void()> step) { step_timer_.Arm(Duration(0), std::move(step)); }
 
   RolloutContext& context_;
   StreamName stream_;
@@ -94,17 +94,17 @@
   std::string kv_source_;
   std::set<EngineName> excluded_;
   std::optional<Placement> placement_;
-  uint32_t tries_ = 0;
+  uint32_t generation_count_ = 0;
   uint32_t moves_ = 0;
-  uint32_t voids_ = 0;
-  uint32_t appends_ = 0;
-  TimePoint placing_since_;
-  TimePoint stream_began_at_;
+  uint32_t discards_ = 0;
+  uint32_t append_attempts_ = 0;
+  TimePoint placement_started_at_;
+  TimePoint stream_started_at_;
   TimePoint progress_at_;
-  uint32_t tokens_at_begin_ = 0;
+  uint32_t tokens_at_stream_start_ = 0;
   double score_ = 0;
   ScopedTimer step_timer_;
-  ScopedTimer watch_timer_;
+  ScopedTimer progress_timer_;
   std::unique_ptr<SampleScorer> scorer_;
   std::unique_ptr<CallHandle> generation_;
   AliveFlag alive_;
--- a/source/rollout/stream_codec.cc
+++ b/source/rollout/stream_codec.cc
@@ -22,12 +22,12 @@
     message.has_append_sample = true;
     FillSample(arena, command.sample, &message.append_sample);
   }
-  void operator()(const NotePublished& command) const {
+  void operator()(const RecordPublishedVersion& command) const {
     message.has_note_published = true;
     message.note_published.version = command.version.value();
     message.note_published.digest = arena.NewString(command.digest.value());
   }
-  void operator()(const HandOn& command) const {
+  void operator()(const DeliverSamples& command) const {
     message.has_hand_on = true;
     message.hand_on.after = command.after.value();
     message.hand_on.max_samples = command.max_samples;
@@ -63,17 +63,20 @@
   const millstair_StreamCommandMessage& message = **decoded;
   const int set = message.has_put_step + message.has_append_sample + message.has_note_published +
                   message.has_hand_on + message.has_set_staleness_bound;
-  if (set != 1) return absl::InvalidArgumentError("a stream command holds exactly one operation");
+  if (set != 1)
+    return absl::InvalidArgumentError("a stream command must hold exactly one operation");
   if (message.has_put_step) return StreamCommand(ReadPutStep(message.put_step));
   if (message.has_append_sample) {
     return StreamCommand(AppendSample{ReadSample(message.append_sample)});
   }
   if (message.has_note_published) {
-    return StreamCommand(NotePublished{WeightVersion(message.note_published.version),
-                                       WeightDigest(ToString(message.note_published.digest))});
+    return StreamCommand(
+        RecordPublishedVersion{WeightVersion(message.note_published.version),
+                               WeightDigest(ToString(message.note_published.digest))});
   }
   if (message.has_hand_on) {
-    return StreamCommand(HandOn{StreamOffset(message.hand_on.after), message.hand_on.max_samples});
+    return StreamCommand(
+        DeliverSamples{StreamOffset(message.hand_on.after), message.hand_on.max_samples});
   }
   return StreamCommand(SetStalenessBound{message.set_staleness_bound.bound});
 }
@@ -82,10 +85,10 @@
   WireArena arena;
   millstair_StreamResultMessage message = millstair_StreamResultMessage_init_zero;
   message.code = static_cast<uint32_t>(result.code);
-  message.handed_on = arena.NewArray<millstair_StreamHandedOn>(result.handed_on.size());
-  message.handed_on_count = static_cast<pb_size_t>(result.handed_on.size());
-  for (size_t i = 0; i < result.handed_on.size(); ++i) {
-    const HandedOn& from = result.handed_on[i];
+  message.handed_on = arena.NewArray<millstair_StreamHandedOn>(result.delivered.size());
+  message.handed_on_count = static_cast<pb_size_t>(result.delivered.size());
+  for (size_t i = 0; i < result.delivered.size(); ++i) {
+    const DeliveredEntry& from = result.delivered[i];
     millstair_StreamHandedOn& to = message.handed_on[i];
     to.offset = from.offset.value();
     to.withdrawn = from.withdrawn;
@@ -105,13 +108,13 @@
   const millstair_StreamResultMessage& message = **decoded;
   if (message.code < static_cast<uint32_t>(StreamResultCode::kOk) ||
       message.code > static_cast<uint32_t>(StreamResultCode::kFull)) {
-    return absl::InvalidArgumentError("unknown result code of a stream");
+    return absl::InvalidArgumentError("unknown stream result code");
   }
   StreamResult result;
   result.code = static_cast<StreamResultCode>(message.code);
   for (pb_size_t i = 0; i < message.handed_on_count; ++i) {
     const millstair_StreamHandedOn& from = message.handed_on[i];
-    result.handed_on.push_back(
+    result.delivered.push_back(
         {StreamOffset(from.offset), from.withdrawn, ReadSample(from.sample)});
   }
   result.next = StreamOffset(message.next);
--- a/source/rollout/stream_leader.h
+++ b/source/rollout/stream_leader.h
@@ -1,5 +1,5 @@
-/// Leads a stream: leases attempts to gateways, holds trainers' queries until there is something to
-/// read, and keeps the stream's log in step with the configuration.
+/// Leader of a stream: leases attempts to gateways, holds trainers' queries until there is
+/// something to read, and keeps the log of the stream in sync with the configuration.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 #include "common/peer_transport.h"
 #include "common/scoped_timer.h"
 #include "rollout/attempt_table.h"
-#include "rollout/length_estimate.h"
+#include "rollout/length_estimator.h"
 #include "rollout/stream_factory.h"
 #include "rollout/stream_state.h"
 #include "rollout/work_schedule.h"
@@ -35,22 +35,22 @@
   void OnChange(const Configuration& configuration) override;
 
  private:
-  /// What the configuration says about this stream.
+  /// Settings of this stream from the configuration.
   struct Settings {
     StreamSpec stream;
     std::vector<PublishedVersion> published;
     WeightVersion active;
-    /// Attempts of this stream at once; its share of the pool.
+    /// Maximum concurrent attempts of this stream: its share of the pool.
     uint32_t max_in_flight = 0;
     std::map<NodeId, bool> gone_gateways;
   };
-  /// A gateway that asked for work.
-  struct Asker {
-    uint32_t room = 0;
+  /// A gateway that requests work.
+  struct Requester {
+    uint32_t free_slots = 0;
     uint64_t sequence = 0;
-    TimePoint asked_at;
-    /// It has not been answered yet.
-    bool answer_due = false;
+    TimePoint requested_at;
+    /// The latest request has not been replied to yet.
+    bool reply_due = false;
     std::vector<WorkReply::Cancelled> cancelled;
     std::vector<Attempt> granted;
   };
@@ -64,39 +64,39 @@
   void OnSampleClosed(const SampleKey& key) override;
   void OnSampleAccepted(const SampleKey& key, const Sample& sample) override;
   void OnProgress() override;
-  void OnReplaced() override;
+  void OnSnapshotRestored() override;
 
   // Leadership.
-  void TakeInLeadership();
+  void UpdateLeadership();
   bool Leads() const { return leading_ && group_.IsLeader(); }
   void Tick();
   void RebuildSchedule();
 
-  // Healing from the configuration.
-  void Heal();
-  std::optional<StreamCommand> NextHealing() const;
-  bool Healed() const { return settings_.has_value() && !NextHealing().has_value(); }
+  // Synchronization with the configuration.
+  void SyncWithConfiguration();
+  std::optional<StreamCommand> NextSyncCommand() const;
+  bool InSync() const { return settings_.has_value() && !NextSyncCommand().has_value(); }
 
   // Work.
-  void TakeReturned(const WorkRequest& request);
-  void TakeRunning(const WorkRequest& request, Asker& asker);
-  bool TooOld(const LeasedAttempt& attempt) const;
-  void MakeWaiting(const SampleKey& key, bool urgent);
+  void HandleReturned(const WorkRequest& request);
+  void HandleRunning(const WorkRequest& request, Requester& requester);
+  bool IsTooStale(const LeasedAttempt& attempt) const;
+  void Enqueue(const SampleKey& key, bool urgent);
   void ScheduleFlush();
   void Flush();
   void GrantRound();
-  bool GrantOne(const NodeId& gateway, Asker& asker);
-  void Grant(const NodeId& gateway, Asker& asker, const SampleKey& key);
-  std::optional<SampleKey> Hedge(const NodeId& gateway) const;
+  bool GrantOne(const NodeId& gateway, Requester& requester);
+  void Grant(const NodeId& gateway, Requester& requester, const SampleKey& key);
+  std::optional<SampleKey> FindHedgeCandidate(const NodeId& gateway) const;
   void StopAttempt(const SampleKey& key, const LeasedAttempt& attempt);
-  void StopOldAttempts();
+  void StopStaleAttempts();
   void RestartEarlyAttempts();
-  ScheduleSituation Situation() const;
+  ScheduleContext MakeScheduleContext() const;
   uint32_t ExpectedTokens(const SampleKey& key) const;
 
   // Queries.
-  bool Readable(StreamOffset after) const;
-  bool TrainerWaits() const;
+  bool HasReadable(StreamOffset after) const;
+  bool IsTrainerWaiting() const;
   std::string Status() const;
   void AnswerQueries(bool all);
 
@@ -110,19 +110,20 @@
   std::optional<Settings> settings_;
   bool leading_ = false;
   Term led_term_;
-  TimePoint leads_since_;
+  TimePoint leader_since_;
   uint32_t last_epoch_ = 0;
-  bool healing_ = false;
-  /// Version that engines were told to serve, since when, and whether attempts were restarted.
+  bool syncing_ = false;
+  /// Version that engines are to serve, since when, and whether early attempts were restarted for
+  /// it.
   WeightVersion active_;
   TimePoint active_since_;
   bool restarted_for_active_ = true;
-  std::optional<TimePoint> waited_at_;
+  std::optional<TimePoint> trainer_waited_at_;
 
-  LengthEstimate lengths_;
+  LengthEstimator lengths_;
   WorkSchedule schedule_;
   AttemptTable attempts_;
-  std::map<NodeId, Asker> askers_;
+  std::map<NodeId, Requester> requesters_;
   std::vector<HeldQuery> queries_;
 
   ScopedTimer tick_timer_;
--- a/source/rollout/stream_state.cc
+++ b/source/rollout/stream_state.cc
@@ -30,12 +30,12 @@
   return bytes;
 }
 
-/// Why a step is malformed; empty if it is sound.
-std::string FaultOfStep(const PutStep& command) {
+/// Returns why a step is malformed; empty if it is valid.
+std::string StepError(const PutStep& command) {
   if (command.step.value().empty() || command.step.value().find('/') != std::string::npos) {
-    return "a step id is not empty and holds no '/'";
+    return "a step id must be non-empty and must not contain '/'";
   }
-  if (command.prompts.empty()) return "a step has at least one prompt";
+  if (command.prompts.empty()) return "a step must have at least one prompt";
   if (command.prompts.size() > kMaxStepSamples) return "the step has too many prompts";
   for (uint32_t i = 0; i < command.prompts.size(); ++i) {
     if (command.prompts[i].sample != SampleIdOf(command.step, i)) {
@@ -46,8 +46,8 @@
   return "";
 }
 
-/// Spans follow each other from token 0 to the last without gap or overlap.
-bool SpansWhole(const Sample& sample) {
+/// Whether the spans cover the sample from the first token to the last without gap or overlap.
+bool SpansCoverSample(const Sample& sample) {
   uint32_t next = 0;
   for (const VersionSpan& span : sample.spans) {
     if (span.first_token != next || span.token_count == 0) return false;
@@ -79,7 +79,7 @@
   absl::StatusOr<StreamData> data = DecodeStreamSnapshot(snapshot);
   if (!data.ok()) return data.status();
   data_ = *std::move(data);
-  if (listener_ != nullptr) listener_->OnReplaced();
+  if (listener_ != nullptr) listener_->OnSnapshotRestored();
   return absl::OkStatus();
 }
 
@@ -112,7 +112,7 @@
   if (parsed.ec != std::errc() || parsed.ptr != end || key.index >= step.samples.size()) {
     return std::nullopt;
   }
-  // One spelling only: "07" is not 7.
+  // Only the canonical spelling is valid: "07" is not 7.
   if (SampleIdOf(step.step, key.index) != sample) return std::nullopt;
   return key;
 }
@@ -126,8 +126,8 @@
 // --- steps -------------------------------------------------------------------------------------
 
 StreamResult StreamState::Handle(const PutStep& command) {
-  std::string fault = FaultOfStep(command);
-  if (!fault.empty()) return Result(StreamResultCode::kInvalid, std::move(fault));
+  std::string error = StepError(command);
+  if (!error.empty()) return Result(StreamResultCode::kInvalid, std::move(error));
   const uint64_t digest = DigestOf(command.prompts);
   if (const auto known = data_.step_sequences.find(command.step);
       known != data_.step_sequences.end()) {
@@ -140,7 +140,7 @@
   if (data_.open.size() + command.prompts.size() > kMaxOpenSamples ||
       data_.prompt_bytes + PromptBytes(command.prompts) > kMaxPromptBytes ||
       data_.payload_bytes > kMaxPayloadBytes) {
-    return Result(StreamResultCode::kFull, "the stream holds too many samples that were not read");
+    return Result(StreamResultCode::kFull, "the stream holds too many unread samples");
   }
   CreateStep(command, digest);
   return Result(StreamResultCode::kOk);
@@ -148,7 +148,7 @@
 
 StreamResult StreamState::PutKnownStep(const PutStep& command, uint64_t known_digest) {
   if (known_digest != DigestOf(command.prompts)) {
-    return Result(StreamResultCode::kConflict, "the step was put before with other prompts");
+    return Result(StreamResultCode::kConflict, "the step exists with other prompts");
   }
   if (faults_.step_not_idempotent) {
     const uint64_t sequence = data_.step_sequences.at(command.step);
@@ -173,7 +173,7 @@
   }
 }
 
-/// Only under the fault switch step_not_idempotent.
+/// Used only with the fault switch step_not_idempotent.
 void StreamState::ReopenStep(StepRecord& step, uint64_t sequence, const PutStep& command) {
   for (uint32_t i = 0; i < step.samples.size(); ++i) {
     SampleRecord& sample = step.samples[i];
@@ -188,7 +188,7 @@
 
 void StreamState::SetSampleState(const SampleKey& key, SampleState state) {
   const auto found = data_.steps.find(key.step_sequence);
-  if (found == data_.steps.end()) return;  // finished; only under a fault switch
+  if (found == data_.steps.end()) return;  // finished; only with a fault switch
   StepRecord& step = found->second;
   SampleRecord& sample = step.samples.at(key.index);
   const bool was_open = sample.state == SampleState::kOpen;
@@ -211,7 +211,7 @@
 void StreamState::FinishStep(uint64_t sequence) {
   const auto step = data_.steps.find(sequence);
   const StepId id = step->second.step;
-  // A step that was taken as new although it was finished (fault switch) leaves no second trace.
+  // A finished step that was created again (fault switch) must not leave a second entry.
   if (const auto before = data_.finished_steps.find(id); before != data_.finished_steps.end()) {
     data_.finished_order.erase(before->second.sequence);
   }
@@ -235,7 +235,7 @@
     const bool finished = data_.finished_steps.contains(sample.step);
     return Result(finished ? StreamResultCode::kDuplicate : StreamResultCode::kNotFound);
   }
-  if (std::optional<StreamResult> refusal = Refusal(sample, *key)) return *std::move(refusal);
+  if (std::optional<StreamResult> refusal = CheckAppend(sample, *key)) return *std::move(refusal);
   data_.last_offset = Next(data_.last_offset);
   StreamEntry& entry = data_.entries[data_.last_offset];
   entry.key = *key;
@@ -243,20 +243,21 @@
   data_.payload_bytes += sample.text.size();
   if (listener_ != nullptr) listener_->OnSampleAccepted(*key, sample);
   SetSampleState(*key, SampleState::kAccepted);
-  data_.newest_at_hand_on = data_.newest;
+  data_.newest_at_delivery = data_.newest;
   StreamResult result = Result(StreamResultCode::kOk);
   result.next = data_.last_offset;
   return result;
 }
 
-std::optional<StreamResult> StreamState::Refusal(const Sample& sample, const SampleKey& key) const {
+std::optional<StreamResult> StreamState::CheckAppend(const Sample& sample,
+                                                     const SampleKey& key) const {
   const SampleRecord& record = data_.steps.at(key.step_sequence).samples.at(key.index);
   const bool fenced = !faults_.first_completion_not_fenced || record.state == SampleState::kDone;
   if (fenced && record.state != SampleState::kOpen) return Result(StreamResultCode::kDuplicate);
   if (sample.step != data_.steps.at(key.step_sequence).step) {
-    return Result(StreamResultCode::kInvalid, "sample and step do not belong together");
+    return Result(StreamResultCode::kInvalid, "the sample does not belong to the step");
   }
-  if (!SpansWhole(sample)) {
+  if (!SpansCoverSample(sample)) {
     return Result(StreamResultCode::kVoid, "the spans do not cover the sample");
   }
   if (IsStale(sample, data_.newest)) return Result(StreamResultCode::kStale);
@@ -264,7 +265,7 @@
     const auto published = data_.published.find(span.version);
     if (published == data_.published.end()) {
       return Result(StreamResultCode::kVoid,
-                    fmt::format("version {} is not known as published", span.version.value()));
+                    fmt::format("version {} is not known to be published", span.version.value()));
     }
     if (published->second != span.digest) {
       return Result(StreamResultCode::kVoid, fmt::format("version {} was published with another "
@@ -280,9 +281,9 @@
   return newest > oldest && newest.value() - oldest.value() > data_.staleness_bound;
 }
 
-StreamResult StreamState::Handle(const NotePublished& command) {
+StreamResult StreamState::Handle(const RecordPublishedVersion& command) {
   if (command.version.value() == 0 || command.digest.value().empty()) {
-    return Result(StreamResultCode::kInvalid, "a version counts from 1 and has a digest");
+    return Result(StreamResultCode::kInvalid, "a version must be at least 1 and have a digest");
   }
   const auto [known, added] = data_.published.emplace(command.version, command.digest);
   if (!added) {
@@ -292,18 +293,18 @@
   if (command.version > data_.newest) {
     data_.newest = command.version;
     if (!faults_.publish_not_ordered) {
-      data_.newest_at_hand_on = data_.newest;
+      data_.newest_at_delivery = data_.newest;
       WithdrawUnread();
     }
   }
-  ForgetVersions();
+  PruneVersions();
   return Result(StreamResultCode::kOk);
 }
 
-void StreamState::ForgetVersions() {
-  const uint64_t kept = std::max(data_.staleness_bound, kKeptVersions);
+void StreamState::PruneVersions() {
+  const uint64_t retained = std::max(data_.staleness_bound, kMinRetainedVersions);
   while (!data_.published.empty() &&
-         data_.published.begin()->first.value() + kept < data_.newest.value()) {
+         data_.published.begin()->first.value() + retained < data_.newest.value()) {
     data_.published.erase(data_.published.begin());
   }
 }
@@ -312,45 +313,45 @@
   if (command.bound == data_.staleness_bound) return Result(StreamResultCode::kDuplicate);
   data_.staleness_bound = command.bound;
   WithdrawUnread();
-  ForgetVersions();
+  PruneVersions();
   return Result(StreamResultCode::kOk);
 }
 
 // --- hand-on -----------------------------------------------------------------------------------
 
-StreamResult StreamState::Handle(const HandOn& command) {
+StreamResult StreamState::Handle(const DeliverSamples& command) {
   if (command.after < data_.acknowledged) {
-    return Result(StreamResultCode::kInvalid, "a later cursor was acknowledged before");
+    return Result(StreamResultCode::kInvalid, "a later cursor was already acknowledged");
   }
   if (command.after != data_.acknowledged && !data_.issued_cursors.contains(command.after)) {
-    return Result(StreamResultCode::kInvalid, "this cursor was never given out");
+    return Result(StreamResultCode::kInvalid, "this cursor was never issued");
   }
   Acknowledge(command.after);
   WithdrawUnread();
   if (!faults_.staleness_untested_at_reread) WithdrawRead();
   StreamResult result = Result(StreamResultCode::kOk);
-  result.newest = data_.newest_at_hand_on;
-  FillHandOn(command, result);
+  result.newest = data_.newest_at_delivery;
+  FillDelivery(command, result);
   return result;
 }
 
-void StreamState::FillHandOn(const HandOn& command, StreamResult& result) {
-  const uint32_t limit = std::clamp(command.max_samples, 1U, kMaxHandOnSamples);
+void StreamState::FillDelivery(const DeliverSamples& command, StreamResult& result) {
+  const uint32_t limit = std::clamp(command.max_samples, 1U, kMaxDeliverySamples);
   StreamOffset through = command.after;
   StreamOffset needed;
   uint64_t bytes = 0;
   for (const auto& [offset, entry] : data_.entries) {
-    const bool full = result.handed_on.size() >= limit || bytes > kMaxHandOnBytes;
+    const bool full = result.delivered.size() >= limit || bytes > kMaxDeliveryBytes;
     if (full && through >= needed) break;
     const bool withdrawn = entry.state != EntryState::kHeld;
-    result.handed_on.push_back({offset, withdrawn, entry.sample});
+    result.delivered.push_back({offset, withdrawn, entry.sample});
     bytes += entry.sample.text.size();
     needed = std::max(needed, entry.seen_withdrawn_from);
     through = offset;
   }
   result.next = through;
   if (through > data_.acknowledged) data_.issued_cursors.insert(through);
-  data_.handed_on_through = std::max(data_.handed_on_through, through);
+  data_.delivered_through = std::max(data_.delivered_through, through);
 }
 
 void StreamState::Acknowledge(StreamOffset through) {
@@ -368,15 +369,15 @@
 void StreamState::Settle(const StreamEntry& entry, StreamOffset through) {
   if (entry.state == EntryState::kMarker) return;
   const auto step = data_.steps.find(entry.key.step_sequence);
-  if (step == data_.steps.end()) return;  // finished since: nothing is left to settle
+  if (step == data_.steps.end()) return;  // the step has finished since
   const SampleState state = step->second.samples.at(entry.key.index).state;
   if (entry.state == EntryState::kHeld) {
     if (state != SampleState::kDone) SetSampleState(entry.key, SampleState::kDone);
     return;
   }
-  if (entry.seen_withdrawn_from.value() == 0) return;  // open again since its withdrawal
-  const bool saw_withdrawal = through >= entry.seen_withdrawn_from;
-  SetSampleState(entry.key, saw_withdrawal ? SampleState::kOpen : SampleState::kDone);
+  if (entry.seen_withdrawn_from.value() == 0) return;  // reopened at its withdrawal
+  const bool trainer_saw_withdrawal = through >= entry.seen_withdrawn_from;
+  SetSampleState(entry.key, trainer_saw_withdrawal ? SampleState::kOpen : SampleState::kDone);
 }
 
 void StreamState::Withdraw(StreamEntry& entry) {
@@ -389,29 +390,29 @@
 }
 
 void StreamState::WithdrawUnread() {
-  for (auto at = data_.entries.upper_bound(data_.handed_on_through); at != data_.entries.end();
+  for (auto at = data_.entries.upper_bound(data_.delivered_through); at != data_.entries.end();
        ++at) {
     StreamEntry& entry = at->second;
     if (entry.state != EntryState::kHeld) continue;
-    if (!IsStale(entry.sample, data_.newest_at_hand_on)) continue;
+    if (!IsStale(entry.sample, data_.newest_at_delivery)) continue;
     Withdraw(entry);
     SetSampleState(entry.key, SampleState::kOpen);
   }
 }
 
 void StreamState::WithdrawRead() {
-  const StreamOffset distinct = Next(data_.handed_on_through);
+  const StreamOffset next_cursor = Next(data_.delivered_through);
   StreamEntry* last_withdrawn = nullptr;
   for (auto& [offset, entry] : data_.entries) {
-    if (offset > data_.handed_on_through) break;
+    if (offset > data_.delivered_through) break;
     if (entry.state != EntryState::kHeld) continue;
-    if (!IsStale(entry.sample, data_.newest_at_hand_on)) continue;
+    if (!IsStale(entry.sample, data_.newest_at_delivery)) continue;
     Withdraw(entry);
-    entry.seen_withdrawn_from = distinct;
+    entry.seen_withdrawn_from = next_cursor;
     SetSampleState(entry.key, SampleState::kWithdrawn);
     last_withdrawn = &entry;
   }
-  if (last_withdrawn != nullptr && data_.last_offset < distinct) AppendMarker(*last_withdrawn);
+  if (last_withdrawn != nullptr && data_.last_offset < next_cursor) AppendMarker(*last_withdrawn);
 }
 
 void StreamState::AppendMarker(const StreamEntry& entry) {
--- a/source/rollout/trainer_requests.cc
+++ b/source/rollout/trainer_requests.cc
@@ -10,7 +10,7 @@
 namespace millstair {
 namespace {
 
-constexpr uint64_t kLongestWaitSeconds = 60;
+constexpr uint64_t kMaxWaitSeconds = 60;
 constexpr size_t kMaxStepIdLength = 200;
 
 int HexDigit(char c) {
@@ -46,13 +46,13 @@
 
 Location At(std::string where) { return Location{std::move(where), 0, 0}; }
 
-/// The body as an object; null, with a finding, if it is none.
+/// Parses the body as a JSON object. Returns null and adds a finding if it is not one.
 const boost::json::object* ParseObject(const std::string& body, boost::json::value& storage,
                                        Findings& findings) {
   boost::json::error_code error;
   storage = boost::json::parse(body, error);
   if (error) {
-    findings.Add(At("body"), "is no JSON: " + error.message());
+    findings.Add(At("body"), "is not valid JSON: " + error.message());
     return nullptr;
   }
   if (!storage.is_object()) {
@@ -75,7 +75,7 @@
                      std::string_view name, Findings& findings) {
   const boost::json::value* value = object.if_contains(name);
   if (value == nullptr || !value->is_string() || value->as_string().empty()) {
-    findings.Add(At(where), fmt::format("\"{}\" must be a string that is not empty", name));
+    findings.Add(At(where), fmt::format("\"{}\" must be a non-empty string", name));
     return "";
   }
   return std::string(value->as_string());
@@ -124,19 +124,19 @@
     const std::string_view name = pair.substr(0, equals);
     const auto value = ParseNumber(pair.substr(std::min(equals + 1, pair.size())));
     if (name == "after") {
-      if (!value) findings.Add(At("after"), "must be a cursor: a whole number from 0");
+      if (!value) findings.Add(At("after"), "must be a cursor: a non-negative integer");
       request.after = StreamOffset(value.value_or(0));
     } else if (name == "max") {
-      if (!value || *value == 0 || *value > kMaxHandOnSamples) {
-        findings.Add(At("max"), fmt::format("must be from 1 to {}", kMaxHandOnSamples));
+      if (!value || *value == 0 || *value > kMaxDeliverySamples) {
+        findings.Add(At("max"), fmt::format("must be from 1 to {}", kMaxDeliverySamples));
       }
       request.max_samples =
-          static_cast<uint32_t>(std::min<uint64_t>(value.value_or(1), kMaxHandOnSamples));
+          static_cast<uint32_t>(std::min<uint64_t>(value.value_or(1), kMaxDeliverySamples));
     } else if (name == "wait") {
-      if (!value || *value > kLongestWaitSeconds) {
-        findings.Add(At("wait"), fmt::format("must be from 0 to {} seconds", kLongestWaitSeconds));
+      if (!value || *value > kMaxWaitSeconds) {
+        findings.Add(At("wait"), fmt::format("must be from 0 to {} seconds", kMaxWaitSeconds));
       }
-      request.wait = std::chrono::seconds(std::min(value.value_or(0), kLongestWaitSeconds));
+      request.wait = std::chrono::seconds(std::min(value.value_or(0), kMaxWaitSeconds));
     } else {
       findings.Add(At("query"), fmt::format("unknown parameter \"{}\"", name));
     }
@@ -150,7 +150,7 @@
   command.step = StepId(step);
   if (step.empty() || step.size() > kMaxStepIdLength || step.find('/') != std::string::npos ||
       step.find('\0') != std::string::npos) {
-    findings.Add(At("step"), "must have 1 to 200 characters, and no '/' among them");
+    findings.Add(At("step"), "must have 1 to 200 characters and must not contain '/'");
   }
   boost::json::value storage;
   const boost::json::object* object = ParseObject(body, storage, findings);
@@ -182,7 +182,7 @@
   PublishedVersion published;
   const std::optional<uint64_t> number = ParseNumber(version);
   if (!number || *number == 0) {
-    findings.Add(At("version"), "must be a whole number from 1");
+    findings.Add(At("version"), "must be a positive integer");
   }
   published.version = WeightVersion(number.value_or(0));
   boost::json::value storage;
@@ -196,7 +196,7 @@
 
 std::string SamplesJson(const StreamResult& result) {
   boost::json::array samples;
-  for (const HandedOn& item : result.handed_on) {
+  for (const DeliveredEntry& item : result.delivered) {
     boost::json::array spans;
     for (const VersionSpan& span : item.sample.spans) {
       spans.push_back(boost::json::object{{"version", span.version.value()},
--- a/source/rollout/work_schedule.cc
+++ b/source/rollout/work_schedule.cc
@@ -7,16 +7,17 @@
 namespace millstair {
 namespace {
 
-/// How far beyond the learned interval a held sample waits for a version that does not come.
+/// A held sample starts after this multiple of the estimated publish interval if no new version
+/// arrives.
 constexpr double kHoldSlack = 1.2;
-/// Longest hold for a swap, at weight 0.
-constexpr Duration kSwapHold = std::chrono::seconds(5);
-/// Weight of a new interval between versions.
-constexpr double kIntervalGain = 0.3;
+/// Longest hold for a swap, at an idle time weight of 0.
+constexpr Duration kMaxSwapHold = std::chrono::seconds(5);
+/// Smoothing factor for the publish interval.
+constexpr double kIntervalSmoothing = 0.3;
 
 }  // namespace
 
-void WorkSchedule::NotePublished(TimePoint now, WeightVersion version) {
+void WorkSchedule::OnVersionPublished(TimePoint now, WeightVersion version) {
   if (version <= newest_) return;
   const bool first = newest_.value() == 0;
   newest_ = version;
@@ -26,7 +27,7 @@
       publish_interval_ = interval;
     } else {
       *publish_interval_ += Duration(
-          static_cast<Duration::rep>(kIntervalGain * (interval - *publish_interval_).count()));
+          static_cast<Duration::rep>(kIntervalSmoothing * (interval - *publish_interval_).count()));
     }
   }
   published_at_ = now;
@@ -58,9 +59,9 @@
   queues_.clear();
 }
 
-std::optional<SampleKey> WorkSchedule::Take(const ScheduleSituation& situation,
+std::optional<SampleKey> WorkSchedule::Take(const ScheduleContext& context,
                                             const std::map<uint64_t, StepRecord>& steps) {
-  // Steps that have finished need no queue any more.
+  // Drop the queues of finished steps.
   std::erase_if(queues_, [&](const auto& queue) {
     return queue.second.waiting == 0 && !steps.contains(queue.first);
   });
@@ -68,7 +69,7 @@
   while (at != order_.end()) {
     const auto steps_before =
         static_cast<uint64_t>(std::distance(steps.begin(), steps.lower_bound(at->step_sequence)));
-    if (MayStart(situation, *at, steps_before)) {
+    if (CanStart(context, *at, steps_before)) {
       const SampleKey key{at->step_sequence, at->index};
       Remove(key);
       return key;
@@ -77,39 +78,39 @@
       ++at;
       continue;
     }
-    // The rest of this step is shorter and held as well.
+    // The rest of this step is shorter and therefore held as well.
     const Rank next_step{true, at->step_sequence + 1, 0, 0};
     at = order_.lower_bound(next_step);
   }
   return std::nullopt;
 }
 
-bool WorkSchedule::MayStart(const ScheduleSituation& situation, const Rank& rank,
+bool WorkSchedule::CanStart(const ScheduleContext& context, const Rank& rank,
                             uint64_t steps_before) const {
-  if (!situation.tail_handling || !rank.not_urgent) return true;
-  const double weight = std::clamp(situation.idle_time_weight, 0.0, 1.0);
-  const auto by_weight =
-      static_cast<uint64_t>(std::ceil(weight * static_cast<double>(situation.staleness_bound)));
-  if (steps_before > by_weight) return false;
+  if (!context.tail_handling || !rank.not_urgent) return true;
+  const double weight = std::clamp(context.idle_time_weight, 0.0, 1.0);
+  const auto max_steps_ahead =
+      static_cast<uint64_t>(std::ceil(weight * static_cast<double>(context.staleness_bound)));
+  if (steps_before > max_steps_ahead) return false;
   const StepQueue& queue = queues_.at(rank.step_sequence);
   const uint32_t started = queue.samples - std::min(queue.samples, queue.waiting);
   if (started < weight * queue.samples) return true;
-  if (HeldForSwap(situation)) return false;
-  if (situation.trainer_waits && steps_before == 0) return true;
-  return HoldOver(situation, queue);
+  if (IsHeldForSwap(context)) return false;
+  if (context.trainer_waiting && steps_before == 0) return true;
+  return HoldExpired(context, queue);
 }
 
-bool WorkSchedule::HeldForSwap(const ScheduleSituation& situation) const {
-  if (!situation.swap_pending || !published_at_) return false;
-  const double weight = std::clamp(situation.idle_time_weight, 0.0, 1.0);
-  return situation.now - *published_at_ < FromSeconds((1.0 - weight) * ToSeconds(kSwapHold));
+bool WorkSchedule::IsHeldForSwap(const ScheduleContext& context) const {
+  if (!context.swap_pending || !published_at_) return false;
+  const double weight = std::clamp(context.idle_time_weight, 0.0, 1.0);
+  return context.now - *published_at_ < FromSeconds((1.0 - weight) * ToSeconds(kMaxSwapHold));
 }
 
-bool WorkSchedule::HoldOver(const ScheduleSituation& situation, const StepQueue& queue) const {
-  if (situation.newest > queue.newest_at_put) return true;
+bool WorkSchedule::HoldExpired(const ScheduleContext& context, const StepQueue& queue) const {
+  if (context.newest > queue.newest_at_creation) return true;
   if (!publish_interval_ || !published_at_) return true;
   const auto limit = Duration(static_cast<Duration::rep>(kHoldSlack * publish_interval_->count()));
-  return situation.now >= *published_at_ + limit;
+  return context.now >= *published_at_ + limit;
 }
 
 }  // namespace millstair
--- a/test/rollout/rollout_codec_test.cc
+++ b/test/rollout/rollout_codec_test.cc
@@ -11,7 +11,7 @@
   WorkRequest request;
   request.stream = StreamName("s");
   request.gateway = NodeId("g");
-  request.room = 7;
+  request.free_slots = 7;
   request.sequence = 9;
   request.running.push_back({SampleId("a/0"), AttemptEpoch(5), 12, WeightVersion(3)});
   request.returned.push_back({SampleId("a/1"),
@@ -70,14 +70,14 @@
   REQUIRE_FALSE(DecodeStreamCommand(both).ok());
 }
 
-TEST_CASE("damaged messages are refused or read as something else, never more") {
+TEST_CASE("damaged messages are refused or decode to another valid message") {
   std::mt19937_64 random(5);
-  const std::vector<std::string> whole = {
+  const std::vector<std::string> valid_messages = {
       EncodeWorkRequest(MakeWorkRequest()), EncodeWorkReply(MakeWorkReply()),
       EncodeStreamCommand(MakeStep("a", 3)), EncodeStreamCommand(MakeSample("a", 0, 1, 2))};
   uint64_t refused = 0;
   for (int round = 0; round < 4000; ++round) {
-    std::string bytes = whole[random() % whole.size()];
+    std::string bytes = valid_messages[random() % valid_messages.size()];
     for (uint64_t i = random() % 4 + 1; i > 0; --i) {
       bytes[random() % bytes.size()] = static_cast<char>(random());
     }
--- a/test/rollout/rollout_fakes.h
+++ b/test/rollout/rollout_fakes.h
@@ -1,4 +1,4 @@
-/// Stand-ins for what surrounds the rollout code: configuration, consensus, routing, engines by
+/// Fakes for the dependencies of the rollout code: configuration, consensus, routing, engines by
 /// address, the scorer.
 #pragma once
 
@@ -26,7 +26,8 @@
 inline const StreamName kStream("drafts");
 inline const ModelName kModel("routing");
 
-/// One log with a replica of the stream per control node. Every entry is applied to all replicas.
+/// One log with a replica of the stream on each control node. Every entry is applied to all
+/// replicas.
 class FakeLog {
  public:
   explicit FakeLog(VirtualScheduler& scheduler) : scheduler_(scheduler) {}
@@ -77,13 +78,13 @@
   NodeId node_;
 };
 
-/// Engines in rotation, up to a number of generations each.
+/// Places generations round-robin, up to a limit for each engine.
 class FakePlacement : public EnginePlacement {
  public:
   std::optional<Placement> Place(const ResourceKey&, const RoutingRequest& request) override {
     for (size_t i = 0; i < engines.size(); ++i) {
       const auto& [name, address] = engines[next_++ % engines.size()];
-      if (request.excluded.contains(name) || closed.contains(name)) continue;
+      if (request.excluded.contains(name) || unavailable.contains(name)) continue;
       if (running_[name] >= limit) continue;
       ++running_[name];
       Placement placement;
@@ -102,18 +103,18 @@
     ended.push_back(outcome);
   }
   uint32_t RolloutCapacity(const ResourceKey&) const override {
-    uint32_t room = 0;
+    uint32_t capacity = 0;
     for (const auto& [name, address] : engines) {
-      if (closed.contains(name)) continue;
+      if (unavailable.contains(name)) continue;
       const auto running = running_.find(name);
-      room += limit - (running == running_.end() ? 0 : running->second);
+      capacity += limit - (running == running_.end() ? 0 : running->second);
     }
-    return room;
+    return capacity;
   }
 
   uint32_t limit = 8;
   std::vector<std::pair<EngineName, std::string>> engines;
-  std::set<EngineName> closed;
+  std::set<EngineName> unavailable;
   std::vector<PlacementOutcome> ended;
 
  private:
@@ -123,7 +124,7 @@
   std::map<PlacementId, EngineName> placed_;
 };
 
-/// Hands calls to engine models by address.
+/// Dispatches calls to engine models by address.
 class FakeEngines : public EngineClient {
  public:
   std::unique_ptr<CallHandle> Generate(const std::string& address, GenerateRequest request,
@@ -156,7 +157,7 @@
   std::vector<GenerateRequest> requests;
 };
 
-/// Answers POST /score after a while; the first `failures` calls break off.
+/// Responds to POST /score after a delay; the first `failures` calls fail.
 class FakeScorer : public HttpCaller {
  public:
   explicit FakeScorer(VirtualScheduler& scheduler) : scheduler_(scheduler) {}
--- a/test/rollout/rollout_fleet.h
+++ b/test/rollout/rollout_fleet.h
@@ -1,6 +1,5 @@
-/// A small fleet in virtual time around the real rollout code: replicas of one stream, gateways
-/// with workers, engine models, a scorer. Consensus, configuration and routing are simple
-/// stand-ins.
+/// A small fleet in virtual time with the real rollout code: replicas of one stream, gateways with
+/// workers, engine models, a scorer. Consensus, configuration and routing are fakes.
 #pragma once
 
 #include <map>
@@ -20,7 +19,7 @@
 
 class RolloutFleet;
 
-/// Commands of a gateway, with answers that may get lost.
+/// Submits the commands of a gateway; replies may be dropped.
 class FakeControl : public ControlClient {
  public:
   explicit FakeControl(RolloutFleet& fleet) : fleet_(fleet) {}
@@ -28,8 +27,8 @@
               Callback done) override;
   void Receive(const NodeId&, const PeerMessage&) override {}
 
-  /// Answers to lose; the commands take effect all the same.
-  int lose_answers = 0;
+  /// Number of replies to drop; the commands still take effect.
+  int answers_to_drop = 0;
   uint64_t submitted = 0;
   /// Commands to the cluster group.
   std::vector<ClusterCommand> cluster_commands;
@@ -39,8 +38,9 @@
   RolloutFleet& fleet_;
 };
 
-struct GatewaySide {
-  GatewaySide(RolloutFleet& fleet, VirtualScheduler& scheduler, const NodeId& name, uint64_t seed);
+struct RolloutGateway {
+  RolloutGateway(RolloutFleet& fleet, VirtualScheduler& scheduler, const NodeId& name,
+                 uint64_t seed);
   NodeId node;
   VirtualEnvironment environment;
   FakeControl control;
@@ -49,7 +49,7 @@
   std::unique_ptr<RolloutWorker> worker;
 };
 
-struct ControlSide {
+struct ControlReplica {
   NodeId node;
   std::unique_ptr<VirtualEnvironment> environment;
   std::unique_ptr<PeerTransport> transport;
@@ -112,7 +112,7 @@
   }
 
   void AddControl(int i) {
-    auto side = std::make_unique<ControlSide>();
+    auto side = std::make_unique<ControlReplica>();
     side->node = NodeId("control-" + std::to_string(i));
     side->environment = std::make_unique<VirtualEnvironment>(scheduler, 10 + i);
     side->transport = MakeTransport(side->node);
@@ -125,7 +125,7 @@
   }
 
   void AddGateway(int i) {
-    gateways.push_back(std::make_unique<GatewaySide>(
+    gateways.push_back(std::make_unique<RolloutGateway>(
         *this, scheduler, NodeId("gateway-" + std::to_string(i)), 20 + i));
   }
 
@@ -150,8 +150,8 @@
     if (down.contains(from) || down.contains(to)) return;
     if (message.kind == MessageKind::kWorkRequest)
       return Leader().leader->ReceiveWork(from, message);
-    if (message.kind == MessageKind::kWorkReply && lose_work_replies > 0) {
-      --lose_work_replies;
+    if (message.kind == MessageKind::kWorkReply && work_replies_to_drop > 0) {
+      --work_replies_to_drop;
       return;
     }
     for (auto& gateway : gateways) {
@@ -159,7 +159,7 @@
     }
   }
 
-  ControlSide& Leader() {
+  ControlReplica& Leader() {
     for (auto& control : controls) {
       if (control->node == log.leader) return *control;
     }
@@ -192,7 +192,7 @@
   StreamResult Read(StreamOffset after, uint32_t max = 100) {
     StreamResult result;
     bool done = false;
-    log.Append(EncodeStreamCommand(HandOn{after, max}),
+    log.Append(EncodeStreamCommand(DeliverSamples{after, max}),
                [&](const absl::StatusOr<std::string>& answer) {
                  result = *DecodeStreamResult(*answer);
                  done = true;
@@ -201,8 +201,8 @@
     return result;
   }
 
-  /// Runs until all samples asked for are accepted; whether that came about.
-  bool RunUntilWhole(Duration limit = std::chrono::seconds(60)) {
+  /// Runs until all requested samples are accepted; false if `limit` passes first.
+  bool RunUntilComplete(Duration limit = std::chrono::seconds(60)) {
     return scheduler.RunUntilTrue(
         [this] {
           const StreamData& data = Leader().state->data();
@@ -222,14 +222,14 @@
   FakeEngines engines;
   FakeScorer scorer;
   std::set<NodeId> down;
-  int lose_work_replies = 0;
+  int work_replies_to_drop = 0;
   std::vector<std::unique_ptr<EngineModel>> models;
-  std::vector<std::unique_ptr<ControlSide>> controls;
-  std::vector<std::unique_ptr<GatewaySide>> gateways;
+  std::vector<std::unique_ptr<ControlReplica>> controls;
+  std::vector<std::unique_ptr<RolloutGateway>> gateways;
 
  private:
   StreamFaults faults_;
-  friend struct GatewaySide;
+  friend struct RolloutGateway;
 };
 
 inline void FakeControl::Submit(const GroupId& group, CommandMode mode, std::string command,
@@ -242,14 +242,14 @@
   if (mode == CommandMode::kQuery) return fleet_.Leader().leader->Query(command, std::move(done));
   fleet_.log.Append(
       std::move(command), [this, timeout, done](const absl::StatusOr<std::string>& answer) {
-        if (lose_answers <= 0) return done(answer);
-        --lose_answers;
+        if (answers_to_drop <= 0) return done(answer);
+        --answers_to_drop;
         fleet_.scheduler.Schedule(timeout, [done] { done(absl::DeadlineExceededError("lost")); });
       });
 }
 
-inline GatewaySide::GatewaySide(RolloutFleet& fleet, VirtualScheduler& scheduler,
-                                const NodeId& name, uint64_t seed)
+inline RolloutGateway::RolloutGateway(RolloutFleet& fleet, VirtualScheduler& scheduler,
+                                      const NodeId& name, uint64_t seed)
     : node(name), environment(scheduler, seed), control(fleet) {
   transport = fleet.MakeTransport(node);
   for (int i = 0; i < 2; ++i) {
--- a/test/weights/weight_fleet.h
+++ b/test/weights/weight_fleet.h
@@ -1,4 +1,5 @@
-/// Engine models under real weight duty and reconcilers; the cluster state is a plain value.
+/// Engine models with the real weight target task and reconcilers; the cluster state is a plain
+/// value.
 #pragma once
 
 #include <map>
@@ -12,7 +13,7 @@
 #include "fmt/format.h"
 #include "test/cluster/fake_configuration_client.h"
 #include "weights/engine_reconciler.h"
-#include "weights/weight_duty.h"
+#include "weights/weight_target_task.h"
 
 namespace millstair {
 
@@ -22,7 +23,7 @@
   return WeightDigest(fmt::format("sha-w{}", version));
 }
 
-/// Sends orders to engine models and keeps them.
+/// Sends orders to engine models and records them.
 class WeightsEngines : public EngineClient {
  public:
   std::unique_ptr<CallHandle> Generate(const std::string&, GenerateRequest,
@@ -32,7 +33,7 @@
   void SendOrder(const std::string& address, const EngineOrder& order,
                  std::function<void(absl::Status)> done) override {
     orders.push_back(order);
-    if (unreachable == address) return;  // the answer never comes
+    if (unreachable == address) return;  // no reply
     models.at(address)->ApplyOrder(order, std::move(done));
   }
   void FetchReport(const std::string&, std::function<void(absl::StatusOr<EngineReport>)>) override {
@@ -70,10 +71,10 @@
     held.models[kCaption].model = kCaption;
     for (int i = 0; i < engine_count; ++i) AddEngine(i);
     for (int i = 0; i < gateway_count; ++i) AddGateway(i, options);
-    duty = MakeWeightDuty(store_environment_,
-                          [this](const ClusterCommand& command) { Apply(command); });
+    task = MakeWeightTargetTask(store_environment_,
+                                [this](const ClusterCommand& command) { Apply(command); });
     Poll();
-    RunDuty();
+    RunTask();
   }
 
   template <class Spec>
@@ -102,7 +103,8 @@
     engines.models[Address(i)] = models.back().get();
   }
 
-  /// Gateway 0 is first observer of even engines and second of odd ones; gateway 1 the reverse.
+  /// Gateway 0 is the first observer of even engines and the second of odd ones; gateway 1 the
+  /// reverse.
   void AddGateway(int i, ReconcilerOptions options) {
     environments_.push_back(std::make_unique<VirtualEnvironment>(scheduler, 80 + i));
     gateways.push_back(
@@ -119,18 +121,18 @@
     for (size_t i = 0; i < models.size(); ++i) {
       const absl::StatusOr<EngineReport> report = models[i]->Report();
       if (!report.ok()) continue;
-      for (auto& gateway : gateways) gateway->Note(Name(static_cast<int>(i)), *report);
+      for (auto& gateway : gateways) gateway->OnEngineReport(Name(static_cast<int>(i)), *report);
     }
     scheduler.Schedule(kPoll, [this] { Poll(); });
   }
 
-  void RunDuty() {
+  void RunTask() {
     for (const EngineObservation& report : configuration.reports) {
-      duty->Observe(NodeId("gateway"), report);
+      task->Observe(NodeId("gateway"), report);
     }
     configuration.reports.clear();
-    duty->Run(configuration.held);
-    scheduler.Schedule(std::chrono::seconds(1), [this] { RunDuty(); });
+    task->Run(configuration.held);
+    scheduler.Schedule(std::chrono::seconds(1), [this] { RunTask(); });
   }
 
   void Apply(const ClusterCommand& command) {
@@ -151,7 +153,7 @@
     configuration.held.revision = Next(configuration.held.revision);
     configuration.held.models[kCaption].published.push_back(
         {WeightVersion(version), WeightsDigest(version), fmt::format("w{}", version)});
-    duty->Run(configuration.held);
+    task->Run(configuration.held);
   }
 
   uint32_t Serving(uint64_t version) const {
@@ -181,7 +183,7 @@
   WeightsEngines engines;
   std::vector<std::unique_ptr<EngineModel>> models;
   std::vector<std::unique_ptr<EngineReconciler>> gateways;
-  std::unique_ptr<LeaderTask> duty;
+  std::unique_ptr<LeaderTask> task;
   std::vector<SetModelTarget> targets;
   Duration activated_at{0};
 };
