--- a/source/duties/usage_report_task.cc
+++ b/source/duties/usage_report_task.cc
@@ -54,7 +54,7 @@
                              UsageReportOptions options)
       : host_(control), task_(environment, http, protocol, host_, std::move(options)) {
     control.OnLeaseAnnounced(
-        [this](const LeaseAnnouncement& announcement) { task_.NoteAnnouncement(announcement); });
+        [this](const LeaseAnnouncement& announcement) { task_.OnAnnouncement(announcement); });
   }
 
   void Run(const Configuration&) override { task_.Run(); }
@@ -89,10 +89,10 @@
       protocol_(protocol),
       host_(host),
       options_(std::move(options)),
-      leases_(environment, options_.self, options_.holder_lease + kLeaseMargin),
+      leases_(environment, options_.self, options_.task_lease + kLeaseMargin),
       tick_timer_(environment) {}
 
-void UsageReportTask::NoteAnnouncement(const LeaseAnnouncement& announcement) {
+void UsageReportTask::OnAnnouncement(const LeaseAnnouncement& announcement) {
   if (announcement.subject == kSubject) leases_.OnAnnouncement(announcement);
 }
 
--- a/source/duties/usage_report_task.h
+++ b/source/duties/usage_report_task.h
@@ -46,7 +46,7 @@
   std::string platform;
   Duration window{0};
   /// No call within this time of a call by another holder.
-  Duration holder_lease = std::chrono::seconds(3);
+  Duration task_lease = std::chrono::seconds(3);
 };
 
 /// Lives on the node's serial executor.
@@ -56,7 +56,7 @@
                   UsageReportHost& host, UsageReportOptions options);
 
   /// A lease announcement of any task was applied here, in the order of the log.
-  void NoteAnnouncement(const LeaseAnnouncement& announcement);
+  void OnAnnouncement(const LeaseAnnouncement& announcement);
   /// Called about once a second while the node leads, and when it becomes leader.
   void Run();
 
--- a/source/jobs/load_scheduler.h
+++ b/source/jobs/load_scheduler.h
@@ -71,7 +71,7 @@
   /// Sends orders from now on as the leader of `group`; null stops it.
   void SetLeading(RaftGroup* group);
   /// Called for each applied announcement, in log order.
-  void RecordAnnouncement(const AnnounceOrder& announcement) {
+  void OnAnnouncement(const AnnounceOrder& announcement) {
     leases_.OnAnnouncement({announcement.holder, LeaseSubject(announcement.instance),
                             announcement.term, announcement.announced_at});
   }
--- a/source/jobs/storage_node.cc
+++ b/source/jobs/storage_node.cc
@@ -111,8 +111,7 @@
     auto machine = std::make_unique<JobStateMachine>(options_.jobs);
     state_ = machine.get();
     machine->OnChange([this](JobChange change, const JobId& job) {
-      if (change == JobChange::kAnnounced)
-        loads_.RecordAnnouncement(state_->announcements().back());
+      if (change == JobChange::kAnnounced) loads_.OnAnnouncement(state_->announcements().back());
       if (change == JobChange::kRestored) RecordAnnouncements();
       service_.OnStateChange(job);
       if (scheduler_ != nullptr) scheduler_->OnStateChange(change, job);
@@ -122,7 +121,7 @@
 
   void RecordAnnouncements() {
     for (const AnnounceOrder& announced : state_->announcements()) {
-      loads_.RecordAnnouncement(announced);
+      loads_.OnAnnouncement(announced);
     }
   }
 
--- a/source/server/node_options.cc
+++ b/source/server/node_options.cc
@@ -111,7 +111,7 @@
   options.machine = settings.machine;
   options.platform = settings.metering_platform;
   options.window = settings.timing.usage_window;
-  options.holder_lease = settings.timing.holder_lease;
+  options.task_lease = settings.timing.holder_lease;
   return options;
 }
 
--- a/test/duties/usage_report_history_test.cc
+++ b/test/duties/usage_report_history_test.cc
@@ -113,7 +113,7 @@
     if (const auto* close = std::get_if<CloseUsage>(&operation)) state.Close(close->through);
     if (const auto* accept = std::get_if<AcceptUsage>(&operation)) state.Accept(accept->window);
     if (const auto* announce = std::get_if<AnnounceTaskLease>(&operation)) {
-      task.NoteAnnouncement(announce->announcement);
+      task.OnAnnouncement(announce->announcement);
     }
   }
 
--- a/test/duties/usage_report_task_test.cc
+++ b/test/duties/usage_report_task_test.cc
@@ -49,7 +49,7 @@
     if (const auto* accept = std::get_if<AcceptUsage>(&operation)) ledger.Accept(accept->window);
     const auto* announce = std::get_if<AnnounceTaskLease>(&operation);
     if (announce == nullptr) return;
-    for (UsageReportTask* task : tasks) task->NoteAnnouncement(announce->announcement);
+    for (UsageReportTask* task : tasks) task->OnAnnouncement(announce->announcement);
   }
   void CatchUp(std::function<void(bool)> done) {
     scheduler_.Schedule(milliseconds(3), [this, done] { done(quorum); });
--- a/test/jobs/load_scheduler_test.cc
+++ b/test/jobs/load_scheduler_test.cc
@@ -33,7 +33,7 @@
  public:
   explicit Fixture(int engines, LoadOptions options = {}) : loads_options(options) {
     state.OnChange([this](JobChange change, const JobId&) {
-      if (change == JobChange::kAnnounced) loads.RecordAnnouncement(state.announcements().back());
+      if (change == JobChange::kAnnounced) loads.OnAnnouncement(state.announcements().back());
     });
     routes.services.push_back(
         {ServiceName("engines"), "", 0, EngineProfile{2, 1, {ModelName("m")}}});
