--- a/source/cluster/replica_manager.cc
+++ b/source/cluster/replica_manager.cc
@@ -53,12 +53,12 @@
 
 void ReplicaManager::ManageClusterGroup(RaftGroup& group) {
   const auto members = group.Members();
-  if (PromoteIfShort(group, members)) return;
+  if (PromoteIfTooFew(group, members)) return;
   if (RemoveLost(group, members)) return;
   if (RemoveRetired(group, members)) return;
   ReportEmptied(members);
   if (RemoveSurplus(group, members)) return;
-  if (AddNonMember(group, members)) return;
+  if (AddNewLearner(group, members)) return;
   PromoteToSpread(group, members);
 }
 
@@ -95,7 +95,7 @@
   return now - leader_since_ > replace_after_;
 }
 
-bool ReplicaManager::PromoteIfShort(RaftGroup& group, const std::vector<GroupMember>& members) {
+bool ReplicaManager::PromoteIfTooFew(RaftGroup& group, const std::vector<GroupMember>& members) {
   if (HealthyVoters(members).size() >= target_voters_) return false;
   const auto learner = BestLearner(members);
   if (!learner) return false;
@@ -197,7 +197,7 @@
   }
 }
 
-bool ReplicaManager::AddNonMember(RaftGroup& group, const std::vector<GroupMember>& members) {
+bool ReplicaManager::AddNewLearner(RaftGroup& group, const std::vector<GroupMember>& members) {
   const TimePoint since = environment_.Now() - node_lease_;
   std::vector<GroupMember> candidates;
   for (const auto& [node, liveness] : nodes_.nodes()) {
--- a/source/cluster/replica_manager.h
+++ b/source/cluster/replica_manager.h
@@ -30,10 +30,10 @@
   void ManageClusterGroup(RaftGroup& group);
   void ManageStreamGroup(RaftGroup& group);
   /// Returns whether a change was started.
-  bool AddNonMember(RaftGroup& group, const std::vector<GroupMember>& members);
+  bool AddNewLearner(RaftGroup& group, const std::vector<GroupMember>& members);
   /// Whether a relay in `zone` is to get a replica.
   bool NeedsLearner(const Zone& zone, const std::vector<GroupMember>& members) const;
-  bool PromoteIfShort(RaftGroup& group, const std::vector<GroupMember>& members);
+  bool PromoteIfTooFew(RaftGroup& group, const std::vector<GroupMember>& members);
   /// Promotes a learner in a zone with fewer voters; a voter of the most crowded zone is removed
   /// next.
   bool PromoteToSpread(RaftGroup& group, const std::vector<GroupMember>& members);
