--- a/source/jobs/ingress_node.cc
+++ b/source/jobs/ingress_node.cc
@@ -62,8 +62,8 @@
 void IngressNode::Start() {
   configuration_->OnChange(
       [this](const ConfigurationDelta& changes) { ConfigurationChanged(changes); });
-  configuration_->OnIsolationChange([this](bool cut_off) {
-    if (on_cut_off_) on_cut_off_(cut_off);
+  configuration_->OnIsolationChange([this](bool isolated) {
+    if (on_isolation_change_) on_isolation_change_(isolated);
   });
   configuration_->Start();
   usage_.Start();
--- a/source/jobs/ingress_node.h
+++ b/source/jobs/ingress_node.h
@@ -56,7 +56,9 @@
   bool Ready() const { return ready_ && !configuration_->IsIsolated(); }
   /// `callback` is called when this node becomes isolated from the control nodes, and when it no
   /// longer is.
-  void OnCutOff(std::function<void(bool cut_off)> callback) { on_cut_off_ = std::move(callback); }
+  void OnIsolationChange(std::function<void(bool isolated)> callback) {
+    on_isolation_change_ = std::move(callback);
+  }
   void SetLeaving();
   void Receive(const NodeId& from, const PeerMessage& message) override;
 
@@ -102,7 +104,7 @@
   /// Assigns each cold back end to one gateway.
   ColdBackendAssignment cold_assignment_;
   bool ready_ = false;
-  std::function<void(bool)> on_cut_off_;
+  std::function<void(bool)> on_isolation_change_;
   ScopedTimer ready_timer_;
 };
 
--- a/source/server/server_node.cc
+++ b/source/server/server_node.cc
@@ -150,8 +150,8 @@
   if (!ServesPlatform()) return {};
   if (ingress_ != nullptr) {
     service_ = platform::MakeEdgeCalls(*ingress_);
-    ingress_->OnCutOff([this](bool cut_off) {
-      if (service_http_ != nullptr) service_http_->SetCloseAfterResponse(cut_off);
+    ingress_->OnIsolationChange([this](bool isolated) {
+      if (service_http_ != nullptr) service_http_->SetCloseAfterResponse(isolated);
     });
   }
   if (control_ != nullptr && ingress_ == nullptr) service_ = platform::MakeControlCalls(*control_);
