--- a/source/gateway/engine_observer.cc
+++ b/source/gateway/engine_observer.cc
@@ -190,7 +190,7 @@
   if (view != nullptr && view->reported_leaving && !observed.plain_leaving) {
     // Reported by the back end in a response to a request.
     observed.plain_leaving = true;
-    observed.reported_leaving_at = now;
+    observed.leaving_reported_at = now;
     ReportToControlNodes(engine,
                          {engine, Incarnation(), true, WeightVersion(), WeightVersion(), true});
   }
@@ -211,9 +211,9 @@
   if (readiness == Readiness::kUnreachable) return;
   bool leaving = readiness == Readiness::kLeaving;
   if (readiness == Readiness::kNoReadinessPage && observed.plain_leaving) {
-    leaving = now - observed.reported_leaving_at < options_.leaving_hold;
+    leaving = now - observed.leaving_reported_at < options_.leaving_hold;
   }
-  if (leaving && !observed.plain_leaving) observed.reported_leaving_at = now;
+  if (leaving && !observed.plain_leaving) observed.leaving_reported_at = now;
   const bool changed = leaving != observed.plain_leaving;
   observed.plain_leaving = leaving;
   observed.report.draining = leaving;
--- a/source/gateway/engine_observer.h
+++ b/source/gateway/engine_observer.h
@@ -97,7 +97,7 @@
     TimePoint resync_at;
     std::unique_ptr<ReadinessProbe> probe;
     TimePoint probed_at;
-    TimePoint reported_leaving_at;
+    TimePoint leaving_reported_at;
     bool plain_leaving = false;
   };
 
--- a/source/routing/engine_router.cc
+++ b/source/routing/engine_router.cc
@@ -147,7 +147,7 @@
   }
   if (report.draining) {
     SetLeaving(engine, true);
-  } else if (view.reported_leaving && taken_at > view.reported_leaving_at) {
+  } else if (view.reported_leaving && taken_at > view.leaving_reported_at) {
     SetLeaving(engine, false);
   }
   if (known) {
@@ -190,7 +190,7 @@
   if (!slot) return;
   EngineView& view = *engines_[*slot];
   view.reported_leaving = leaving;
-  if (leaving) view.reported_leaving_at = environment_.Now();
+  if (leaving) view.leaving_reported_at = environment_.Now();
 }
 
 std::optional<Placement> EngineRouter::Place(const ResourceKey& workload,
--- a/source/routing/engine_view.h
+++ b/source/routing/engine_view.h
@@ -28,7 +28,7 @@
   bool reported_leaving = false;
   /// Its weights are not those published; it gets no work.
   bool weights_uncertain = false;
-  TimePoint reported_leaving_at;
+  TimePoint leaving_reported_at;
 
   LaggedLoad load;
   StepTimeModel step_time;
