--- a/test/jobs/crashing_request_test.cc
+++ b/test/jobs/crashing_request_test.cc
@@ -152,7 +152,7 @@
 /// A period in which a node was isolated or restarted.
 struct Disturbed {
   std::string node;
-  Duration began_at{0};
+  Duration started_at{0};
   Duration ended_at{0};
 };
 
@@ -161,7 +161,7 @@
                     Duration at) {
   return std::none_of(disturbed.begin(), disturbed.end(), [&](const Disturbed& span) {
     const bool counts = span.node == gateway || span.node[0] == 'c';
-    return counts && span.began_at <= at && span.ended_at + kPropagationTime >= at;
+    return counts && span.started_at <= at && span.ended_at + kPropagationTime >= at;
   });
 }
 
@@ -181,12 +181,12 @@
     const bool control = DrawChance(random, 0.2);
     const auto node = control ? fmt::format("c{}", 1 + DrawBelow(random, 3))
                               : fmt::format("g{}", 1 + DrawBelow(random, gateways));
-    const Duration began_at = fleet.scheduler.Now();
+    const Duration started_at = fleet.scheduler.Now();
     if (!control && DrawChance(random, 0.4)) fleet.Restart(node);
     fleet.Isolate(node);
     fleet.scheduler.RunFor(span);
     fleet.Heal(node);
-    disturbed.push_back({node, began_at, fleet.scheduler.Now()});
+    disturbed.push_back({node, started_at, fleet.scheduler.Now()});
     const Duration rest = DrawDuration(random, milliseconds(500), milliseconds(5000));
     fleet.scheduler.RunFor(rest);
     elapsed += span + rest;
