--- a/source/jobs/storage_node.cc
+++ b/source/jobs/storage_node.cc
@@ -112,14 +112,14 @@
     state_ = machine.get();
     machine->OnChange([this](JobChange change, const JobId& job) {
       if (change == JobChange::kAnnounced) loads_.OnAnnouncement(state_->announcements().back());
-      if (change == JobChange::kRestored) RecordAnnouncements();
+      if (change == JobChange::kRestored) ReplayAnnouncements();
       service_.OnStateChange(job);
       if (scheduler_ != nullptr) scheduler_->OnStateChange(change, job);
     });
     return machine;
   }
 
-  void RecordAnnouncements() {
+  void ReplayAnnouncements() {
     for (const AnnounceOrder& announced : state_->announcements()) {
       loads_.OnAnnouncement(announced);
     }
--- a/test/jobs/load_scheduler_test.cc
+++ b/test/jobs/load_scheduler_test.cc
@@ -284,12 +284,12 @@
 }
 
 TEST_CASE("No order is sent without a quorum, or long after its announcement") {
-  Fixture cut_off(2);
-  cut_off.Lead();
-  cut_off.group.quorum = false;
-  cut_off.NameVersion(2);
-  cut_off.scheduler.RunFor(seconds(3));
-  CHECK(cut_off.Orders() == 0);
+  Fixture without_quorum(2);
+  without_quorum.Lead();
+  without_quorum.group.quorum = false;
+  without_quorum.NameVersion(2);
+  without_quorum.scheduler.RunFor(seconds(3));
+  CHECK(without_quorum.Orders() == 0);
   Fixture slow(2);
   slow.Lead();
   slow.group.commit_time = milliseconds(400);
