--- a/source/cluster/configuration_editor.cc
+++ b/source/cluster/configuration_editor.cc
@@ -188,8 +188,8 @@
   if (found != configuration_.nodes.end()) {
     // Any incarnation may replace one that is gone, because the clock that orders incarnations may
     // have jumped.
-    const bool started_earlier = record.incarnation < found->second.incarnation;
-    if (started_earlier && found->second.state != MemberState::kGone) return;
+    const bool older = record.incarnation < found->second.incarnation;
+    if (older && found->second.state != MemberState::kGone) return;
     if (record == found->second) return;
   }
   configuration_.nodes[record.node] = record;
