--- a/source/ingress/ingress_service.cc
+++ b/source/ingress/ingress_service.cc
@@ -77,11 +77,11 @@
   }
   auto flow = std::make_unique<ForwardFlow>(
       context_, *route, std::move(request),
-      [this, id, started = environment_.Now(), version = routes_->version, digest = routes_->digest,
-       done = std::move(done)](ForwardResult result) {
+      [this, id, started_at = environment_.Now(), version = routes_->version,
+       digest = routes_->digest, done = std::move(done)](ForwardResult result) {
         result.routing_version = version;
         result.routing_digest = digest;
-        Count(result, environment_.Now() - started);
+        Count(result, environment_.Now() - started_at);
         auto ended = flows_.extract(id);
         // Destroyed later, since the flow's own callbacks are still on the stack.
         if (!ended.empty()) {
@@ -142,11 +142,11 @@
   }
   streams_[id] = std::make_unique<StreamFlow>(
       context_, *route, std::move(request), sink,
-      [this, id, started = environment_.Now(), version = routes_->version, digest = routes_->digest,
-       done = std::move(done)](StreamEnd result) {
+      [this, id, started_at = environment_.Now(), version = routes_->version,
+       digest = routes_->digest, done = std::move(done)](StreamEnd result) {
         result.forward.routing_version = version;
         result.forward.routing_digest = digest;
-        Count(result.forward, environment_.Now() - started);
+        Count(result.forward, environment_.Now() - started_at);
         auto ended = streams_.extract(id);
         // Destroyed later, since the flow's own callbacks are still on the stack.
         if (!ended.empty()) {
--- a/test/jobs/load_scheduler_test.cc
+++ b/test/jobs/load_scheduler_test.cc
@@ -118,7 +118,7 @@
   Fixture fixture(1);
   fixture.Lead();
   fixture.scheduler.RunFor(seconds(1));
-  const Duration begun_at = fixture.scheduler.Now();
+  const Duration started_at = fixture.scheduler.Now();
   fixture.directory.Begin(InstanceId("e0:1"));
   fixture.NameVersion(2);
   fixture.scheduler.RunFor(milliseconds(60));
@@ -126,7 +126,7 @@
   CHECK(fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("m")));
   fixture.scheduler.RunFor(milliseconds(200));
   REQUIRE(fixture.Orders() == 1);
-  CHECK(fixture.engines["e0:1"].ordered_at[0] - begun_at >= milliseconds(100));
+  CHECK(fixture.engines["e0:1"].ordered_at[0] - started_at >= milliseconds(100));
   fixture.scheduler.RunFor(seconds(2));
   CHECK(fixture.Holding(2) == 1);
   CHECK_FALSE(fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("m")));
