--- a/test/jobs/load_scheduler_test.cc
+++ b/test/jobs/load_scheduler_test.cc
@@ -33,7 +33,7 @@
  public:
   explicit Fixture(int engines, LoadOptions options = {}) : loads_options(options) {
     state.OnChange([this](JobChange change, const JobId&) {
-      if (change == JobChange::kAnnounced) loads.RecordAnnouncement(state.announcements().back());
+      if (change == JobChange::kAnnounced) loads.OnAnnouncement(state.announcements().back());
     });
     routes.services.push_back(
         {ServiceName("engines"), "", 0, EngineProfile{2, 1, {ModelName("m")}}});
@@ -118,7 +118,7 @@
   Fixture fixture(1);
   fixture.Lead();
   fixture.scheduler.RunFor(seconds(1));
-  const Duration begun_at = fixture.scheduler.Now();
+  const Duration started_at = fixture.scheduler.Now();
   fixture.directory.Begin(InstanceId("e0:1"));
   fixture.NameVersion(2);
   fixture.scheduler.RunFor(milliseconds(60));
@@ -126,7 +126,7 @@
   CHECK(fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("m")));
   fixture.scheduler.RunFor(milliseconds(200));
   REQUIRE(fixture.Orders() == 1);
-  CHECK(fixture.engines["e0:1"].ordered_at[0] - begun_at >= milliseconds(100));
+  CHECK(fixture.engines["e0:1"].ordered_at[0] - started_at >= milliseconds(100));
   fixture.scheduler.RunFor(seconds(2));
   CHECK(fixture.Holding(2) == 1);
   CHECK_FALSE(fixture.loads.StateOf(InstanceId("e0:1"))->IsLoading(ModelName("m")));
@@ -284,12 +284,12 @@
 }
 
 TEST_CASE("No order is sent without a quorum, or long after its announcement") {
-  Fixture cut_off(2);
-  cut_off.Lead();
-  cut_off.group.quorum = false;
-  cut_off.NameVersion(2);
-  cut_off.scheduler.RunFor(seconds(3));
-  CHECK(cut_off.Orders() == 0);
+  Fixture without_quorum(2);
+  without_quorum.Lead();
+  without_quorum.group.quorum = false;
+  without_quorum.NameVersion(2);
+  without_quorum.scheduler.RunFor(seconds(3));
+  CHECK(without_quorum.Orders() == 0);
   Fixture slow(2);
   slow.Lead();
   slow.group.commit_time = milliseconds(400);
