--- a/source/server/command_line.cc
+++ b/source/server/command_line.cc
@@ -33,7 +33,7 @@
   return description;
 }
 
-ServerMode ModeOf(const options::variables_map& values, std::string* fault) {
+ServerMode ModeOf(const options::variables_map& values, std::string* error) {
   struct ModeFlag {
     const char* name;
     ServerMode mode;
@@ -46,7 +46,7 @@
   ServerMode mode = ServerMode::kRun;
   for (const ModeFlag& flag : kFlags) {
     if (values.count(flag.name) == 0) continue;
-    if (mode != ServerMode::kRun) *fault = fmt::format("--{} goes with no other mode", flag.name);
+    if (mode != ServerMode::kRun) *error = fmt::format("--{} goes with no other mode", flag.name);
     mode = flag.mode;
   }
   return mode;
@@ -68,10 +68,10 @@
         options::command_line_parser(arguments).options(all).positional(none).style(style).run(),
         values);
   } catch (const options::error& error) {
-    line.fault = error.what();
+    line.error = error.what();
     return line;
   }
-  line.mode = ModeOf(values, &line.fault);
+  line.mode = ModeOf(values, &line.error);
   if (values.count("settings") > 0) line.settings_file = values["settings"].as<std::string>();
   for (const SettingKey& key : SettingKeys()) {
     const std::string flag = FlagName(key.key);
--- a/source/server/command_line.h
+++ b/source/server/command_line.h
@@ -16,7 +16,7 @@
   std::string settings_file;
   SettingOverrides overrides;
   /// What is wrong with the command line; empty if nothing is.
-  std::string fault;
+  std::string error;
 };
 
 CommandLine ParseCommandLine(const std::vector<std::string>& arguments);
--- a/source/server/exit_code.h
+++ b/source/server/exit_code.h
@@ -5,7 +5,7 @@
 
 enum class ExitCode : int {
   kOk = 0,
-  kFault = 1,
+  kFailure = 1,
   kUsage = 2,
   kSettings = 3,
   kAddressTaken = 4,
--- a/source/server/front.cc
+++ b/source/server/frontend.cc
@@ -1,4 +1,4 @@
-#include "server/front.h"
+#include "server/frontend.h"
 
 #include <array>
 
@@ -29,8 +29,8 @@
   return false;
 }
 
-void Front::Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) {
-  if (AnswerItself(PathOf(request.target), *writer)) return;
+void Frontend::Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) {
+  if (HandleLocally(PathOf(request.target), *writer)) return;
   auto counting = std::make_shared<CountingWriter>(std::move(writer), stats_);
   RequestHandler* target = targets_.gateway;
   const bool to_operators = IsOperatorsPath(request.target) || target == nullptr;
@@ -39,7 +39,7 @@
   RespondProblem(*counting, {404, "not found", "nothing is served here", Outcome::kNotRun, {}});
 }
 
-bool Front::AnswerItself(std::string_view path, ResponseWriter& writer) {
+bool Frontend::HandleLocally(std::string_view path, ResponseWriter& writer) {
   if (path == "/livez") {
     RespondText(writer, "text/plain", "ok\n");
     return true;
@@ -53,8 +53,8 @@
     }
     return true;
   }
-  const bool own_path = !targets_.metrics_path.empty() && path == targets_.metrics_path;
-  if (path == "/metrics" || own_path) {
+  const bool is_metrics_path = !targets_.metrics_path.empty() && path == targets_.metrics_path;
+  if (path == "/metrics" || is_metrics_path) {
     targets_.update_stats();
     RespondText(writer, kMetricsContentType, MetricsPage(stats_));
     return true;
--- a/source/server/front.h
+++ b/source/server/frontend.h
@@ -12,7 +12,7 @@
 namespace millstair {
 
 /// Where a front sends requests; parts that the node does not have are null.
-struct FrontTargets {
+struct FrontendTargets {
   RequestHandler* gateway = nullptr;
   RequestHandler* operators = nullptr;
   /// True if the node takes work.
@@ -27,16 +27,17 @@
 bool IsOperatorsPath(std::string_view target);
 
 /// Lives on the serial executor. Answers /livez, /readyz and /metrics itself.
-class Front : public RequestHandler {
+class Frontend : public RequestHandler {
  public:
-  Front(FrontTargets targets, StatsRegistry& stats) : targets_(std::move(targets)), stats_(stats) {}
+  Frontend(FrontendTargets targets, StatsRegistry& stats)
+      : targets_(std::move(targets)), stats_(stats) {}
 
   void Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) override;
 
  private:
-  bool AnswerItself(std::string_view path, ResponseWriter& writer);
+  bool HandleLocally(std::string_view path, ResponseWriter& writer);
 
-  FrontTargets targets_;
+  FrontendTargets targets_;
   StatsRegistry& stats_;
 };
 
--- a/source/server/host_check.h
+++ b/source/server/host_check.h
@@ -11,7 +11,7 @@
 namespace millstair {
 
 struct HostFinding {
-  ExitCode code = ExitCode::kFault;
+  ExitCode code = ExitCode::kFailure;
   Finding finding;
 };
 
--- a/source/server/node_options.cc
+++ b/source/server/node_options.cc
@@ -13,15 +13,15 @@
   return endpoints;
 }
 
-std::vector<GroupMember> FoundersOf(const ServerSettings& settings) {
-  std::vector<GroupMember> founders;
+std::vector<GroupMember> InitialMembersOf(const ServerSettings& settings) {
+  std::vector<GroupMember> initial_members;
   for (const ControlNodeSetting& node : settings.control_nodes) {
     const auto& names = settings.founders;
     if (std::find(names.begin(), names.end(), node.node) == names.end()) continue;
     const NodeId id(node.node);
-    founders.push_back({FounderReplicaId(settings.cluster, id), id, node.address, true});
+    initial_members.push_back({FounderReplicaId(settings.cluster, id), id, node.address, true});
   }
-  return founders;
+  return initial_members;
 }
 
 ConfigurationTiming ConfigurationTimingOf(const TimingSettings& timing) {
@@ -50,7 +50,7 @@
 }
 
 /// Enough that a majority is left after the losses that are to be borne.
-size_t VotersOf(const ServerSettings& settings) {
+size_t VoterCount(const ServerSettings& settings) {
   return 2 * static_cast<size_t>(settings.tolerated_losses) + 1;
 }
 
@@ -75,10 +75,10 @@
   options.self = self;
   options.cluster_id = settings.cluster;
   options.control_nodes = EndpointsOf(settings);
-  options.initial_members = FoundersOf(settings);
+  options.initial_members = InitialMembersOf(settings);
   options.bootstrap = settings.bootstrap == "true";
-  if (!settings.seeds.empty()) options.voters = VotersOf(settings);
-  options.storage_voters = VotersOf(settings);
+  if (!settings.seeds.empty()) options.voters = VoterCount(settings);
+  options.storage_voters = VoterCount(settings);
   options.consensus_timing = ConsensusTimingOf(timing);
   options.consensus_limits = {settings.limits.snapshot_entries, settings.limits.raft_batch,
                               settings.limits.snapshot_chunk};
@@ -127,7 +127,7 @@
                               settings.limits.snapshot_chunk};
   options.jobs.retention =
       std::chrono::duration_cast<std::chrono::milliseconds>(timing.job_retention);
-  options.replicas.voters = VotersOf(settings);
+  options.replicas.voters = VoterCount(settings);
   options.scheduler.stall_timeout = timing.run_stall;
   options.loads.concurrent_loads = static_cast<uint32_t>(settings.concurrent_loads);
   options.loads.order_lease = timing.holder_lease;
@@ -135,9 +135,9 @@
   return options;
 }
 
-JobGroupBootstrapperOptions JobFounderOptionsOf(const ServerSettings& settings) {
+JobGroupBootstrapperOptions JobBootstrapperOptionsOf(const ServerSettings& settings) {
   JobGroupBootstrapperOptions options;
-  options.voters = VotersOf(settings);
+  options.voters = VoterCount(settings);
   return options;
 }
 
--- a/source/server/node_options.h
+++ b/source/server/node_options.h
@@ -20,7 +20,7 @@
 IngressNodeOptions IngressOptionsOf(const ServerSettings& settings, const NodeRecord& self);
 UsageReportOptions UsageOptionsOf(const ServerSettings& settings);
 StorageNodeOptions StorageOptionsOf(const ServerSettings& settings, const NodeRecord& self);
-JobGroupBootstrapperOptions JobFounderOptionsOf(const ServerSettings& settings);
+JobGroupBootstrapperOptions JobBootstrapperOptionsOf(const ServerSettings& settings);
 PeerTransportOptions TransportOptionsOf(const ServerSettings& settings, Incarnation incarnation);
 HttpServerOptions HttpServerOptionsOf(const ServerSettings& settings);
 HttpCallerOptions HttpCallerOptionsOf(const ServerSettings& settings);
--- a/source/server/server_node.cc
+++ b/source/server/server_node.cc
@@ -16,9 +16,9 @@
 namespace millstair {
 namespace {
 
-constexpr Duration kAnswerPoll = std::chrono::milliseconds(20);
+constexpr Duration kResponsePollInterval = std::chrono::milliseconds(20);
 /// Answers that are not sent this long after all work ended go with the process.
-constexpr Duration kAnswerLimit = std::chrono::seconds(10);
+constexpr Duration kResponseDrainTimeout = std::chrono::seconds(10);
 
 /// Grows from one start to the next as long as the wall clock does, which is mostly; see
 /// Incarnation.
@@ -28,7 +28,7 @@
       static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(now).count()));
 }
 
-StartFault FaultOf(ExitCode code, const absl::Status& status) {
+StartError MakeStartError(ExitCode code, const absl::Status& status) {
   return {code, std::string(status.message())};
 }
 
@@ -42,31 +42,31 @@
 
 ServerNode::~ServerNode() { Close(); }
 
-StartFault ServerNode::Start() {
-  StartFault fault;
-  executor_->PostAndWait([this, &fault] { fault = StartParts(); });
-  return fault;
+StartError ServerNode::Start() {
+  StartError error;
+  executor_->PostAndWait([this, &error] { error = StartParts(); });
+  return error;
 }
 
-StartFault ServerNode::StartParts() {
+StartError ServerNode::StartParts() {
   environment_ = std::make_unique<RuntimeEnvironment>(runtime_, executor_);
   stop_timer_ = std::make_unique<ScopedTimer>(*environment_);
   caller_ = std::make_unique<BeastHttpCaller>(runtime_, executor_, HttpCallerOptionsOf(settings_),
                                               &stats_);
   back_ends_ = std::make_unique<RoutedHttpCaller>(*caller_, AddressRoutes(settings_.routes));
   engines_ = std::make_unique<HttpEngineClient>(*environment_, *back_ends_);
-  StartFault fault = OpenFolder();
-  if (fault.code == ExitCode::kOk) fault = StartTransport();
-  if (fault.code == ExitCode::kOk) fault = StartControl();
-  if (fault.code == ExitCode::kOk) fault = StartStorage();
-  if (fault.code != ExitCode::kOk) return fault;
+  StartError error = OpenFolder();
+  if (error.code == ExitCode::kOk) error = StartTransport();
+  if (error.code == ExitCode::kOk) error = StartControl();
+  if (error.code == ExitCode::kOk) error = StartStorage();
+  if (error.code != ExitCode::kOk) return error;
   StartGateway();
-  fault = StartListeners();
-  if (fault.code == ExitCode::kOk) fault = StartServiceListeners();
-  return fault;
+  error = StartListeners();
+  if (error.code == ExitCode::kOk) error = StartServiceListeners();
+  return error;
 }
 
-StartFault ServerNode::OpenFolder() {
+StartError ServerNode::OpenFolder() {
   if (!settings_.control && !settings_.storage) return {};
   BackgroundExecutor background;
   background.run = [this](std::function<void()> work) {
@@ -81,22 +81,23 @@
     return {};
   }
   const bool locked = files.status().code() == absl::StatusCode::kFailedPrecondition;
-  return FaultOf(locked ? ExitCode::kFolderLocked : ExitCode::kFolderUnusable, files.status());
+  return MakeStartError(locked ? ExitCode::kFolderLocked : ExitCode::kFolderUnusable,
+                        files.status());
 }
 
-StartFault ServerNode::StartTransport() {
+StartError ServerNode::StartTransport() {
   auto transport = TcpPeerTransport::Listen(
       runtime_, executor_, TransportOptionsOf(settings_, NewIncarnation()), &stats_);
-  if (!transport.ok()) return FaultOf(ExitCode::kAddressTaken, transport.status());
+  if (!transport.ok()) return MakeStartError(ExitCode::kAddressTaken, transport.status());
   transport_ = *std::move(transport);
   transport_->SetReceiver(this);
   peers_ = std::make_unique<RoutedPeerTransport>(*transport_, AddressRoutes(settings_.routes));
   return {};
 }
 
-StartFault ServerNode::StartControl() {
+StartError ServerNode::StartControl() {
   if (!settings_.control) return {};
-  if (!settings_.seeds.empty()) FoundIfFirst();
+  if (!settings_.seeds.empty()) InitializeOnFirstStart();
   const NodeRecord self = NodeRecordOf(settings_, NewIncarnation());
   control_ =
       MakeControlNode(*environment_, *peers_, *files_, *back_ends_,
@@ -106,34 +107,36 @@
   }));
   if (ServesPlatform()) {
     control_->AddLeaderTask(MakeJobGroupBootstrapper(
-        *environment_, JobFounderOptionsOf(settings_), [this](ClusterCommand command) {
+        *environment_, JobBootstrapperOptionsOf(settings_), [this](ClusterCommand command) {
           control_->Propose(std::move(command), [](const absl::StatusOr<ClusterResult>&) {});
         }));
   }
-  const bool meters =
+  const bool reports_usage =
       !settings_.metering_platform.empty() && settings_.timing.usage_window > Duration(0);
-  if (ServesPlatform() && meters) {
-    control_->AddLeaderTask(MakeUsageReportTask(*environment_, *back_ends_, platform::Duties(),
-                                                *control_, UsageOptionsOf(settings_)));
+  if (ServesPlatform() && reports_usage) {
+    control_->AddLeaderTask(MakeUsageReportTask(*environment_, *back_ends_,
+                                                platform::UsageReports(), *control_,
+                                                UsageOptionsOf(settings_)));
   }
   const absl::Status started = control_->Start();
   if (started.ok()) return {};
   const bool damaged = started.code() == absl::StatusCode::kDataLoss;
-  return FaultOf(damaged ? ExitCode::kDataDamaged : ExitCode::kFault, started);
+  return MakeStartError(damaged ? ExitCode::kDataDamaged : ExitCode::kFailure, started);
 }
 
-void ServerNode::FoundIfFirst() {
+void ServerNode::InitializeOnFirstStart() {
   const auto& founders = settings_.founders;
-  const bool founds = settings_.bootstrap == "true" &&
-                      std::find(founders.begin(), founders.end(), settings_.node) != founders.end();
-  if (!founds) return;
+  const bool is_initial_member =
+      settings_.bootstrap == "true" &&
+      std::find(founders.begin(), founders.end(), settings_.node) != founders.end();
+  if (!is_initial_member) return;
   // A folder that has an identity was founded before.
   const absl::Status written =
       InitializeFounder(*files_, settings_.cluster, NodeId(settings_.node), settings_.peer_address);
   if (written.ok()) LogEvent(EventId::kFounderInitialized, "node={}", settings_.node);
 }
 
-StartFault ServerNode::StartStorage() {
+StartError ServerNode::StartStorage() {
   if (!settings_.storage) return {};
   const NodeRecord self = NodeRecordOf(settings_, NewIncarnation());
   StorageNodeOptions options = StorageOptionsOf(settings_, self);
@@ -143,27 +146,28 @@
   const absl::Status started = storage_->Start();
   if (started.ok()) return {};
   const bool damaged = started.code() == absl::StatusCode::kDataLoss;
-  return FaultOf(damaged ? ExitCode::kDataDamaged : ExitCode::kFault, started);
+  return MakeStartError(damaged ? ExitCode::kDataDamaged : ExitCode::kFailure, started);
 }
 
-StartFault ServerNode::StartServiceListeners() {
+StartError ServerNode::StartServiceListeners() {
   if (!ServesPlatform()) return {};
   if (ingress_ != nullptr) {
-    service_ = platform::MakeEdgeCalls(*ingress_);
+    service_ = platform::MakeIngressHandler(*ingress_);
     ingress_->OnCutOff([this](bool cut_off) {
       if (service_http_ != nullptr) service_http_->SetCloseAfterResponse(cut_off);
     });
   }
-  if (control_ != nullptr && ingress_ == nullptr) service_ = platform::MakeControlCalls(*control_);
+  if (control_ != nullptr && ingress_ == nullptr)
+    service_ = platform::MakeControlHandler(*control_);
   if (service_ != nullptr) {
     auto http = ListenHttp(settings_.service_listen, *service_);
-    if (!http.ok()) return FaultOf(ExitCode::kAddressTaken, http.status());
+    if (!http.ok()) return MakeStartError(ExitCode::kAddressTaken, http.status());
     service_http_ = *std::move(http);
   }
   if (settings_.service_readiness.empty()) return {};
-  readiness_ = platform::MakeReadinessCall([this] { return Ready(); });
+  readiness_ = platform::MakeReadinessHandler([this] { return Ready(); });
   auto http = ListenHttp(settings_.service_readiness, *readiness_);
-  if (!http.ok()) return FaultOf(ExitCode::kAddressTaken, http.status());
+  if (!http.ok()) return MakeStartError(ExitCode::kAddressTaken, http.status());
   readiness_http_ = *std::move(http);
   return {};
 }
@@ -186,39 +190,39 @@
   gateway_->Start();
 }
 
-StartFault ServerNode::StartListeners() {
-  FrontTargets targets;
+StartError ServerNode::StartListeners() {
+  FrontendTargets targets;
   targets.ready = [this] { return Ready(); };
   targets.update_stats = [this] { UpdateStats(); };
-  FrontTargets operators_targets = targets;
+  FrontendTargets operators_targets = targets;
   targets.gateway = gateway_.get();
   operators_targets.operators = control_.get();
-  const bool apart = !settings_.http_operators.empty() && control_ != nullptr;
-  if (!apart) targets.operators = control_.get();
-  front_ = std::make_unique<Front>(targets, stats_);
-  auto http = ListenHttp(settings_.http_listen, *front_);
-  if (!http.ok()) return FaultOf(ExitCode::kAddressTaken, http.status());
+  const bool separate_listener = !settings_.http_operators.empty() && control_ != nullptr;
+  if (!separate_listener) targets.operators = control_.get();
+  frontend_ = std::make_unique<Frontend>(targets, stats_);
+  auto http = ListenHttp(settings_.http_listen, *frontend_);
+  if (!http.ok()) return MakeStartError(ExitCode::kAddressTaken, http.status());
   http_ = *std::move(http);
-  if (StartFault fault = StartMetrics(targets); fault.code != ExitCode::kOk) return fault;
-  if (!apart) return {};
-  operators_front_ = std::make_unique<Front>(operators_targets, stats_);
-  auto operators_http = ListenHttp(settings_.http_operators, *operators_front_);
-  if (!operators_http.ok()) return FaultOf(ExitCode::kAddressTaken, operators_http.status());
+  if (StartError error = StartMetrics(targets); error.code != ExitCode::kOk) return error;
+  if (!separate_listener) return {};
+  operators_frontend_ = std::make_unique<Frontend>(operators_targets, stats_);
+  auto operators_http = ListenHttp(settings_.http_operators, *operators_frontend_);
+  if (!operators_http.ok()) return MakeStartError(ExitCode::kAddressTaken, operators_http.status());
   operators_http_ = *std::move(operators_http);
   return {};
 }
 
-StartFault ServerNode::StartMetrics(const FrontTargets& targets) {
+StartError ServerNode::StartMetrics(const FrontendTargets& targets) {
   if (settings_.metrics.empty()) return {};
   const size_t slash = settings_.metrics.find('/');
   const std::string ip = settings_.peer_listen.substr(0, settings_.peer_listen.rfind(':'));
-  FrontTargets own;
-  own.ready = targets.ready;
-  own.update_stats = targets.update_stats;
-  own.metrics_path = settings_.metrics.substr(slash);
-  metrics_front_ = std::make_unique<Front>(own, stats_);
-  auto http = ListenHttp(ip + ":" + settings_.metrics.substr(0, slash), *metrics_front_);
-  if (!http.ok()) return FaultOf(ExitCode::kAddressTaken, http.status());
+  FrontendTargets metrics_targets;
+  metrics_targets.ready = targets.ready;
+  metrics_targets.update_stats = targets.update_stats;
+  metrics_targets.metrics_path = settings_.metrics.substr(slash);
+  metrics_frontend_ = std::make_unique<Frontend>(metrics_targets, stats_);
+  auto http = ListenHttp(ip + ":" + settings_.metrics.substr(0, slash), *metrics_frontend_);
+  if (!http.ok()) return MakeStartError(ExitCode::kAddressTaken, http.status());
   metrics_http_ = *std::move(http);
   return {};
 }
@@ -230,7 +234,7 @@
 }
 
 void ServerNode::Receive(const NodeId& from, const PeerMessage& message) {
-  // Each part takes the kinds that are its own.
+  // Each part takes the kinds that are its metrics_targets.
   if (control_ != nullptr) control_->Receive(from, message);
   if (gateway_ != nullptr) gateway_->Receive(from, message);
   if (ingress_ != nullptr) ingress_->Receive(from, message);
@@ -305,7 +309,7 @@
 }
 
 void ServerNode::DrainStorage() {
-  const auto wait = [this] { WaitForAnswers(environment_->Now() + kAnswerLimit); };
+  const auto wait = [this] { WaitForResponses(environment_->Now() + kResponseDrainTimeout); };
   if (storage_ == nullptr) return wait();
   storage_->Drain(wait);
 }
@@ -317,12 +321,12 @@
   return running;
 }
 
-void ServerNode::WaitForAnswers(TimePoint until) {
+void ServerNode::WaitForResponses(TimePoint until) {
   if (RunningRequests() == 0 || environment_->Now() >= until) {
     const std::function<void()> done = std::move(on_stopped_);
     return done();
   }
-  stop_timer_->Arm(kAnswerPoll, [this, until] { WaitForAnswers(until); });
+  stop_timer_->Arm(kResponsePollInterval, [this, until] { WaitForResponses(until); });
 }
 
 void ServerNode::Close() {
--- a/source/server/server_node.h
+++ b/source/server/server_node.h
@@ -18,7 +18,7 @@
 #include "runtime/runtime.h"
 #include "runtime/runtime_environment.h"
 #include "server/exit_code.h"
-#include "server/front.h"
+#include "server/frontend.h"
 #include "settings/settings.h"
 #include "storage/posix_file_system.h"
 #include "transport/address_routes.h"
@@ -27,7 +27,7 @@
 namespace millstair {
 
 /// Why a node did not start.
-struct StartFault {
+struct StartError {
   ExitCode code = ExitCode::kOk;
   std::string message;
 };
@@ -40,7 +40,7 @@
   ~ServerNode() override;
 
   /// Starts all parts and waits for it. A code other than kOk says what stood in the way.
-  StartFault Start();
+  StartError Start();
   /// Says at once that it is not ready, and still takes work for `timing.stop_notice`. Then
   /// finishes what runs, hands over leaderships, and calls `done` on the executor.
   void BeginStop(std::function<void()> done);
@@ -54,18 +54,18 @@
   const std::string& peer_address() const { return transport_->address(); }
 
  private:
-  StartFault StartParts();
-  StartFault OpenFolder();
-  StartFault StartTransport();
-  StartFault StartControl();
+  StartError StartParts();
+  StartError OpenFolder();
+  StartError StartTransport();
+  StartError StartControl();
   /// Writes the identity of a founder on the first start of the whole cluster.
-  void FoundIfFirst();
+  void InitializeOnFirstStart();
   void StartGateway();
-  StartFault StartStorage();
-  StartFault StartServiceListeners();
-  StartFault StartMetrics(const FrontTargets& targets);
+  StartError StartStorage();
+  StartError StartServiceListeners();
+  StartError StartMetrics(const FrontendTargets& targets);
   bool ServesPlatform() const { return settings_.service_interface != "none"; }
-  StartFault StartListeners();
+  StartError StartListeners();
   absl::StatusOr<std::unique_ptr<HttpServer>> ListenHttp(const std::string& address,
                                                          RequestHandler& handler);
 
@@ -78,7 +78,7 @@
   /// Requests whose answers are not sent to their end.
   size_t RunningRequests() const;
   /// Waits until the last answers are sent.
-  void WaitForAnswers(TimePoint until);
+  void WaitForResponses(TimePoint until);
 
   Runtime& runtime_;
   StatsRegistry& stats_;
@@ -97,9 +97,9 @@
   std::unique_ptr<StorageNode> storage_;
   std::unique_ptr<RequestHandler> service_;
   std::unique_ptr<RequestHandler> readiness_;
-  std::unique_ptr<Front> front_;
-  std::unique_ptr<Front> operators_front_;
-  std::unique_ptr<Front> metrics_front_;
+  std::unique_ptr<Frontend> frontend_;
+  std::unique_ptr<Frontend> operators_frontend_;
+  std::unique_ptr<Frontend> metrics_frontend_;
   std::unique_ptr<HttpServer> http_;
   std::unique_ptr<HttpServer> operators_http_;
   std::unique_ptr<HttpServer> service_http_;
--- a/source/server/server_process.cc
+++ b/source/server/server_process.cc
@@ -80,8 +80,8 @@
     LogEvent(EventId::kFounderInitialized, "node={} data={}", settings.node, settings.data_folder);
     return ExitCode::kOk;
   }
-  const bool known = written.code() == absl::StatusCode::kFailedPrecondition;
-  return fail(known ? ExitCode::kAlreadyInitialized : ExitCode::kFolderUnusable,
+  const bool already_initialized = written.code() == absl::StatusCode::kFailedPrecondition;
+  return fail(already_initialized ? ExitCode::kAlreadyInitialized : ExitCode::kFolderUnusable,
               std::string(written.message()));
 }
 
@@ -131,7 +131,7 @@
           if (error) return;
           first();
           signals_.async_wait([](const boost::system::error_code& second_error, int) {
-            if (!second_error) std::_Exit(static_cast<int>(ExitCode::kFault));
+            if (!second_error) std::_Exit(static_cast<int>(ExitCode::kFailure));
           });
         });
   }
@@ -150,10 +150,10 @@
   std::promise<void> stopped;
   StopSignals signals(runtime.io());
   const ReloadSignals reloads(runtime.io(), settings.node);
-  const StartFault fault = node.Start();
-  if (fault.code != ExitCode::kOk) {
-    LogEvent(EventId::kServerNotStarted, "{}", fault.message);
-    return fault.code;
+  const StartError error = node.Start();
+  if (error.code != ExitCode::kOk) {
+    LogEvent(EventId::kServerNotStarted, "{}", error.message);
+    return error.code;
   }
   LogEvent(EventId::kServerStarted, "node={} zone={} peer={} http={}", settings.node, settings.zone,
            node.peer_address(), node.http_address());
@@ -172,8 +172,8 @@
 
 ExitCode RunServer(const std::vector<std::string>& arguments) {
   const CommandLine line = ParseCommandLine(arguments);
-  if (!line.fault.empty()) {
-    fmt::print(stderr, "millstaird: {}; see millstaird --help\n", line.fault);
+  if (!line.error.empty()) {
+    fmt::print(stderr, "millstaird: {}; see millstaird --help\n", line.error);
     return ExitCode::kUsage;
   }
   if (line.mode == ServerMode::kHelp) fmt::print("{}", HelpText());
--- a/source/tenants/tenant_directory.cc
+++ b/source/tenants/tenant_directory.cc
@@ -32,8 +32,8 @@
 }  // namespace
 
 std::string KeyFingerprint(std::string_view key) {
-  constexpr uint64_t kShort = 0xffffffff;
-  return fmt::format("{:08x}", DigestOf(key, 0) & kShort);
+  constexpr uint64_t kFingerprintMask = 0xffffffff;
+  return fmt::format("{:08x}", DigestOf(key, 0) & kFingerprintMask);
 }
 
 TenantDirectory::TenantDirectory(const std::vector<TenantEntry>& entries) : seed_(DrawSeed()) {
@@ -43,9 +43,9 @@
   keys_.reserve(keys);
   for (const TenantEntry& entry : entries) {
     const auto index = static_cast<uint32_t>(tenants_.size());
-    if (entry.name.value().empty()) faults_.push_back("a tenant has no name");
+    if (entry.name.value().empty()) errors_.push_back("a tenant has no name");
     if (!by_name_.emplace(entry.name, index).second) {
-      faults_.push_back(fmt::format("tenant {}: the name stands twice", entry.name));
+      errors_.push_back(fmt::format("tenant {}: the name stands twice", entry.name));
     }
     tenants_.push_back({entry.name, entry.priority});
     for (const std::string& key : entry.api_keys) AddKey(key, index);
@@ -55,17 +55,17 @@
 void TenantDirectory::AddKey(const std::string& key, uint32_t tenant) {
   const TenantName& name = tenants_[tenant].name;
   if (key.empty()) {
-    faults_.push_back(fmt::format("tenant {}: an API key is empty", name));
+    errors_.push_back(fmt::format("tenant {}: an API key is empty", name));
     return;
   }
-  const auto [held, added] = keys_.try_emplace(DigestOf(key, seed_), HeldKey{key, tenant});
+  const auto [held, added] = keys_.try_emplace(DigestOf(key, seed_), KeyEntry{key, tenant});
   if (added) return;
-  faults_.push_back(fmt::format("tenant {}: an API key is held by tenant {} already", name,
+  errors_.push_back(fmt::format("tenant {}: an API key is held by tenant {} already", name,
                                 tenants_[held->second.tenant].name));
 }
 
 void TenantDirectory::Validate(Findings& findings) const {
-  for (const std::string& fault : faults_) findings.Add({}, fault);
+  for (const std::string& error : errors_) findings.Add({}, error);
 }
 
 const Tenant* TenantDirectory::FindByKey(std::string_view key) const {
--- a/source/tenants/tenant_directory.h
+++ b/source/tenants/tenant_directory.h
@@ -67,7 +67,7 @@
   size_t key_count() const { return keys_.size(); }
 
  private:
-  struct HeldKey {
+  struct KeyEntry {
     std::string key;
     uint32_t tenant = 0;
   };
@@ -79,8 +79,8 @@
   std::vector<Tenant> tenants_;
   std::unordered_map<TenantName, uint32_t> by_name_;
   /// By digest; a digest that two keys share is reported as a conflict.
-  std::unordered_map<uint64_t, HeldKey> keys_;
-  std::vector<std::string> faults_;
+  std::unordered_map<uint64_t, KeyEntry> keys_;
+  std::vector<std::string> errors_;
 };
 
 }  // namespace millstair
--- a/test/platform/control_calls_test.cc
+++ b/test/platform/control_request_handler_test.cc
@@ -1,11 +1,11 @@
-#include "platform/control_calls.h"
+#include "platform/control_request_handler.h"
 
 #include <catch2/catch.hpp>
 #include <catch2/trompeloeil.hpp>
 
 #include "platform/instance_codec.h"
 #include "platform/routing_codec.h"
-#include "test/platform/answer_writer.h"
+#include "test/platform/recording_writer.h"
 
 namespace millstair::platform {
 namespace {
@@ -42,16 +42,16 @@
 
 class Fixture {
  public:
-  Answer Ask(const std::string& method, const std::string& path, const std::string& body = "") {
+  Answer Request(const std::string& method, const std::string& path, const std::string& body = "") {
     const auto answer = std::make_shared<Answer>();
-    calls.Handle({method, path, {}, body}, std::make_shared<AnswerWriter>(answer));
+    calls.Handle({method, path, {}, body}, std::make_shared<RecordingWriter>(answer));
     CHECK(answer->finished);
     return *answer;
   }
 
   MockControl control;
   RoutingCodec codec;
-  ControlCalls calls{control, codec};
+  ControlRequestHandler calls{control, codec};
   Configuration configuration;
 };
 
@@ -68,21 +68,21 @@
   ALLOW_CALL(fixture.control, configuration()).LR_RETURN(fixture.configuration);
   SECTION("the newest is certain") {
     REQUIRE_CALL(fixture.control, ConfirmRead(_)).SIDE_EFFECT(_1(absl::OkStatus()));
-    const Answer answer = fixture.Ask("GET", "/v1/Config.Get");
+    const Answer answer = fixture.Request("GET", "/v1/Config.Get");
     CHECK(answer.status == 200);
     CHECK(answer.body == kDocument);
   }
   SECTION("it is not") {
     REQUIRE_CALL(fixture.control, ConfirmRead(_))
         .SIDE_EFFECT(_1(absl::UnavailableError("no quorum")));
-    const Answer answer = fixture.Ask("GET", "/v1/Config.Get");
+    const Answer answer = fixture.Request("GET", "/v1/Config.Get");
     CHECK(answer.status == 503);
     CHECK(answer.body.find("version") == std::string::npos);
   }
   SECTION("none is held yet") {
     fixture.configuration.routing = {};
     REQUIRE_CALL(fixture.control, ConfirmRead(_)).SIDE_EFFECT(_1(absl::OkStatus()));
-    CHECK(fixture.Ask("GET", "/v1/Config.Get").status == 503);
+    CHECK(fixture.Request("GET", "/v1/Config.Get").status == 503);
   }
 }
 
@@ -93,20 +93,20 @@
         .WITH(std::get<ReplaceRouting>(_1).document.version == 7)
         .WITH(std::get<ReplaceRouting>(_1).document.content == kDocument)
         .SIDE_EFFECT(_2(ClusterResult()));
-    CHECK(fixture.Ask("POST", "/v1/Config.Replace", kDocument).status == 200);
+    CHECK(fixture.Request("POST", "/v1/Config.Replace", kDocument).status == 200);
   }
   SECTION("other content under the version held") {
     REQUIRE_CALL(fixture.control, Submit(_, _))
         .SIDE_EFFECT(_2(Refused(ClusterResultCode::kConflict)));
-    CHECK(fixture.Ask("POST", "/v1/Config.Replace", kDocument).status == 409);
+    CHECK(fixture.Request("POST", "/v1/Config.Replace", kDocument).status == 409);
   }
   SECTION("the outcome is not known") {
     REQUIRE_CALL(fixture.control, Submit(_, _)).SIDE_EFFECT(_2(absl::UnavailableError("?")));
-    CHECK(fixture.Ask("POST", "/v1/Config.Replace", kDocument).status == 503);
+    CHECK(fixture.Request("POST", "/v1/Config.Replace", kDocument).status == 503);
   }
   SECTION("invalid: nothing is submitted") {
     FORBID_CALL(fixture.control, Submit(_, _));
-    CHECK(fixture.Ask("POST", "/v1/Config.Replace", std::string(kDocument).substr(9)).status ==
+    CHECK(fixture.Request("POST", "/v1/Config.Replace", std::string(kDocument).substr(9)).status ==
           400);
   }
 }
@@ -117,23 +117,23 @@
     REQUIRE_CALL(fixture.control, EvacuateZone(_, _))
         .WITH(_1.zone == Zone("recife-a") && !_1.ends)
         .SIDE_EFFECT(_2(ClusterResult()));
-    CHECK(fixture.Ask("POST", "/v1/Evacuate.Start/recife-a").status == 200);
+    CHECK(fixture.Request("POST", "/v1/Evacuate.Start/recife-a").status == 200);
   }
   SECTION("ended") {
     REQUIRE_CALL(fixture.control, EvacuateZone(_, _))
         .WITH(_1.zone == Zone("recife-a") && _1.ends)
         .SIDE_EFFECT(_2(ClusterResult()));
-    CHECK(fixture.Ask("POST", "/v1/Evacuate.Stop/recife-a").status == 200);
+    CHECK(fixture.Request("POST", "/v1/Evacuate.Stop/recife-a").status == 200);
   }
   SECTION("of a zone that is not known") {
     REQUIRE_CALL(fixture.control, EvacuateZone(_, _))
         .SIDE_EFFECT(_2(Refused(ClusterResultCode::kNotFound)));
-    CHECK(fixture.Ask("POST", "/v1/Evacuate.Start/nowhere").status == 404);
+    CHECK(fixture.Request("POST", "/v1/Evacuate.Start/nowhere").status == 404);
   }
   SECTION("not obeyed by all") {
     REQUIRE_CALL(fixture.control, EvacuateZone(_, _))
         .SIDE_EFFECT(_2(absl::UnavailableError("a node is of another build")));
-    CHECK(fixture.Ask("POST", "/v1/Evacuate.Start/recife-a").status == 503);
+    CHECK(fixture.Request("POST", "/v1/Evacuate.Start/recife-a").status == 503);
   }
 }
 
@@ -165,10 +165,10 @@
                                          {control.node, {control.node, false}}};
   ALLOW_CALL(fixture.control, configuration()).LR_RETURN(fixture.configuration);
   ALLOW_CALL(fixture.control, ConfirmRead(_)).SIDE_EFFECT(_1(absl::OkStatus()));
-  CHECK(fixture.Ask("GET", "/v1/Retire.Get/m").body == R"({"state":"running"})");
+  CHECK(fixture.Request("GET", "/v1/Retire.Get/m").body == R"({"state":"running"})");
   fixture.configuration.retired_nodes[control.node].emptied = true;
-  CHECK(fixture.Ask("GET", "/v1/Retire.Get/m").body == R"({"state":"done"})");
-  CHECK(fixture.Ask("GET", "/v1/Retire.Get/other").status == 404);
+  CHECK(fixture.Request("GET", "/v1/Retire.Get/m").body == R"({"state":"done"})");
+  CHECK(fixture.Request("GET", "/v1/Retire.Get/other").status == 404);
 }
 
 TEST_CASE("To empty a machine is refused as the product refuses it") {
@@ -178,7 +178,7 @@
                                        std::pair(ClusterResultCode::kConflict, 409),
                                        std::pair(ClusterResultCode::kOk, 200));
   REQUIRE_CALL(fixture.control, RetireMachine("m", _)).LR_SIDE_EFFECT(_2(Refused(code)));
-  CHECK(fixture.Ask("POST", "/v1/Retire.Start/m", R"({"duration_s":10})").status == status);
+  CHECK(fixture.Request("POST", "/v1/Retire.Start/m", R"({"duration_s":10})").status == status);
 }
 
 TEST_CASE("Reports of servers become reports of back ends, faulty ones a refusal") {
@@ -187,21 +187,22 @@
     REQUIRE_CALL(fixture.control, ReportInstance(_, _))
         .WITH(_1.id == InstanceId("i-1") && _1.state == MemberState::kLeaving)
         .SIDE_EFFECT(_2(ClusterResult()));
-    CHECK(fixture
-              .Ask("POST", "/v1/Instances.Heartbeat/i-1",
-                   R"({"service":"pages","addr":"10.0.0.1:80","zone":"z","version":"v1","slots":8,
+    CHECK(
+        fixture
+            .Request("POST", "/v1/Instances.Heartbeat/i-1",
+                     R"({"service":"pages","addr":"10.0.0.1:80","zone":"z","version":"v1","slots":8,
                        "state":"draining","cold_left_ms":0,"seq":4})")
-              .status == 200);
+            .status == 200);
   }
   SECTION("a deregistration") {
     REQUIRE_CALL(fixture.control, ReportInstance(_, _))
         .WITH(_1.id == InstanceId("i-1") && _1.state == MemberState::kGone)
         .SIDE_EFFECT(_2(ClusterResult()));
-    CHECK(fixture.Ask("POST", "/v1/Instances.Deregister/i-1", "{}").status == 200);
+    CHECK(fixture.Request("POST", "/v1/Instances.Deregister/i-1", "{}").status == 200);
   }
   SECTION("no address") {
     FORBID_CALL(fixture.control, ReportInstance(_, _));
-    CHECK(fixture.Ask("POST", "/v1/Instances.Heartbeat/i-1", R"({"service":"pages"})").status ==
+    CHECK(fixture.Request("POST", "/v1/Instances.Heartbeat/i-1", R"({"service":"pages"})").status ==
           400);
   }
 }
@@ -211,10 +212,10 @@
   REQUIRE_CALL(fixture.control, Submit(_, _))
       .WITH(std::get<NameVersion>(_1).named == NamedVersion{ModelName("m"), WeightVersion(3)})
       .SIDE_EFFECT(_2(ClusterResult()));
-  CHECK(fixture.Ask("POST", "/v1/version-put", R"({"model":"m","version":3})").status == 200);
+  CHECK(fixture.Request("POST", "/v1/version-put", R"({"model":"m","version":3})").status == 200);
   FORBID_CALL(fixture.control, Submit(_, _));
-  CHECK(fixture.Ask("POST", "/v1/version-put", R"({"model":"m"})").status == 400);
-  CHECK(fixture.Ask("GET", "/v1/nothing").status == 404);
+  CHECK(fixture.Request("POST", "/v1/version-put", R"({"model":"m"})").status == 400);
+  CHECK(fixture.Request("GET", "/v1/nothing").status == 404);
 }
 
 }  // namespace
--- a/test/platform/edge_fixture.h
+++ b/test/platform/ingress_handler_fixture.h
@@ -8,24 +8,24 @@
 
 #include "cluster/control_messages.h"
 #include "fmt/format.h"
-#include "platform/edge_calls.h"
+#include "platform/ingress_request_handler.h"
 #include "platform/routing_codec.h"
-#include "platform/server_wire.h"
+#include "platform/server_protocol.h"
 #include "test/ingress/fake_backends.h"
-#include "test/platform/answer_writer.h"
+#include "test/platform/recording_writer.h"
 
 namespace millstair::platform {
 
 /// A control node that answers heartbeats with a routing document, unless it is cut off.
-class ScriptedControl : public PeerTransport {
+class FakeControlNode : public PeerTransport {
  public:
   /// What it sends arrives in `node_environment`: it waits there while that is suspended.
-  explicit ScriptedControl(VirtualEnvironment& node_environment)
+  explicit FakeControlNode(VirtualEnvironment& node_environment)
       : node_environment_(node_environment) {}
 
   void SetAddress(const NodeId&, const std::string&) override {}
   void Send(const NodeId& to, PeerMessage message) override {
-    if (message.kind != MessageKind::kHeartbeat || cut_off) return;
+    if (message.kind != MessageKind::kHeartbeat || isolated) return;
     const auto heartbeat = DecodeHeartbeat(message.payload);
     NodeHeartbeatReply reply{heartbeat->nonce, revision, ""};
     if (heartbeat->sender.applied < revision) reply.delta = EncodeDelta(Delta());
@@ -48,7 +48,7 @@
   }
 
   IngressNode* node = nullptr;
-  bool cut_off = false;
+  bool isolated = false;
   std::string document;
   std::vector<BackendInstance> instances = {LiveInstance("b:1", "pages")};
   Revision revision;
@@ -84,9 +84,9 @@
 }
 
 /// A gateway "g1", its control node and a server of "pages" at b:1.
-class EdgeFixture {
+class IngressHandlerFixture {
  public:
-  EdgeFixture() : control(environment) {
+  IngressHandlerFixture() : control(environment) {
     Serve("b:1");
     IngressNodeOptions options;
     options.self.node = NodeId("g1");
@@ -96,7 +96,7 @@
     node = std::make_unique<IngressNode>(environment, control, backends, wire, codec, options);
     control.node = node.get();
     control.Replace(Document(1, R"("key-1","key-2")"));
-    calls = std::make_unique<EdgeCalls>(*node);
+    calls = std::make_unique<IngressRequestHandler>(*node);
   }
 
   /// A back end at `address` answers every request.
@@ -121,25 +121,25 @@
     HttpHeaders headers = {{"Host", "h"}, {"Request-Id", "id-1"}};
     if (!key.empty()) headers.push_back({"Key", key});
     const auto answer = std::make_shared<Answer>();
-    calls->Handle({method, target, headers, body}, std::make_shared<AnswerWriter>(answer));
+    calls->Handle({method, target, headers, body}, std::make_shared<RecordingWriter>(answer));
     return answer;
   }
-  Answer Ask(const std::string& method, const std::string& target, const std::string& key,
-             const std::string& body = "") {
+  Answer Request(const std::string& method, const std::string& target, const std::string& key,
+                 const std::string& body = "") {
     const auto answer = Send(method, target, key, body);
     scheduler.RunFor(std::chrono::milliseconds(100));
     return *answer;
   }
-  int Page(const std::string& key) { return Ask("POST", "/p/x", key).status; }
+  int Page(const std::string& key) { return Request("POST", "/p/x", key).status; }
 
   VirtualScheduler scheduler{1};
   VirtualEnvironment environment{scheduler, 2};
   FakeBackends backends{scheduler};
-  ServerWire wire;
+  ServerProtocol wire;
   RoutingCodec codec;
-  ScriptedControl control;
+  FakeControlNode control;
   std::unique_ptr<IngressNode> node;
-  std::unique_ptr<EdgeCalls> calls;
+  std::unique_ptr<IngressRequestHandler> calls;
 };
 
 }  // namespace millstair::platform
--- a/test/platform/edge_calls_test.cc
+++ b/test/platform/ingress_request_handler_test.cc
@@ -1,9 +1,9 @@
 /// Calls of clients at a gateway whose control node and back end are scripted, in virtual time.
-#include "platform/edge_calls.h"
+#include "platform/ingress_request_handler.h"
 
 #include <catch2/catch.hpp>
 
-#include "test/platform/edge_fixture.h"
+#include "test/platform/ingress_handler_fixture.h"
 
 namespace millstair::platform {
 namespace {
@@ -12,7 +12,7 @@
 using std::chrono::seconds;
 
 TEST_CASE("A request runs for its key's tenant, and the key goes no further") {
-  EdgeFixture fixture;
+  IngressHandlerFixture fixture;
   fixture.Start();
   CHECK(fixture.Page("key-1") == 200);
   REQUIRE(fixture.backends.calls.size() == 1);
@@ -22,7 +22,7 @@
 }
 
 TEST_CASE("A node that goes while requests run leaves them behind in order") {
-  EdgeFixture fixture;
+  IngressHandlerFixture fixture;
   fixture.Start();
   fixture.backends.Serve("b:1", [](const HttpRequest&) {
     FakeAnswer silent;
@@ -37,22 +37,22 @@
 }
 
 TEST_CASE("Without a key that a tenant holds only public routes are served") {
-  EdgeFixture fixture;
+  IngressHandlerFixture fixture;
   fixture.Start();
   for (const char* key : {"", "key-9"}) {
     CHECK(fixture.Page(key) == 401);
-    CHECK(fixture.Ask("POST", "/j/x", key, "{}").status == 401);
-    CHECK(fixture.Ask("GET", "/v1/lots/a?since_rev=0", key).status == 401);
-    CHECK(fixture.Ask("GET", "/v1/items/a?id=b", key).status == 401);
-    CHECK(fixture.Ask("DELETE", "/v1/lots/a", key).status == 401);
-    CHECK(fixture.Ask("POST", "/open/x", key).status == 200);
-    CHECK(fixture.Ask("POST", "/nowhere/x", key).status == 404);
+    CHECK(fixture.Request("POST", "/j/x", key, "{}").status == 401);
+    CHECK(fixture.Request("GET", "/v1/lots/a?since_rev=0", key).status == 401);
+    CHECK(fixture.Request("GET", "/v1/items/a?id=b", key).status == 401);
+    CHECK(fixture.Request("DELETE", "/v1/lots/a", key).status == 401);
+    CHECK(fixture.Request("POST", "/open/x", key).status == 200);
+    CHECK(fixture.Request("POST", "/nowhere/x", key).status == 404);
   }
   CHECK(fixture.backends.calls.size() == 2);
 }
 
 TEST_CASE("A key that is taken away is refused once the configuration is there") {
-  EdgeFixture fixture;
+  IngressHandlerFixture fixture;
   fixture.Start();
   CHECK(fixture.Page("key-2") == 200);
   fixture.control.Replace(Document(2, R"("key-1")"));
@@ -62,30 +62,30 @@
 }
 
 TEST_CASE("A node that was handed an unproven configuration admits nobody by key") {
-  EdgeFixture fixture;
-  fixture.control.cut_off = true;
+  IngressHandlerFixture fixture;
+  fixture.control.isolated = true;
   fixture.Start();
   CHECK(fixture.Page("key-1") == 503);
   fixture.control.Push();
-  const Answer answer = fixture.Ask("POST", "/p/x", "key-1");
+  const Answer answer = fixture.Request("POST", "/p/x", "key-1");
   CHECK(answer.status == 503);
   CHECK(FindHeader(answer.headers, "Retry-After").has_value());
-  CHECK(fixture.Ask("POST", "/open/x", "").status == 200);
+  CHECK(fixture.Request("POST", "/open/x", "").status == 200);
   CHECK(fixture.backends.calls.size() == 1);
-  fixture.control.cut_off = false;
+  fixture.control.isolated = false;
   fixture.scheduler.RunFor(seconds(3));
   CHECK(fixture.Page("key-1") == 200);
 }
 
 TEST_CASE("A node out of touch serves known keys and refuses no unknown one for good") {
-  EdgeFixture fixture;
+  IngressHandlerFixture fixture;
   fixture.Start();
-  fixture.control.cut_off = true;
+  fixture.control.isolated = true;
   fixture.scheduler.RunFor(seconds(10));
   CHECK(fixture.Page("key-1") == 200);
   CHECK(fixture.Page("key-9") == 503);
   // A route may be newer than what it holds.
-  CHECK(fixture.Ask("POST", "/nowhere/x", "key-1").status == 503);
+  CHECK(fixture.Request("POST", "/nowhere/x", "key-1").status == 503);
 }
 
 }  // namespace
--- a/test/platform/standstill_test.cc
+++ b/test/platform/paused_gateway_test.cc
@@ -16,7 +16,7 @@
 #include <algorithm>
 #include <catch2/catch.hpp>
 
-#include "test/platform/edge_fixture.h"
+#include "test/platform/ingress_handler_fixture.h"
 
 namespace millstair::platform {
 namespace {
@@ -25,23 +25,23 @@
 using std::chrono::seconds;
 
 /// Longer than the lease of 4 s that the gateway has here.
-constexpr Duration kStandstill = seconds(5);
+constexpr Duration kPause = seconds(5);
 /// An answer that is put off for a proof comes within this time.
-constexpr Duration kSoon = milliseconds(300);
+constexpr Duration kMaxWait = milliseconds(300);
 
 constexpr char kBothKeys[] = R"("key-1","key-2")";
 
 /// A gateway before a server of "pages" at b:1 and one of "shop" at b:2.
-class Standstill : public EdgeFixture {
+class PausedGatewayFixture : public IngressHandlerFixture {
  public:
-  Standstill() {
+  PausedGatewayFixture() {
     Serve("b:2");
     control.SetInstances({LiveInstance("b:1", "pages"), LiveInstance("b:2", "shop")});
     Start();
   }
 
   /// Requests that were sent to back ends; questions for their health are none.
-  size_t Tries() const {
+  size_t Attempts() const {
     return static_cast<size_t>(
         std::count_if(backends.calls.begin(), backends.calls.end(),
                       [](const auto& call) { return call->request.method == "POST"; }));
@@ -49,52 +49,52 @@
 
   /// Stands still while `change` is made; the next thing that the node does is what its caller
   /// has it do.
-  void StandStill(const std::function<void()>& change) {
+  void PauseDuring(const std::function<void()>& change) {
     environment.Suspend();
     change();
-    scheduler.RunFor(kStandstill);
+    scheduler.RunFor(kPause);
     environment.Wake();
   }
 };
 
 TEST_CASE("A request that is read before a change goes by the change") {
-  Standstill gateway;
-  gateway.StandStill([&] { gateway.control.Replace(Document(7, kBothKeys, "shop")); });
+  PausedGatewayFixture gateway;
+  gateway.PauseDuring([&] { gateway.control.Replace(Document(7, kBothKeys, "shop")); });
   const auto answer = gateway.Send("POST", "/p/x", "key-1");
-  gateway.scheduler.RunFor(kSoon);
+  gateway.scheduler.RunFor(kMaxWait);
   CHECK(answer->status == 200);
   CHECK(gateway.backends.CountAt("b:1") == 0);
   CHECK(gateway.backends.CountAt("b:2") == 1);
 }
 
 TEST_CASE("A key that was taken away while its gateway stood still admits nobody") {
-  Standstill gateway;
-  gateway.StandStill([&] { gateway.control.Replace(Document(7, R"("key-1")")); });
+  PausedGatewayFixture gateway;
+  gateway.PauseDuring([&] { gateway.control.Replace(Document(7, R"("key-1")")); });
   const auto answer = gateway.Send("POST", "/p/x", "key-2");
-  gateway.scheduler.RunFor(kSoon);
+  gateway.scheduler.RunFor(kMaxWait);
   CHECK(answer->status == 401);
   CHECK(gateway.backends.calls.empty());
 }
 
 /// A document whose route gives a request more time than the gateway stands still.
-std::string PatientDocument() {
-  std::string patient = Document(7, kBothKeys);
+std::string LongTimeoutDocument() {
+  std::string document = Document(7, kBothKeys);
   const std::string limit = R"("timeout_ms":800)";
-  return patient.replace(patient.find(limit), limit.size(), R"("timeout_ms":20000)");
+  return document.replace(document.find(limit), limit.size(), R"("timeout_ms":20000)");
 }
 
-FakeAnswer Silence() {
+FakeAnswer NoResponse() {
   FakeAnswer none;
   none.kind = FakeAnswer::Kind::kNoResponse;
   return none;
 }
 
 TEST_CASE("A further try as a gateway wakes goes to no back end that left meanwhile") {
-  Standstill gateway;
+  PausedGatewayFixture gateway;
   for (const char* const address : {"b:1", "b:3"}) {
-    gateway.backends.Serve(address, [](const HttpRequest&) { return Silence(); });
+    gateway.backends.Serve(address, [](const HttpRequest&) { return NoResponse(); });
   }
-  gateway.control.Replace(PatientDocument());
+  gateway.control.Replace(LongTimeoutDocument());
   gateway.control.SetInstances({LiveInstance("b:1", "pages"), LiveInstance("b:3", "pages")});
   gateway.scheduler.RunFor(seconds(2));
   gateway.Send("POST", "/p/x", "key-1");
@@ -102,8 +102,8 @@
   REQUIRE(gateway.backends.calls.size() == 1);
   const std::string first = gateway.backends.calls[0]->address;
   const std::string other = first == "b:1" ? "b:3" : "b:1";
-  gateway.StandStill([&] { gateway.control.SetInstances({LiveInstance(first, "pages")}); });
-  gateway.scheduler.RunFor(kSoon);
+  gateway.PauseDuring([&] { gateway.control.SetInstances({LiveInstance(first, "pages")}); });
+  gateway.scheduler.RunFor(kMaxWait);
   CHECK(gateway.backends.CountAt(other) == 0);
 }
 
@@ -111,18 +111,18 @@
 /// due, and it turns out that the first reached nobody: both want to send, and wait for the same
 /// proof.
 TEST_CASE("Tries that waited for one proof keep to the attempts of their route") {
-  Standstill gateway;
+  PausedGatewayFixture gateway;
   FakeAnswer unreachable;
   unreachable.kind = FakeAnswer::Kind::kUnreachable;
-  unreachable.delay = milliseconds(20) + kStandstill + milliseconds(1);
+  unreachable.delay = milliseconds(20) + kPause + milliseconds(1);
   std::vector<BackendInstance> live;
   for (const char* const address : {"b:1", "b:3", "b:4"}) {
     live.push_back(LiveInstance(address, "pages"));
     gateway.backends.Serve(address, [&](const HttpRequest&) {
-      return gateway.backends.calls.size() == 1 ? unreachable : Silence();
+      return gateway.backends.calls.size() == 1 ? unreachable : NoResponse();
     });
   }
-  std::string document = PatientDocument();
+  std::string document = LongTimeoutDocument();
   const std::string attempts = R"("attempts":2)";
   gateway.control.Replace(
       document.replace(document.find(attempts), attempts.size(), R"("attempts":1)"));
@@ -131,16 +131,16 @@
   gateway.Send("POST", "/p/x", "key-1");
   gateway.scheduler.RunFor(milliseconds(20));
   REQUIRE(gateway.backends.calls.size() == 1);
-  gateway.StandStill([] {});
+  gateway.PauseDuring([] {});
   gateway.scheduler.RunFor(seconds(3));
-  CHECK(gateway.Tries() == 2);
+  CHECK(gateway.Attempts() == 2);
 }
 
 TEST_CASE("A gateway that wakes where no control node answers serves by what it holds, soon") {
-  Standstill gateway;
-  gateway.StandStill([&] { gateway.control.cut_off = true; });
+  PausedGatewayFixture gateway;
+  gateway.PauseDuring([&] { gateway.control.isolated = true; });
   const auto answer = gateway.Send("POST", "/p/x", "key-1");
-  gateway.scheduler.RunFor(kSoon);
+  gateway.scheduler.RunFor(kMaxWait);
   CHECK(answer->status == 200);
   // Once it has asked in vain it puts nothing off any more.
   const auto next = gateway.Send("POST", "/p/x", "key-1");
--- a/test/platform/reader_fuzz_test.cc
+++ b/test/platform/reader_fuzz_test.cc
@@ -14,7 +14,7 @@
 #include "platform/instance_codec.h"
 #include "platform/job_json.h"
 #include "platform/routing_codec.h"
-#include "platform/server_wire.h"
+#include "platform/server_protocol.h"
 #include "runtime/endpoint.h"
 
 namespace millstair::platform {
@@ -165,7 +165,7 @@
 
 TEST_CASE("Mutated reports of engines are refused or read") {
   Fuzz("report", [](const std::string& text) {
-    const auto report = ServerWire().ReadReport(text);
+    const auto report = ServerProtocol().ReadReport(text);
     if (!report.ok()) return;
     for (const NamedVersion& held : report->models) {
       Demand(!held.model.value().empty(), text);
@@ -174,7 +174,7 @@
 }
 
 TEST_CASE("Mutated events of streams are refused or read") {
-  Fuzz("event", [](const std::string& text) { (void)ServerWire().ReadEvent(text); });
+  Fuzz("event", [](const std::string& text) { (void)ServerProtocol().ReadEvent(text); });
 }
 
 TEST_CASE("Mutated batch jobs are refused, or have items that can be told apart") {
--- a/test/platform/answer_writer.h
+++ b/test/platform/recording_writer.h
@@ -17,9 +17,9 @@
 };
 
 /// Notes the answer; its caller stays and reads at once.
-class AnswerWriter : public ResponseWriter {
+class RecordingWriter : public ResponseWriter {
  public:
-  explicit AnswerWriter(std::shared_ptr<Answer> answer) : answer_(std::move(answer)) {}
+  explicit RecordingWriter(std::shared_ptr<Answer> answer) : answer_(std::move(answer)) {}
   void SendHead(HttpResponseHead head) override {
     answer_->status = head.status;
     answer_->headers = std::move(head.headers);
--- a/test/platform/server_lives_test.cc
+++ b/test/platform/server_incarnations_test.cc
@@ -11,25 +11,26 @@
 namespace {
 
 /// What a server says of itself.
-struct Beat {
-  uint64_t born = 0;
+struct Heartbeat {
+  uint64_t start_time = 0;
   uint64_t sequence = 1;
   std::string address = "10.0.0.1:80";
   std::string state = "ready";
   uint64_t version = 1;
 };
 
-std::string BodyOf(const Beat& beat) {
+std::string BodyOf(const Heartbeat& heartbeat) {
   return fmt::format(
       R"({{"service":"s","addr":"{}","zone":"z","version":"v1","slots":8,"state":"{}",
            "cold_left_ms":0,"models":[{{"name":"m","version":{}}}],"born":{},"seq":{}}})",
-      beat.address, beat.state, beat.version, beat.born, beat.sequence);
+      heartbeat.address, heartbeat.state, heartbeat.version, heartbeat.start_time,
+      heartbeat.sequence);
 }
 
 class Fixture {
  public:
-  void Say(const Beat& beat) {
-    const auto instance = ReadHeartbeat("i-1", BodyOf(beat));
+  void ApplyHeartbeat(const Heartbeat& heartbeat) {
+    const auto instance = ReadHeartbeat("i-1", BodyOf(heartbeat));
     REQUIRE(instance.ok());
     driver.Apply(UpdateInstance{*instance});
   }
@@ -48,8 +49,8 @@
 
 TEST_CASE("A server that returns under its name with its counts at the start is believed") {
   Fixture fixture;
-  fixture.Say({1000, 9, "10.0.0.1:80", "ready", 5});
-  fixture.Say({2000, 1, "10.0.0.2:80", "ready", 1});
+  fixture.ApplyHeartbeat({1000, 9, "10.0.0.1:80", "ready", 5});
+  fixture.ApplyHeartbeat({2000, 1, "10.0.0.2:80", "ready", 1});
   const auto live = fixture.Live();
   REQUIRE(live.size() == 1);
   CHECK(live[0].address == "10.0.0.2:80");
@@ -59,14 +60,14 @@
 
 TEST_CASE("A server that left is believed in its next life and its last words change nothing") {
   Fixture fixture;
-  fixture.Say({1000, 9, "10.0.0.1:80", "draining", 5});
+  fixture.ApplyHeartbeat({1000, 9, "10.0.0.1:80", "draining", 5});
   CHECK(fixture.Live().empty());
-  fixture.Say({2000, 1, "10.0.0.1:80", "ready", 1});
+  fixture.ApplyHeartbeat({2000, 1, "10.0.0.1:80", "ready", 1});
   CHECK(fixture.Live().size() == 1);
   // Held up on their way by a cut.
   for (uint64_t sequence = 10; sequence < 20; ++sequence) {
-    fixture.Say({1000, sequence, "10.0.0.1:80", "draining", 5});
-    fixture.Say({2000, sequence, "10.0.0.1:80", "ready", 1});
+    fixture.ApplyHeartbeat({1000, sequence, "10.0.0.1:80", "draining", 5});
+    fixture.ApplyHeartbeat({2000, sequence, "10.0.0.1:80", "ready", 1});
   }
   const auto live = fixture.Live();
   REQUIRE(live.size() == 1);
@@ -75,11 +76,11 @@
 
 TEST_CASE("A life whose clock was set back is believed once it is heard alone") {
   Fixture fixture;
-  fixture.Say({2000, 9, "10.0.0.1:80", "ready", 5});
-  fixture.Say({1000, 1, "10.0.0.1:80", "ready", 1});
+  fixture.ApplyHeartbeat({2000, 9, "10.0.0.1:80", "ready", 5});
+  fixture.ApplyHeartbeat({1000, 1, "10.0.0.1:80", "ready", 1});
   CHECK(fixture.Live()[0].models[0].version == WeightVersion(5));
-  fixture.Say({1000, 2, "10.0.0.1:80", "ready", 1});
-  fixture.Say({1000, 3, "10.0.0.1:80", "ready", 1});
+  fixture.ApplyHeartbeat({1000, 2, "10.0.0.1:80", "ready", 1});
+  fixture.ApplyHeartbeat({1000, 3, "10.0.0.1:80", "ready", 1});
   REQUIRE(fixture.Live().size() == 1);
   CHECK(fixture.Live()[0].models[0].version == WeightVersion(1));
 }
@@ -87,11 +88,11 @@
 TEST_CASE(
     "Late reports of an older life that come between those of the believed one change nothing") {
   Fixture fixture;
-  fixture.Say({2000, 1, "10.0.0.2:80", "ready", 5});
+  fixture.ApplyHeartbeat({2000, 1, "10.0.0.2:80", "ready", 5});
   for (uint64_t sequence = 2; sequence < 30; ++sequence) {
-    fixture.Say({1000, sequence, "10.0.0.1:80", "ready", 1});
-    fixture.Say({1000, sequence + 1, "10.0.0.1:80", "ready", 1});
-    fixture.Say({2000, sequence, "10.0.0.2:80", "ready", 5});
+    fixture.ApplyHeartbeat({1000, sequence, "10.0.0.1:80", "ready", 1});
+    fixture.ApplyHeartbeat({1000, sequence + 1, "10.0.0.1:80", "ready", 1});
+    fixture.ApplyHeartbeat({2000, sequence, "10.0.0.2:80", "ready", 5});
     REQUIRE(fixture.Live().size() == 1);
     CHECK(fixture.Live()[0].address == "10.0.0.2:80");
   }
@@ -99,13 +100,13 @@
 
 TEST_CASE("A life that was wrongly taken for over is believed again once it is heard alone") {
   Fixture fixture;
-  fixture.Say({2000, 1, "10.0.0.2:80", "ready", 5});
+  fixture.ApplyHeartbeat({2000, 1, "10.0.0.2:80", "ready", 5});
   for (uint64_t sequence = 7; sequence < 12; ++sequence) {
-    fixture.Say({1000, sequence, "10.0.0.1:80", "ready", 1});
+    fixture.ApplyHeartbeat({1000, sequence, "10.0.0.1:80", "ready", 1});
   }
   CHECK(fixture.Live()[0].address == "10.0.0.1:80");
   for (uint64_t sequence = 2; sequence < 6; ++sequence) {
-    fixture.Say({2000, sequence, "10.0.0.2:80", "ready", 5});
+    fixture.ApplyHeartbeat({2000, sequence, "10.0.0.2:80", "ready", 5});
   }
   REQUIRE(fixture.Live().size() == 1);
   CHECK(fixture.Live()[0].address == "10.0.0.2:80");
@@ -113,8 +114,8 @@
 
 TEST_CASE("A leaving ends the life that it names, or the believed one") {
   Fixture fixture;
-  fixture.Say({1000, 9});
-  fixture.Say({2000, 1});
+  fixture.ApplyHeartbeat({1000, 9});
+  fixture.ApplyHeartbeat({2000, 1});
   fixture.driver.Apply(UpdateInstance{*ReadDeregistration("i-1", R"({"born":1000})")});
   CHECK(fixture.Live().size() == 1);
   SECTION("it names the life") {
@@ -125,15 +126,15 @@
     fixture.driver.Apply(UpdateInstance{*ReadDeregistration("i-1", "")});
     CHECK(fixture.Live().empty());
   }
-  fixture.Say({2000, 2});
+  fixture.ApplyHeartbeat({2000, 2});
   CHECK(fixture.Live().empty());
-  fixture.Say({3000, 1});
+  fixture.ApplyHeartbeat({3000, 1});
   CHECK(fixture.Live().size() == 1);
 }
 
 TEST_CASE("A report under another service says nothing of the server that has the name") {
   Fixture fixture;
-  fixture.Say({1000, 1});
+  fixture.ApplyHeartbeat({1000, 1});
   auto other = *ReadHeartbeat("i-1", BodyOf({1000, 5, "10.0.0.9:80", "draining", 1}));
   other.service = ServiceName("elsewhere");
   fixture.driver.Apply(UpdateInstance{other});
@@ -143,25 +144,25 @@
 
 TEST_CASE("Lives survive a snapshot, and no two pairs of name and birth share an identifier") {
   Fixture fixture;
-  fixture.Say({2000, 9});
-  fixture.Say({1000, 1});
+  fixture.ApplyHeartbeat({2000, 9});
+  fixture.ApplyHeartbeat({1000, 1});
   ClusterStateMachine restored({}, {});
   REQUIRE(restored.Restore(LogIndex(9), fixture.driver.state.TakeSnapshot()).ok());
   CHECK(restored.configuration().instances == fixture.driver.state.configuration().instances);
   CHECK(MakeInstanceId(ServerName("a@1"), StartTime()) !=
         MakeInstanceId(ServerName("a"), StartTime(1)));
   for (const char* name : {"a", "a@1", "a@", "@", "a@b@3"}) {
-    for (const uint64_t born : {0UL, 1UL, 1700000000000UL}) {
-      const InstanceId life = MakeInstanceId(ServerName(name), StartTime(born));
-      CHECK(ServerNameOf(life) == ServerName(name));
-      CHECK(StartTimeOf(life) == StartTime(born));
+    for (const uint64_t start_time : {0UL, 1UL, 1700000000000UL}) {
+      const InstanceId instance = MakeInstanceId(ServerName(name), StartTime(start_time));
+      CHECK(ServerNameOf(instance) == ServerName(name));
+      CHECK(StartTimeOf(instance) == StartTime(start_time));
     }
   }
 }
 
 TEST_CASE("An entry by another writer names no server") {
-  const std::string whole = BodyOf({1000, 1, "10.0.0.1:80", "ready", 1});
-  REQUIRE(ReadHeartbeat("i-1", whole).ok());
+  const std::string complete = BodyOf({1000, 1, "10.0.0.1:80", "ready", 1});
+  REQUIRE(ReadHeartbeat("i-1", complete).ok());
   const std::vector<std::pair<std::string, std::string>> faults = {
       {R"("state":"ready")", R"("state":"paused")"},
       {R"("state":"ready")", R"("state":3)"},
@@ -175,7 +176,7 @@
       {R"("version":1}])", R"("version":-1}])"},
   };
   for (const auto& [part, fault] : faults) {
-    std::string body = whole;
+    std::string body = complete;
     const size_t at = body.find(part);
     REQUIRE(at != std::string::npos);
     body.replace(at, part.size(), fault);
--- a/test/platform/server_wire_test.cc
+++ b/test/platform/server_protocol_test.cc
@@ -1,4 +1,4 @@
-#include "platform/server_wire.h"
+#include "platform/server_protocol.h"
 
 #include <catch2/catch.hpp>
 
@@ -16,7 +16,7 @@
   request.time_left = std::chrono::milliseconds(321);
   request.instance = InstanceId("i-7");
   request.resume_after = 4;
-  const HttpRequest made = ServerWire().MakeRequest(request);
+  const HttpRequest made = ServerProtocol().MakeRequest(request);
   CHECK(made.method == "POST");
   CHECK(made.target == "/p/x?y=1");
   CHECK(made.body == "body");
@@ -31,9 +31,9 @@
 TEST_CASE("A server sees no caller's key, and the tenant that the system found alone") {
   BackendRequest request;
   request.http = {"GET", "/p/", {{"key", "secret"}, {"TENANT", "forged"}, {"X-Own", "1"}}, ""};
-  CHECK_FALSE(FindHeader(ServerWire().MakeRequest(request).headers, "Tenant").has_value());
+  CHECK_FALSE(FindHeader(ServerProtocol().MakeRequest(request).headers, "Tenant").has_value());
   request.tenant = TenantName("t1");
-  const HttpRequest made = ServerWire().MakeRequest(request);
+  const HttpRequest made = ServerProtocol().MakeRequest(request);
   CHECK_FALSE(FindHeader(made.headers, "Key").has_value());
   CHECK(FindHeader(made.headers, "Tenant") == "t1");
   CHECK(FindHeader(made.headers, "X-Own") == "1");
@@ -41,7 +41,7 @@
 }
 
 TEST_CASE("Only the server's own word says that a request did not run") {
-  const ServerWire wire;
+  const ServerProtocol wire;
   CHECK(wire.ReadAnswer({503, {{"Not-Run", "1"}}}, "id").not_run);
   CHECK(wire.ReadAnswer({421, {}}, "id").not_run);
   CHECK(wire.ReadAnswer({421, {}}, "id").wrong_instance);
@@ -50,7 +50,7 @@
 }
 
 TEST_CASE("An answer that names another request, or a success without a signature, is not taken") {
-  const ServerWire wire;
+  const ServerProtocol wire;
   CHECK(wire.ReadAnswer({200, {{"Request-Id", "id"}, {"Stamp", "s"}}}, "id").own);
   CHECK_FALSE(wire.ReadAnswer({200, {{"Request-Id", "other"}, {"Stamp", "s"}}}, "id").own);
   CHECK_FALSE(wire.ReadAnswer({200, {{"Request-Id", "id"}}}, "id").own);
@@ -58,7 +58,7 @@
 }
 
 TEST_CASE("Events of a stream are read with their versions") {
-  const ServerWire wire;
+  const ServerProtocol wire;
   const auto event = wire.ReadEvent("weight-versions: 7\nid: 3\ndata: some text");
   REQUIRE(event.ok());
   REQUIRE(event->has_value());
@@ -73,7 +73,7 @@
 }
 
 TEST_CASE("A report and an order of a server are read and written") {
-  const ServerWire wire;
+  const ServerProtocol wire;
   const auto report = wire.ReadReport(
       R"({"stage":"mixed","models":[{"name":"m","version":4,"adapters":[]}],"busy":true,"seq":2})");
   REQUIRE(report.ok());
--- a/test/platform/duty_wire_test.cc
+++ b/test/platform/usage_report_codec_test.cc
@@ -1,4 +1,4 @@
-#include "platform/duty_wire.h"
+#include "platform/usage_report_codec.h"
 
 #include <catch2/catch.hpp>
 
@@ -8,18 +8,18 @@
 TEST_CASE("A sum of usage names its window, its holder and the fence") {
   const UsageStatement statement{UsageWindow(353445120),
                                  {{TenantName("t1"), 412}, {TenantName("t2"), 7}}};
-  const HttpRequest made = DutyWire().MakeUsageCall(statement, {"machine-1", 12});
+  const HttpRequest made = UsageReportCodec().MakeUsageCall(statement, {"machine-1", 12});
   CHECK(made.method == "POST");
   CHECK(made.target == "/usage");
   CHECK(FindHeader(made.headers, "Holder") == "machine-1");
   CHECK(FindHeader(made.headers, "Fence") == "12");
   CHECK(made.body == R"({"window_id":353445120,"counts":{"t1":412,"t2":7}})");
-  CHECK(DutyWire().MakeUsageCall({UsageWindow(1), {}}, {"m", 1}).body ==
+  CHECK(UsageReportCodec().MakeUsageCall({UsageWindow(1), {}}, {"m", 1}).body ==
         R"({"window_id":1,"counts":{}})");
 }
 
 TEST_CASE("Only a 2xx says that a call was taken, and only a refusal that it was not") {
-  const DutyWire wire;
+  const UsageReportCodec wire;
   CHECK(wire.ReadAnswer(200) == UsageReportAnswer::kTaken);
   CHECK(wire.ReadAnswer(202) == UsageReportAnswer::kTaken);
   CHECK(wire.ReadAnswer(429) == UsageReportAnswer::kBusy);
--- a/test/server/command_line_test.cc
+++ b/test/server/command_line_test.cc
@@ -8,7 +8,7 @@
 TEST_CASE("Flags become overrides by settings key") {
   const CommandLine line = ParseCommandLine({"--settings", "f.yaml", "--peer-listen=127.0.0.1:1",
                                              "--timing-source-timeout", "2s", "--check"});
-  CHECK(line.fault.empty());
+  CHECK(line.error.empty());
   CHECK(line.mode == ServerMode::kCheck);
   CHECK(line.settings_file == "f.yaml");
   CHECK(line.overrides ==
@@ -16,13 +16,13 @@
 }
 
 TEST_CASE("What can't be read is a fault, never a guess") {
-  CHECK_FALSE(ParseCommandLine({"--peer-lis", "127.0.0.1:1"}).fault.empty());
-  CHECK_FALSE(ParseCommandLine({"--unknown"}).fault.empty());
-  CHECK_FALSE(ParseCommandLine({"--settings"}).fault.empty());
-  CHECK_FALSE(ParseCommandLine({"f.yaml"}).fault.empty());
-  CHECK_FALSE(ParseCommandLine({"--node", "a", "--node", "b"}).fault.empty());
-  CHECK_FALSE(ParseCommandLine({"--check", "--initialize"}).fault.empty());
-  CHECK(ParseCommandLine({}).fault.empty());
+  CHECK_FALSE(ParseCommandLine({"--peer-lis", "127.0.0.1:1"}).error.empty());
+  CHECK_FALSE(ParseCommandLine({"--unknown"}).error.empty());
+  CHECK_FALSE(ParseCommandLine({"--settings"}).error.empty());
+  CHECK_FALSE(ParseCommandLine({"f.yaml"}).error.empty());
+  CHECK_FALSE(ParseCommandLine({"--node", "a", "--node", "b"}).error.empty());
+  CHECK_FALSE(ParseCommandLine({"--check", "--initialize"}).error.empty());
+  CHECK(ParseCommandLine({}).error.empty());
 }
 
 TEST_CASE("The help names every key") {
--- a/test/server/front_test.cc
+++ b/test/server/frontend_test.cc
@@ -1,4 +1,4 @@
-#include "server/front.h"
+#include "server/frontend.h"
 
 #include <catch2/catch.hpp>
 
@@ -37,10 +37,10 @@
 };
 
 struct Fixture {
-  RecordingWriter& Ask(const std::string& target) {
-    Front front(targets, stats);
+  RecordingWriter& Request(const std::string& target) {
+    Frontend frontend(targets, stats);
     writer = std::make_shared<RecordingWriter>();
-    front.Handle({"GET", target, {}, ""}, writer);
+    frontend.Handle({"GET", target, {}, ""}, writer);
     return *writer;
   }
 
@@ -48,7 +48,7 @@
   NamedHandler gateway{"gateway"};
   NamedHandler operators{"operators"};
   bool ready = true;
-  FrontTargets targets{&gateway, &operators, [this] { return ready; }, [] {}};
+  FrontendTargets targets{&gateway, &operators, [this] { return ready; }, [] {}};
   std::shared_ptr<RecordingWriter> writer;
 };
 
@@ -58,34 +58,34 @@
        {"/v1/sessions", "/v1/resources", "/v1/resources/Pool/a", "/v1/apply", "/v1/status?x=1",
         "/v1/revisions/7/lagging", "/v1/watch?after=1", "/v1/replicas/c4"}) {
     INFO(path);
-    CHECK(fixture.Ask(path).body == "operators");
+    CHECK(fixture.Request(path).body == "operators");
   }
   for (const char* path : {"/", "/v1/completions", "/v1/resourcesful", "/v1/streams/s/samples",
                            "/gallery", "/v1/models/m/versions/1", "/livez/x"}) {
     INFO(path);
-    CHECK(fixture.Ask(path).body == "gateway");
+    CHECK(fixture.Request(path).body == "gateway");
   }
 }
 
 TEST_CASE("A node without a role leaves its requests to the other, or refuses them") {
   Fixture fixture;
   fixture.targets.gateway = nullptr;
-  CHECK(fixture.Ask("/anything").body == "operators");
+  CHECK(fixture.Request("/anything").body == "operators");
   fixture.targets.operators = nullptr;
-  const RecordingWriter& refused = fixture.Ask("/anything");
+  const RecordingWriter& refused = fixture.Request("/anything");
   CHECK(refused.head.status == 404);
   CHECK(FindHeader(refused.head.headers, kOutcomeHeader) == "not-run");
   fixture.targets.gateway = &fixture.gateway;
-  CHECK(fixture.Ask("/v1/apply").body == "gateway");
+  CHECK(fixture.Request("/v1/apply").body == "gateway");
 }
 
 TEST_CASE("The node answers for its own health") {
   Fixture fixture;
-  CHECK(fixture.Ask("/livez").head.status == 200);
-  CHECK(fixture.Ask("/readyz").head.status == 200);
+  CHECK(fixture.Request("/livez").head.status == 200);
+  CHECK(fixture.Request("/readyz").head.status == 200);
   fixture.ready = false;
-  CHECK(fixture.Ask("/livez").head.status == 200);
-  const RecordingWriter& unready = fixture.Ask("/readyz?verbose");
+  CHECK(fixture.Request("/livez").head.status == 200);
+  const RecordingWriter& unready = fixture.Request("/readyz?verbose");
   CHECK(unready.head.status == 503);
   CHECK(FindHeader(unready.head.headers, "Retry-After").has_value());
 }
@@ -93,12 +93,12 @@
 TEST_CASE("Answers are counted by status and outcome, and shown on the metrics page") {
   Fixture fixture;
   NamedHandler cutting("cutting");
-  fixture.Ask("/a");
-  fixture.Ask("/b");
+  fixture.Request("/a");
+  fixture.Request("/b");
   fixture.targets.gateway = &cutting;
-  CHECK(fixture.Ask("/c").aborted);
+  CHECK(fixture.Request("/c").aborted);
   fixture.stats.NewGauge({"millstair_test", "A gauge.", "group", "cluster"}).Set(2.5);
-  const std::string page = fixture.Ask("/metrics").body;
+  const std::string page = fixture.Request("/metrics").body;
   CHECK(page.find("# TYPE millstair_answers_total counter") != std::string::npos);
   CHECK(page.find("millstair_answers_total{status=\"200\"} 2") != std::string::npos);
   CHECK(page.find("millstair_outcomes_total{outcome=\"ran\"} 2") != std::string::npos);
--- a/test/server/host_check_test.cc
+++ b/test/server/host_check_test.cc
@@ -25,7 +25,7 @@
   return codes;
 }
 
-ServerSettings Sound(const TemporaryFolder& folder) {
+ServerSettings ValidSettings(const TemporaryFolder& folder) {
   ServerSettings settings;
   settings.peer_listen = "127.0.0.1:0";
   settings.http_listen = "127.0.0.1:0";
@@ -35,7 +35,7 @@
 
 TEST_CASE("A sound machine has no findings, and is left as it was") {
   const TemporaryFolder folder;
-  CHECK(CheckHost(Sound(folder)).empty());
+  CHECK(CheckHost(ValidSettings(folder)).empty());
   CHECK_FALSE(fs::exists(folder / "data"));
 }
 
@@ -43,7 +43,7 @@
   const TemporaryFolder folder;
   boost::asio::io_context io;
   boost::asio::ip::tcp::acceptor taken(io, {boost::asio::ip::address_v4::loopback(), 0});
-  ServerSettings settings = Sound(folder);
+  ServerSettings settings = ValidSettings(folder);
   settings.peer_listen = FormatEndpoint(taken.local_endpoint());
   settings.http_listen = "203.0.113.1:80";
   const auto findings = CheckHost(settings);
@@ -56,7 +56,7 @@
 
 TEST_CASE("A data folder in use, or that is none, is found") {
   const TemporaryFolder folder;
-  ServerSettings settings = Sound(folder);
+  ServerSettings settings = ValidSettings(folder);
   {
     const auto other = PosixFileSystem::Open(settings.data_folder, {});
     REQUIRE(other.ok());
@@ -73,7 +73,7 @@
 TEST_CASE("A data folder that can't be written is found") {
   // Root may write anywhere; /proc takes no folders from anybody.
   const TemporaryFolder folder;
-  ServerSettings settings = Sound(folder);
+  ServerSettings settings = ValidSettings(folder);
   settings.data_folder = "/proc/millstair-data";
   if (::geteuid() != 0) {
     settings.data_folder = folder / "read-only";
--- a/test/server/server_node_test.cc
+++ b/test/server/server_node_test.cc
@@ -50,8 +50,8 @@
 }
 
 /// Three control nodes and a gateway, in one process, over real sockets and files.
-struct Fleet {
-  Fleet() {
+struct TestCluster {
+  TestCluster() {
     for (int i = 1; i <= 3; ++i) {
       const std::string name = "c" + std::to_string(i);
       control_nodes.push_back({name, FreeAddress(), "z" + std::to_string(i)});
@@ -118,56 +118,56 @@
 };
 
 TEST_CASE("Three control nodes and a gateway become ready, and stop in order") {
-  Fleet fleet;
-  for (size_t i = 0; i < 3; ++i) fleet.StartControl(i);
-  fleet.StartGateway();
-  for (const auto& node : fleet.nodes) CHECK(WaitUntil([&] { return IsReady(*node); }));
+  TestCluster cluster;
+  for (size_t i = 0; i < 3; ++i) cluster.StartControl(i);
+  cluster.StartGateway();
+  for (const auto& node : cluster.nodes) CHECK(WaitUntil([&] { return IsReady(*node); }));
 
-  const std::string& control = fleet.nodes[0]->http_address();
+  const std::string& control = cluster.nodes[0]->http_address();
   CHECK(WaitUntil([&] { return Get(control, "/v1/status").find("\"g1\"") != std::string::npos; }));
-  const std::string& gateway = fleet.nodes[3]->http_address();
+  const std::string& gateway = cluster.nodes[3]->http_address();
   CHECK(Get(gateway, "/metrics").find("millstair_lease_valid 1") != std::string::npos);
   CHECK(Get(control, "/metrics").find("millstair_raft_applied_index{group=\"cluster\"}") !=
         std::string::npos);
 
   // The gateway first, then whichever control node leads, until one is left.
-  Fleet::StopInOrder(*fleet.nodes[3]);
+  TestCluster::StopInOrder(*cluster.nodes[3]);
   CHECK(Get(gateway, "/livez").empty());
-  Fleet::StopInOrder(*fleet.nodes[0]);
-  for (size_t i = 1; i < 3; ++i) CHECK(WaitUntil([&] { return IsReady(*fleet.nodes[i]); }));
-  Fleet::StopInOrder(*fleet.nodes[1]);
-  Fleet::StopInOrder(*fleet.nodes[2]);
+  TestCluster::StopInOrder(*cluster.nodes[0]);
+  for (size_t i = 1; i < 3; ++i) CHECK(WaitUntil([&] { return IsReady(*cluster.nodes[i]); }));
+  TestCluster::StopInOrder(*cluster.nodes[1]);
+  TestCluster::StopInOrder(*cluster.nodes[2]);
 }
 
 TEST_CASE("A stopping node says so at once, and still takes work while callers turn away") {
-  Fleet fleet;
-  fleet.stop_notice = std::chrono::minutes(10);
-  for (size_t i = 0; i < 3; ++i) fleet.StartControl(i);
-  for (const auto& node : fleet.nodes) CHECK(WaitUntil([&] { return IsReady(*node); }));
-  ServerNode& stopping = *fleet.nodes[0];
+  TestCluster cluster;
+  cluster.stop_notice = std::chrono::minutes(10);
+  for (size_t i = 0; i < 3; ++i) cluster.StartControl(i);
+  for (const auto& node : cluster.nodes) CHECK(WaitUntil([&] { return IsReady(*node); }));
+  ServerNode& stopping = *cluster.nodes[0];
   std::atomic<bool> ended{false};
   stopping.BeginStop([&ended] { ended = true; });
   CHECK(WaitUntil([&] { return !IsReady(stopping); }));
   CHECK(Get(stopping.http_address(), "/v1/status").starts_with("HTTP/1.1 200"));
   CHECK_FALSE(ended);
-  for (const auto& node : fleet.nodes) node->Close();
+  for (const auto& node : cluster.nodes) node->Close();
 }
 
 TEST_CASE("What keeps a node from starting has its own exit code") {
-  Fleet fleet;
-  fleet.StartControl(0);
+  TestCluster cluster;
+  cluster.StartControl(0);
   const auto start = [&](const ServerSettings& settings) {
-    StatsRegistry& stats = fleet.stats[1];
-    ServerNode node(fleet.runtime, stats, settings);
+    StatsRegistry& stats = cluster.stats[1];
+    ServerNode node(cluster.runtime, stats, settings);
     return node.Start().code;
   };
-  ServerSettings settings = fleet.ControlSettings(0);
+  ServerSettings settings = cluster.ControlSettings(0);
   CHECK(start(settings) == ExitCode::kFolderLocked);
-  settings.data_folder = fleet.folder / "other";
+  settings.data_folder = cluster.folder / "other";
   CHECK(start(settings) == ExitCode::kAddressTaken);
   settings.data_folder = "/proc/none";
   CHECK(start(settings) == ExitCode::kFolderUnusable);
-  Fleet::StopInOrder(*fleet.nodes[0]);
+  TestCluster::StopInOrder(*cluster.nodes[0]);
 }
 
 }  // namespace
