--- a/source/server/command_line.cc
+++ b/source/server/command_line.cc
@@ -15,15 +15,15 @@
   options::options_description description("Modes");
   description.add_options()("settings,s", options::value<std::string>()->value_name("FILE"),
                             "settings file (YAML)")(
-      "check", "list all findings in the settings, change nothing")(
-      "initialize", "write the identity of a founder into the data folder")(
+      "check", "report all problems in the settings without starting the node")(
+      "initialize", "write the identity of an initial member into the data folder")(
       "describe-settings", "print all settings keys as a Markdown table")(
       "version", "print the version")("help,h", "print this help");
   return description;
 }
 
 options::options_description SettingOptions() {
-  options::options_description description("Settings (each wins over the file)");
+  options::options_description description("Settings (each overrides the file)");
   for (const SettingKey& key : SettingKeys()) {
     const std::string text =
         fmt::format("{}; {}; default {}", key.meaning, KindText(key.kind), DefaultText(key));
@@ -46,7 +46,8 @@
   ServerMode mode = ServerMode::kRun;
   for (const ModeFlag& flag : kFlags) {
     if (values.count(flag.name) == 0) continue;
-    if (mode != ServerMode::kRun) *error = fmt::format("--{} goes with no other mode", flag.name);
+    if (mode != ServerMode::kRun)
+      *error = fmt::format("--{} can't be combined with another mode", flag.name);
     mode = flag.mode;
   }
   return mode;
@@ -61,7 +62,7 @@
   options::variables_map values;
   try {
     const options::positional_options_description none;
-    // Guessing would let an unfinished flag set something else.
+    // Abbreviated flags are rejected: a truncated flag could set another key.
     const int style =
         options::command_line_style::unix_style & ~options::command_line_style::allow_guessing;
     options::store(
--- a/source/server/command_line.h
+++ b/source/server/command_line.h
@@ -12,10 +12,10 @@
 
 struct CommandLine {
   ServerMode mode = ServerMode::kRun;
-  /// Empty if all comes by flags.
+  /// Empty if all settings are given by flags.
   std::string settings_file;
   SettingOverrides overrides;
-  /// What is wrong with the command line; empty if nothing is.
+  /// Error in the command line; empty if it is valid.
   std::string error;
 };
 
--- a/source/server/counting_writer.h
+++ b/source/server/counting_writer.h
@@ -1,4 +1,4 @@
-/// Counts the answers that pass through it, by status and by what they say of the outcome.
+/// Counts HTTP responses by status and by their Millstair-Outcome header.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,7 @@
 
 namespace millstair {
 
-/// Wraps a ResponseWriter; everything else is passed on.
+/// Decorates a ResponseWriter; all calls are forwarded to it.
 class CountingWriter : public ResponseWriter {
  public:
   CountingWriter(std::shared_ptr<ResponseWriter> next, StatsRegistry& stats)
--- a/source/server/frontend.h
+++ b/source/server/frontend.h
@@ -1,4 +1,4 @@
-/// Hands each request to the part of the node that it is meant for.
+/// Routes HTTP requests to the roles of a node, and serves health checks and metrics.
 #pragma once
 
 #include <functional>
@@ -11,22 +11,22 @@
 
 namespace millstair {
 
-/// Where a front sends requests; parts that the node does not have are null.
+/// Handlers that a frontend routes to; null for roles that the node does not have.
 struct FrontendTargets {
   RequestHandler* gateway = nullptr;
   RequestHandler* operators = nullptr;
-  /// True if the node takes work.
+  /// True if the node accepts work.
   std::function<bool()> ready;
-  /// Brings gauges up to date before the metrics page is made.
+  /// Updates gauges before the metrics page is rendered.
   std::function<void()> update_stats;
-  /// Path of the metrics page beside /metrics; empty is none.
+  /// Additional path of the metrics page besides /metrics; empty if none.
   std::string metrics_path;
 };
 
 /// True for the paths of the operators' API.
 bool IsOperatorsPath(std::string_view target);
 
-/// Lives on the serial executor. Answers /livez, /readyz and /metrics itself.
+/// Lives on the node's serial executor. Serves /livez, /readyz and /metrics itself.
 class Frontend : public RequestHandler {
  public:
   Frontend(FrontendTargets targets, StatsRegistry& stats)
@@ -35,6 +35,7 @@
   void Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) override;
 
  private:
+  /// Serves health checks and metrics. False if `path` is another one.
   bool HandleLocally(std::string_view path, ResponseWriter& writer);
 
   FrontendTargets targets_;
--- a/source/server/host_check.cc
+++ b/source/server/host_check.cc
@@ -20,7 +20,7 @@
 void CheckAddress(const std::string& key, const std::string& address,
                   std::vector<HostFinding>& findings) {
   const auto endpoint = ParseEndpoint(address);
-  if (!endpoint.ok()) return;  // a finding of the settings already
+  if (!endpoint.ok()) return;  // reported by ReadSettings
   boost::asio::io_context io;
   boost::asio::ip::tcp::acceptor acceptor(io);
   boost::system::error_code error;
@@ -34,7 +34,7 @@
        {{}, fmt::format("\"{}\": can't listen on {}: {}", key, address, error.message())}});
 }
 
-/// The folder itself, or the nearest one above it that exists.
+/// `path` itself, or its nearest ancestor that exists.
 fs::path NearestExisting(fs::path path) {
   std::error_code ignored;
   path = fs::absolute(path, ignored);
@@ -44,7 +44,8 @@
   return path;
 }
 
-/// Tries it, since rights alone say little to a superuser or on a read-only file system.
+/// Creates a temporary file, since permission bits are not conclusive for a superuser or on a
+/// read-only file system.
 bool CanCreateIn(const fs::path& folder) {
   std::string name = (folder / ".millstair-check-XXXXXX").string();
   const int descriptor = ::mkstemp(name.data());
@@ -64,7 +65,7 @@
     return add(ExitCode::kFolderUnusable, fmt::format("{} is not a folder", existing.string()));
   }
   if (!CanCreateIn(existing)) {
-    return add(ExitCode::kFolderUnusable, fmt::format("{} can't be written", existing.string()));
+    return add(ExitCode::kFolderUnusable, fmt::format("{} is not writable", existing.string()));
   }
   if (!fs::exists(folder, ignored)) return;
   const auto files = PosixFileSystem::Open(folder, {});
--- a/source/server/host_check.h
+++ b/source/server/host_check.h
@@ -1,5 +1,5 @@
-/// Tests whether this machine lets a node run with its settings: addresses free, data folder
-/// usable.
+/// Checks that a node can run on this machine with its settings: the listen addresses are free and
+/// the data folder is usable.
 #pragma once
 
 #include <vector>
@@ -15,7 +15,7 @@
   Finding finding;
 };
 
-/// All that stands in the way; empty if nothing does. Leaves the machine as it was.
+/// All problems found; empty if there are none. Leaves no files or sockets behind.
 std::vector<HostFinding> CheckHost(const ServerSettings& settings);
 
 }  // namespace millstair
--- a/source/server/main.cc
+++ b/source/server/main.cc
@@ -1,4 +1,4 @@
-/// millstaird: a node of millstair.
+/// Entry point of millstaird.
 #include <string>
 #include <vector>
 
--- a/source/server/metrics_page.cc
+++ b/source/server/metrics_page.cc
@@ -64,7 +64,7 @@
 }
 
 std::string MetricsPage(const StatsRegistry& stats) {
-  // Series of one name have to stand together.
+  // The text format requires all series of a metric to be adjacent.
   std::map<std::string, prometheus::MetricFamily> families;
   for (const StatSample& sample : stats.Read()) {
     prometheus::MetricFamily& family = families[sample.name.name];
--- a/source/server/metrics_page.h
+++ b/source/server/metrics_page.h
@@ -1,4 +1,4 @@
-/// The page /metrics in Prometheus' text format.
+/// The metrics page in the Prometheus text format.
 #pragma once
 
 #include <string>
@@ -9,9 +9,8 @@
 
 inline constexpr char kMetricsContentType[] = "text/plain; version=0.0.4; charset=utf-8";
 
-/// Sets gauges of the process: resident memory, processor time.
+/// Updates the process metrics: resident memory and CPU time.
 void UpdateProcessStats(StatsRegistry& stats);
-/// All stats as text.
 std::string MetricsPage(const StatsRegistry& stats);
 
 }  // namespace millstair
--- a/source/server/node_options.cc
+++ b/source/server/node_options.cc
@@ -28,8 +28,8 @@
   if (timing.leave_bound == Duration(0)) {
     return {timing.heartbeat, timing.lease, timing.source_timeout};
   }
-  // A node that hears nothing gives out no new work once its lease is over, so the lease has to end
-  // within the bound, with room for what is on its way. Four heartbeats fit into it.
+  // An isolated node assigns no new work after its lease has expired, so the lease has to expire
+  // within the bound, with a margin for messages in flight. It spans four heartbeats.
   ConfigurationTiming configuration;
   configuration.lease = timing.leave_bound * 7 / 10;
   configuration.heartbeat = configuration.lease / 4;
@@ -49,7 +49,7 @@
   return consensus;
 }
 
-/// Enough that a majority is left after the losses that are to be borne.
+/// Number of voters that keeps a majority after the tolerated losses.
 size_t VoterCount(const ServerSettings& settings) {
   return 2 * static_cast<size_t>(settings.tolerated_losses) + 1;
 }
--- a/source/server/node_options.h
+++ b/source/server/node_options.h
@@ -1,4 +1,4 @@
-/// Options of a node's parts, made from its settings.
+/// Derives the options of a node's components from its settings.
 #pragma once
 
 #include "cluster/control_node.h"
--- a/source/server/server_node.cc
+++ b/source/server/server_node.cc
@@ -17,11 +17,11 @@
 namespace {
 
 constexpr Duration kResponsePollInterval = std::chrono::milliseconds(20);
-/// Answers that are not sent this long after all work ended go with the process.
+/// How long a stopping node waits for its last responses to be sent.
 constexpr Duration kResponseDrainTimeout = std::chrono::seconds(10);
 
-/// Grows from one start to the next as long as the wall clock does, which is mostly; see
-/// Incarnation.
+/// Derived from the wall clock, so that it increases with each start unless the clock is set back;
+/// see Incarnation.
 Incarnation NewIncarnation() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return Incarnation(
@@ -130,7 +130,7 @@
       settings_.bootstrap == "true" &&
       std::find(founders.begin(), founders.end(), settings_.node) != founders.end();
   if (!is_initial_member) return;
-  // A folder that has an identity was founded before.
+  // Fails if the folder has an identity already, which is the case after the first start.
   const absl::Status written =
       InitializeFounder(*files_, settings_.cluster, NodeId(settings_.node), settings_.peer_address);
   if (written.ok()) LogEvent(EventId::kFounderInitialized, "node={}", settings_.node);
@@ -234,7 +234,7 @@
 }
 
 void ServerNode::Receive(const NodeId& from, const PeerMessage& message) {
-  // Each part takes the kinds that are its metrics_targets.
+  // Each role ignores message kinds of the others.
   if (control_ != nullptr) control_->Receive(from, message);
   if (gateway_ != nullptr) gateway_->Receive(from, message);
   if (ingress_ != nullptr) ingress_->Receive(from, message);
--- a/source/server/server_node.h
+++ b/source/server/server_node.h
@@ -1,4 +1,4 @@
-/// One node of millstair in this process: its storage, transport, roles and listeners.
+/// A node of the cluster: its storage, transport, roles and listeners.
 #pragma once
 
 #include <functional>
@@ -26,30 +26,30 @@
 
 namespace millstair {
 
-/// Why a node did not start.
+/// Why a node did not start; kOk if it did.
 struct StartError {
   ExitCode code = ExitCode::kOk;
   std::string message;
 };
 
-/// Everything but the constructor, Start, BeginStop and Close lives on the node's serial executor.
+/// Lives on the node's serial executor, except the constructor, Start, BeginStop and Close.
 class ServerNode : public PeerReceiver {
  public:
-  /// `stats` outlives `runtime`, and that the node.
+  /// `stats` outlives `runtime`, which outlives the node.
   ServerNode(Runtime& runtime, StatsRegistry& stats, ServerSettings settings);
   ~ServerNode() override;
 
-  /// Starts all parts and waits for it. A code other than kOk says what stood in the way.
+  /// Starts all components and blocks until they run.
   StartError Start();
-  /// Says at once that it is not ready, and still takes work for `timing.stop_notice`. Then
-  /// finishes what runs, hands over leaderships, and calls `done` on the executor.
+  /// Reports the node as not ready at once but accepts work for `timing.stop_notice`. Then drains
+  /// running work, transfers leaderships and calls `done` on the executor.
   void BeginStop(std::function<void()> done);
-  /// Ends all parts and waits for it.
+  /// Destroys all components and blocks until it is done.
   void Close();
 
   void Receive(const NodeId& from, const PeerMessage& message) override;
 
-  /// Where the listeners are, with the ports picked. Known once started.
+  /// Addresses of the listeners with their actual ports. Valid once started.
   const std::string& http_address() const { return http_->address(); }
   const std::string& peer_address() const { return transport_->address(); }
 
@@ -58,7 +58,7 @@
   StartError OpenFolder();
   StartError StartTransport();
   StartError StartControl();
-  /// Writes the identity of a founder on the first start of the whole cluster.
+  /// Writes the identity of an initial member on the first start of the cluster.
   void InitializeOnFirstStart();
   void StartGateway();
   StartError StartStorage();
@@ -71,13 +71,13 @@
 
   bool Ready() const;
   void UpdateStats();
-  /// The steps of a stop, one after another.
+  /// Steps of a stop, in order.
   void DrainGateway();
   void DrainControl();
   void DrainStorage();
-  /// Requests whose answers are not sent to their end.
+  /// Requests whose responses are not completely sent.
   size_t RunningRequests() const;
-  /// Waits until the last answers are sent.
+  /// Waits until the last responses are sent or `until` has passed.
   void WaitForResponses(TimePoint until);
 
   Runtime& runtime_;
--- a/source/server/server_process.cc
+++ b/source/server/server_process.cc
@@ -45,7 +45,7 @@
   return loaded;
 }
 
-/// Prints every finding; the code of the gravest kind.
+/// Prints every finding; returns the lowest of their exit codes.
 ExitCode Check(const LoadedSettings& loaded) {
   ExitCode code = ExitCode::kOk;
   const auto report = [&code](ExitCode kind, const Finding& finding) {
@@ -54,7 +54,7 @@
   };
   for (const Finding& finding : loaded.findings.items()) report(ExitCode::kSettings, finding);
   for (const HostFinding& found : CheckHost(loaded.settings)) report(found.code, found.finding);
-  if (code == ExitCode::kOk) fmt::print("the settings are sound\n");
+  if (code == ExitCode::kOk) fmt::print("the settings are valid\n");
   return code;
 }
 
@@ -66,7 +66,7 @@
   const auto& founders = settings.founders;
   if (!settings.control ||
       std::find(founders.begin(), founders.end(), settings.node) == founders.end()) {
-    return fail(ExitCode::kSettings, "only a founder has an identity to write");
+    return fail(ExitCode::kSettings, "only an initial member of the cluster can be initialized");
   }
   auto files = PosixFileSystem::Open(settings.data_folder, {});
   if (!files.ok()) {
@@ -91,7 +91,7 @@
   if (level == "error") SetEventThreshold(EventLevel::kError);
 }
 
-/// Each connection takes a descriptor; the usual soft limit is far too small for that.
+/// Each connection uses a file descriptor; the default soft limit is too low.
 void RaiseDescriptorLimit() {
   rlimit limit{};
   if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -99,7 +99,7 @@
   ::setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-/// Notes each SIGHUP: what changes while the process runs is learned from the cluster.
+/// Logs each SIGHUP. Nothing is reloaded: changes at run time come from the cluster.
 class ReloadSignals {
  public:
   ReloadSignals(boost::asio::io_context& io, std::string node)
@@ -120,7 +120,7 @@
   const std::string node_;
 };
 
-/// Waits for a stop signal; a second one ends the process at once.
+/// Waits for SIGTERM or SIGINT; a second signal ends the process at once.
 class StopSignals {
  public:
   explicit StopSignals(boost::asio::io_context& io) : signals_(io, SIGTERM, SIGINT) {}
--- a/source/server/server_process.h
+++ b/source/server/server_process.h
@@ -1,4 +1,4 @@
-/// The process millstaird: command line, settings, signals, one node.
+/// The millstaird process: command line, settings, signals and one node.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace millstair {
 
-/// Runs the program with `arguments` (without the program's name).
+/// `arguments` exclude the program name.
 ExitCode RunServer(const std::vector<std::string>& arguments);
 
 }  // namespace millstair
--- a/test/server/command_line_test.cc
+++ b/test/server/command_line_test.cc
@@ -15,7 +15,7 @@
         SettingOverrides{{"peer.listen", "127.0.0.1:1"}, {"timing.source_timeout", "2s"}});
 }
 
-TEST_CASE("What can't be read is a fault, never a guess") {
+TEST_CASE("Unknown, abbreviated and repeated flags are errors") {
   CHECK_FALSE(ParseCommandLine({"--peer-lis", "127.0.0.1:1"}).error.empty());
   CHECK_FALSE(ParseCommandLine({"--unknown"}).error.empty());
   CHECK_FALSE(ParseCommandLine({"--settings"}).error.empty());
@@ -25,7 +25,7 @@
   CHECK(ParseCommandLine({}).error.empty());
 }
 
-TEST_CASE("The help names every key") {
+TEST_CASE("The help lists settings keys as flags") {
   const std::string help = HelpText();
   CHECK(help.find("--limits-http-body") != std::string::npos);
   CHECK(help.find("--control-nodes") != std::string::npos);
--- a/test/server/frontend_test.cc
+++ b/test/server/frontend_test.cc
@@ -52,7 +52,7 @@
   std::shared_ptr<RecordingWriter> writer;
 };
 
-TEST_CASE("Operators' paths go to the control role, all else to the gateway") {
+TEST_CASE("Operators' paths are routed to the control role, all others to the gateway") {
   Fixture fixture;
   for (const char* path :
        {"/v1/sessions", "/v1/resources", "/v1/resources/Pool/a", "/v1/apply", "/v1/status?x=1",
@@ -67,7 +67,8 @@
   }
 }
 
-TEST_CASE("A node without a role leaves its requests to the other, or refuses them") {
+TEST_CASE(
+    "Requests for a missing role are routed to the other role, or rejected if there is none") {
   Fixture fixture;
   fixture.targets.gateway = nullptr;
   CHECK(fixture.Request("/anything").body == "operators");
@@ -79,7 +80,7 @@
   CHECK(fixture.Request("/v1/apply").body == "gateway");
 }
 
-TEST_CASE("The node answers for its own health") {
+TEST_CASE("Health checks report liveness and readiness") {
   Fixture fixture;
   CHECK(fixture.Request("/livez").head.status == 200);
   CHECK(fixture.Request("/readyz").head.status == 200);
@@ -90,7 +91,7 @@
   CHECK(FindHeader(unready.head.headers, "Retry-After").has_value());
 }
 
-TEST_CASE("Answers are counted by status and outcome, and shown on the metrics page") {
+TEST_CASE("Responses are counted by status and outcome on the metrics page") {
   Fixture fixture;
   NamedHandler cutting("cutting");
   fixture.Request("/a");
@@ -106,7 +107,7 @@
   CHECK(page.find("millstair_test{group=\"cluster\"} 2.5") != std::string::npos);
 }
 
-TEST_CASE("The process reports its own cost") {
+TEST_CASE("Process metrics report CPU time and memory") {
   StatsRegistry stats;
   UpdateProcessStats(stats);
   const std::string page = MetricsPage(stats);
--- a/test/server/host_check_test.cc
+++ b/test/server/host_check_test.cc
@@ -33,13 +33,13 @@
   return settings;
 }
 
-TEST_CASE("A sound machine has no findings, and is left as it was") {
+TEST_CASE("A suitable host has no findings, and no files are created") {
   const TemporaryFolder folder;
   CHECK(CheckHost(ValidSettings(folder)).empty());
   CHECK_FALSE(fs::exists(folder / "data"));
 }
 
-TEST_CASE("Taken and foreign addresses are found, all at once") {
+TEST_CASE("All addresses that are in use or not local are reported") {
   const TemporaryFolder folder;
   boost::asio::io_context io;
   boost::asio::ip::tcp::acceptor taken(io, {boost::asio::ip::address_v4::loopback(), 0});
@@ -54,7 +54,7 @@
   CHECK(findings[1].finding.message.find("\"http.listen\"") == 0);
 }
 
-TEST_CASE("A data folder in use, or that is none, is found") {
+TEST_CASE("A data folder that is locked or not a folder is reported") {
   const TemporaryFolder folder;
   ServerSettings settings = ValidSettings(folder);
   {
@@ -70,8 +70,8 @@
   CHECK(CodesOf(settings) == std::vector<ExitCode>{ExitCode::kFolderUnusable});
 }
 
-TEST_CASE("A data folder that can't be written is found") {
-  // Root may write anywhere; /proc takes no folders from anybody.
+TEST_CASE("A read-only data folder is reported") {
+  // Permission bits do not stop root, but nobody can create folders in /proc.
   const TemporaryFolder folder;
   ServerSettings settings = ValidSettings(folder);
   settings.data_folder = "/proc/millstair-data";
--- a/test/server/server_node_test.cc
+++ b/test/server/server_node_test.cc
@@ -19,14 +19,14 @@
 using testing::RawClient;
 using testing::TemporaryFolder;
 
-/// An address whose port was free a moment ago.
+/// A loopback address with a port that is currently free.
 std::string FreeAddress() {
   boost::asio::io_context io;
   boost::asio::ip::tcp::acceptor acceptor(io, {boost::asio::ip::address_v4::loopback(), 0});
   return FormatEndpoint(acceptor.local_endpoint());
 }
 
-/// Whole answer to a GET; empty if nobody listens.
+/// Complete response to a GET; empty if the connection fails.
 std::string Get(const std::string& address, const std::string& target) {
   try {
     RawClient client(address);
@@ -49,7 +49,7 @@
   return Get(node.http_address(), "/readyz").starts_with("HTTP/1.1 200");
 }
 
-/// Three control nodes and a gateway, in one process, over real sockets and files.
+/// Three control nodes and a gateway in one process, with real sockets and files.
 struct TestCluster {
   TestCluster() {
     for (int i = 1; i <= 3; ++i) {
@@ -117,7 +117,7 @@
   std::vector<std::unique_ptr<ServerNode>> nodes;
 };
 
-TEST_CASE("Three control nodes and a gateway become ready, and stop in order") {
+TEST_CASE("Three control nodes and a gateway become ready and stop gracefully") {
   TestCluster cluster;
   for (size_t i = 0; i < 3; ++i) cluster.StartControl(i);
   cluster.StartGateway();
@@ -130,7 +130,7 @@
   CHECK(Get(control, "/metrics").find("millstair_raft_applied_index{group=\"cluster\"}") !=
         std::string::npos);
 
-  // The gateway first, then whichever control node leads, until one is left.
+  // Stops the gateway first, then the control nodes one by one.
   TestCluster::StopInOrder(*cluster.nodes[3]);
   CHECK(Get(gateway, "/livez").empty());
   TestCluster::StopInOrder(*cluster.nodes[0]);
@@ -139,7 +139,7 @@
   TestCluster::StopInOrder(*cluster.nodes[2]);
 }
 
-TEST_CASE("A stopping node says so at once, and still takes work while callers turn away") {
+TEST_CASE("A stopping node reports not ready at once and accepts work during the stop notice") {
   TestCluster cluster;
   cluster.stop_notice = std::chrono::minutes(10);
   for (size_t i = 0; i < 3; ++i) cluster.StartControl(i);
@@ -153,7 +153,7 @@
   for (const auto& node : cluster.nodes) node->Close();
 }
 
-TEST_CASE("What keeps a node from starting has its own exit code") {
+TEST_CASE("Each cause of a failed start has its own exit code") {
   TestCluster cluster;
   cluster.StartControl(0);
   const auto start = [&](const ServerSettings& settings) {
--- a/test/server/temporary_folder.h
+++ b/test/server/temporary_folder.h
@@ -1,4 +1,4 @@
-/// A folder that goes with the object.
+/// A temporary folder that is removed by the destructor.
 #pragma once
 
 #include <stdlib.h>
--- a/test/server/unresponsive_control_nodes_test.cc
+++ b/test/server/unresponsive_control_nodes_test.cc
@@ -1,18 +1,6 @@
-/// What users saw: for seconds some gateways sent requests by routes that an acknowledged change
-/// had moved or dropped, and answered 404 for routes that it had added, while every control node of
-/// the majority answered operators.
-///
-/// Order of events, from the logs of 94 processes (scripts/soak, seeds 301 and 302): the control
-/// nodes of a gateway's zone fall unresponsive together (cut off, frozen or down). The gateway
-/// waits 0.7 to 1.1 s for each of them in turn. Then it asks one of another zone, and 0.4 s later
-/// leaves that one unheard and goes through its unresponsive zone a second time: its last look for
-/// its own zone is more than 30 s ago, so the next is due. 5.3 and 7.3 s without a proof were
-/// logged; a change accepted 1.7 s after the silence began was applied after 5.5 s, where 2.5 s are
-/// allowed.
-///
-/// Cause: the search was serial, one time-out for each unresponsive node, in the same order at
-/// every gateway of a zone; and the return to the own zone gave a node that answers up for one that
-/// may not.
+/// Regression test: a gateway must confirm its configuration within the propagation bound although
+/// the control nodes of its zone are unresponsive. It used to poll control nodes one after another,
+/// with a timeout for each, and to return to its own zone before a node there had replied.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -30,12 +18,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Time from an acknowledgement by which a change has to be in force, as deployments state it.
+/// Bound on the time from the acknowledgement of a change until all nodes apply it.
 constexpr Duration kMaxPropagationDelay = milliseconds(2500);
 constexpr int kControlNodes = 13;
 constexpr int kZones = 4;
 constexpr int kSeeds = 3;
-/// So long after its start a node's first return to its own zone was due.
+/// Long enough that the first poll of the own zone is due.
 constexpr Duration kUptime = seconds(40);
 constexpr Duration kStep = milliseconds(5);
 
@@ -43,8 +31,8 @@
 
 Zone ZoneOf(int number) { return Zone(fmt::format("z{}", number % kZones)); }
 
-/// Control nodes that answer heartbeats within 20 ms, those that are unresponsive never, and one
-/// node that was told three of them without their zones.
+/// Control nodes that reply to heartbeats after 20 ms unless they are unresponsive, and a gateway
+/// whose seeds are three of them without their zones.
 class UnresponsiveNodesFixture : public PeerTransport {
  public:
   explicit UnresponsiveNodesFixture(uint64_t seed) : environment_(scheduler, seed) {
@@ -81,7 +69,7 @@
     }
   }
 
-  /// The greatest age of the proof in the next `span`; forever if there was none.
+  /// Maximum confirmation age during the next `span`; Duration::max() if there was no confirmation.
   Duration MaxConfirmationAge(Duration span) {
     Duration oldest(0);
     for (Duration elapsed(0); elapsed < span; elapsed += kStep) {
@@ -117,7 +105,7 @@
   VirtualEnvironment environment_;
 };
 
-TEST_CASE("A node whose zone falls silent is proven fresh again before a change is overdue") {
+TEST_CASE("A node whose zone is unresponsive confirms its configuration within the bound") {
   const uint64_t seed = GENERATE(range(1, 41));
   UnresponsiveNodesFixture fixture(seed);
   fixture.scheduler.RunFor(kUptime);
@@ -128,7 +116,7 @@
   CHECK(fixture.MaxConfirmationAge(seconds(10)) < kMaxPropagationDelay);
 }
 
-TEST_CASE("Looking for its own zone again costs a node no proof") {
+TEST_CASE("Polling an unresponsive own zone does not delay confirmations") {
   const uint64_t seed = GENERATE(range(1, 11));
   UnresponsiveNodesFixture fixture(seed);
   fixture.scheduler.RunFor(kUptime);
@@ -136,7 +124,7 @@
   fixture.scheduler.RunFor(seconds(10));
   INFO("seed " << seed);
   CHECK(fixture.MaxConfirmationAge(seconds(120)) < milliseconds(1000));
-  // Once its zone answers again the node goes back to it.
+  // The node returns to its own zone once that replies again.
   fixture.unresponsive.clear();
   fixture.scheduler.RunFor(seconds(40));
   fixture.request_counts.clear();
