--- a/test/platform/control_request_handler_test.cc
+++ b/test/platform/control_request_handler_test.cc
@@ -66,13 +66,13 @@
   Fixture fixture;
   fixture.configuration.routing = {7, kDocument};
   ALLOW_CALL(fixture.control, configuration()).LR_RETURN(fixture.configuration);
-  SECTION("the newest is certain") {
+  SECTION("the read is confirmed") {
     REQUIRE_CALL(fixture.control, ConfirmRead(_)).SIDE_EFFECT(_1(absl::OkStatus()));
     const Answer answer = fixture.Request("GET", "/v1/Config.Get");
     CHECK(answer.status == 200);
     CHECK(answer.body == kDocument);
   }
-  SECTION("it is not") {
+  SECTION("the read is not confirmed") {
     REQUIRE_CALL(fixture.control, ConfirmRead(_))
         .SIDE_EFFECT(_1(absl::UnavailableError("no quorum")));
     const Answer answer = fixture.Request("GET", "/v1/Config.Get");
@@ -86,7 +86,7 @@
   }
 }
 
-TEST_CASE("A configuration is acknowledged once it is committed, and not before") {
+TEST_CASE("A configuration is acknowledged only after it is committed") {
   Fixture fixture;
   SECTION("committed") {
     REQUIRE_CALL(fixture.control, Submit(_, _))
@@ -95,12 +95,12 @@
         .SIDE_EFFECT(_2(ClusterResult()));
     CHECK(fixture.Request("POST", "/v1/Config.Replace", kDocument).status == 200);
   }
-  SECTION("other content under the version held") {
+  SECTION("other content under the current version") {
     REQUIRE_CALL(fixture.control, Submit(_, _))
         .SIDE_EFFECT(_2(Refused(ClusterResultCode::kConflict)));
     CHECK(fixture.Request("POST", "/v1/Config.Replace", kDocument).status == 409);
   }
-  SECTION("the outcome is not known") {
+  SECTION("the outcome is unknown") {
     REQUIRE_CALL(fixture.control, Submit(_, _)).SIDE_EFFECT(_2(absl::UnavailableError("?")));
     CHECK(fixture.Request("POST", "/v1/Config.Replace", kDocument).status == 503);
   }
@@ -111,7 +111,7 @@
   }
 }
 
-TEST_CASE("Evacuations of a zone are handed on, and answered by what came of them") {
+TEST_CASE("Zone evacuations are submitted, and their result is returned") {
   Fixture fixture;
   SECTION("started") {
     REQUIRE_CALL(fixture.control, EvacuateZone(_, _))
@@ -125,19 +125,19 @@
         .SIDE_EFFECT(_2(ClusterResult()));
     CHECK(fixture.Request("POST", "/v1/Evacuate.Stop/recife-a").status == 200);
   }
-  SECTION("of a zone that is not known") {
+  SECTION("of an unknown zone") {
     REQUIRE_CALL(fixture.control, EvacuateZone(_, _))
         .SIDE_EFFECT(_2(Refused(ClusterResultCode::kNotFound)));
     CHECK(fixture.Request("POST", "/v1/Evacuate.Start/nowhere").status == 404);
   }
-  SECTION("not obeyed by all") {
+  SECTION("not supported by all nodes") {
     REQUIRE_CALL(fixture.control, EvacuateZone(_, _))
         .SIDE_EFFECT(_2(absl::UnavailableError("a node is of another build")));
     CHECK(fixture.Request("POST", "/v1/Evacuate.Start/recife-a").status == 503);
   }
 }
 
-TEST_CASE("How long a server stays slow is read from its heartbeat") {
+TEST_CASE("The remaining cold time of a server is read from its heartbeat") {
   const std::string head =
       R"({"service":"pages","addr":"10.0.0.9:80","zone":"z","slots":2,"state":"ready","seq":1)";
   CHECK(ReadHeartbeat("i", head + "}")->cold_left == Duration(0));
@@ -146,11 +146,11 @@
   CHECK(ReadHeartbeat("i", head + R"(,"cold_left_ms":812.5})")->cold_left ==
         std::chrono::microseconds(812500));
   CHECK(ReadHeartbeat("i", head + R"(,"cold_left_ms":-5})")->cold_left == Duration(0));
-  // Another writer's.
+  // Wrong type.
   CHECK_FALSE(ReadHeartbeat("i", head + R"(,"cold_left_ms":"soon"})").ok());
 }
 
-TEST_CASE("A machine that is emptied is done only once all of its nodes are") {
+TEST_CASE("Emptying a machine is done only when all of its nodes are emptied") {
   Fixture fixture;
   NodeRecord storage;
   storage.node = NodeId("s");
@@ -171,7 +171,7 @@
   CHECK(fixture.Request("GET", "/v1/Retire.Get/other").status == 404);
 }
 
-TEST_CASE("To empty a machine is refused as the product refuses it") {
+TEST_CASE("The result of retiring a machine is returned as an HTTP status") {
   Fixture fixture;
   ALLOW_CALL(fixture.control, ConfirmRead(_)).SIDE_EFFECT(_1(absl::OkStatus()));
   const auto [code, status] = GENERATE(std::pair(ClusterResultCode::kNotFound, 404),
@@ -181,7 +181,7 @@
   CHECK(fixture.Request("POST", "/v1/Retire.Start/m", R"({"duration_s":10})").status == status);
 }
 
-TEST_CASE("Reports of servers become reports of back ends, faulty ones a refusal") {
+TEST_CASE("Valid reports of servers are submitted, invalid ones are rejected") {
   Fixture fixture;
   SECTION("a heartbeat") {
     REQUIRE_CALL(fixture.control, ReportInstance(_, _))
--- a/test/platform/ingress_handler_fixture.h
+++ b/test/platform/ingress_handler_fixture.h
@@ -1,4 +1,4 @@
-/// A gateway whose control node and back ends are scripted, in virtual time.
+/// A gateway with a fake control node and fake back ends, in virtual time.
 #pragma once
 
 #include <memory>
@@ -16,10 +16,10 @@
 
 namespace millstair::platform {
 
-/// A control node that answers heartbeats with a routing document, unless it is cut off.
+/// A control node that replies to heartbeats with a routing document, unless it is isolated.
 class FakeControlNode : public PeerTransport {
  public:
-  /// What it sends arrives in `node_environment`: it waits there while that is suspended.
+  /// Its messages are delivered in `node_environment`, and queue there while that is suspended.
   explicit FakeControlNode(VirtualEnvironment& node_environment)
       : node_environment_(node_environment) {}
 
@@ -33,7 +33,7 @@
       node->Receive(to, {MessageKind::kHeartbeatReply, EncodeHeartbeatReply(reply)});
     });
   }
-  /// A push proves nothing: it may come from a control node that is behind.
+  /// A push does not confirm the configuration: its sender may be behind.
   void Push() {
     node->Receive(NodeId("c1"),
                   {MessageKind::kConfigurationPush, EncodeConfigurationPush(EncodeDelta(Delta()))});
@@ -66,8 +66,8 @@
   VirtualEnvironment& node_environment_;
 };
 
-/// Routes /p/ to `service` for holders of a key, /open/ for everybody and /j/ for jobs; `keys` of
-/// the one tenant as JSON strings.
+/// Routes /p/ to `service` for callers with a key, /open/ for everyone and /j/ for jobs. `keys` are
+/// the keys of the only tenant as JSON strings.
 inline std::string Document(uint64_t version, const std::string& keys,
                             const std::string& service = "pages") {
   return fmt::format(
@@ -83,7 +83,7 @@
       version, keys, service);
 }
 
-/// A gateway "g1", its control node and a server of "pages" at b:1.
+/// Gateway "g1", its control node and a server of "pages" at b:1.
 class IngressHandlerFixture {
  public:
   IngressHandlerFixture() : control(environment) {
@@ -99,7 +99,7 @@
     calls = std::make_unique<IngressRequestHandler>(*node);
   }
 
-  /// A back end at `address` answers every request.
+  /// Makes the back end at `address` respond to every request.
   void Serve(const std::string& address) {
     backends.Serve(address, [](const HttpRequest& request) {
       const auto id = FindHeader(request.headers, "Request-Id");
@@ -115,7 +115,7 @@
     scheduler.RunFor(std::chrono::milliseconds(200));
   }
 
-  /// The node reads a request now; what it answers is noted as it comes.
+  /// Sends a request and returns its response, which is filled in as it arrives.
   std::shared_ptr<Answer> Send(const std::string& method, const std::string& target,
                                const std::string& key, const std::string& body = "") {
     HttpHeaders headers = {{"Host", "h"}, {"Request-Id", "id-1"}};
--- a/test/platform/ingress_request_handler_test.cc
+++ b/test/platform/ingress_request_handler_test.cc
@@ -1,4 +1,3 @@
-/// Calls of clients at a gateway whose control node and back end are scripted, in virtual time.
 #include "platform/ingress_request_handler.h"
 
 #include <catch2/catch.hpp>
@@ -11,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("A request runs for its key's tenant, and the key goes no further") {
+TEST_CASE("A request is forwarded with the tenant of its key and without the key") {
   IngressHandlerFixture fixture;
   fixture.Start();
   CHECK(fixture.Page("key-1") == 200);
@@ -21,7 +20,7 @@
   CHECK_FALSE(FindHeader(sent, "Key").has_value());
 }
 
-TEST_CASE("A node that goes while requests run leaves them behind in order") {
+TEST_CASE("Destroying a node cancels its running requests") {
   IngressHandlerFixture fixture;
   fixture.Start();
   fixture.backends.Serve("b:1", [](const HttpRequest&) {
@@ -36,7 +35,7 @@
   CHECK(fixture.backends.calls[0]->cancelled);
 }
 
-TEST_CASE("Without a key that a tenant holds only public routes are served") {
+TEST_CASE("Without a valid key only public routes are served") {
   IngressHandlerFixture fixture;
   fixture.Start();
   for (const char* key : {"", "key-9"}) {
@@ -51,7 +50,7 @@
   CHECK(fixture.backends.calls.size() == 2);
 }
 
-TEST_CASE("A key that is taken away is refused once the configuration is there") {
+TEST_CASE("A removed key is rejected once the configuration is applied") {
   IngressHandlerFixture fixture;
   fixture.Start();
   CHECK(fixture.Page("key-2") == 200);
@@ -61,7 +60,7 @@
   CHECK(fixture.Page("key-1") == 200);
 }
 
-TEST_CASE("A node that was handed an unproven configuration admits nobody by key") {
+TEST_CASE("A node with an unconfirmed configuration admits nobody by key") {
   IngressHandlerFixture fixture;
   fixture.control.isolated = true;
   fixture.Start();
@@ -77,14 +76,14 @@
   CHECK(fixture.Page("key-1") == 200);
 }
 
-TEST_CASE("A node out of touch serves known keys and refuses no unknown one for good") {
+TEST_CASE("An isolated node admits known keys and rejects unknown ones as retryable") {
   IngressHandlerFixture fixture;
   fixture.Start();
   fixture.control.isolated = true;
   fixture.scheduler.RunFor(seconds(10));
   CHECK(fixture.Page("key-1") == 200);
   CHECK(fixture.Page("key-9") == 503);
-  // A route may be newer than what it holds.
+  // The route may have been added since.
   CHECK(fixture.Request("POST", "/nowhere/x", "key-1").status == 503);
 }
 
--- a/test/platform/paused_gateway_test.cc
+++ b/test/platform/paused_gateway_test.cc
@@ -1,18 +1,6 @@
-/// What users saw: one request ran at a service that only a replaced configuration names, later
-/// than the bound after the change had been acknowledged. Eight other gateways served by the new
-/// one.
-///
-/// Order of events: a gateway stands still (its process is stopped, its machine does not run it)
-/// for longer than its lease. Meanwhile a change is acknowledged, and a request comes; both wait in
-/// its sockets, or the change is no longer pushed to it. As it wakes it reads the request first.
-///
-/// Cause: it knew by its clock that its configuration was unproven, and asked for no proof before
-/// it acted by it. Only a request without a route was put off.
-///
-/// Evidence, from the log of a real process that stood still for 8.7 s (scripts/soak, seed 422): it
-/// wakes at 19.995, refuses seven requests without a route in that millisecond, since the routes
-/// may be too old, and forwards one by version 121 with a proof of 8,738 ms. The proof of version
-/// 135 comes 14 ms after it woke; version 126 had moved the route.
+/// Regression test: a gateway that was paused for longer than its lease must not use its
+/// configuration before confirming it. It used to forward requests that it read before pending
+/// changes by routes that had been replaced.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -26,12 +14,12 @@
 
 /// Longer than the lease of 4 s that the gateway has here.
 constexpr Duration kPause = seconds(5);
-/// An answer that is put off for a proof comes within this time.
+/// Bound on the time of a response that waits for a confirmation.
 constexpr Duration kMaxWait = milliseconds(300);
 
 constexpr char kBothKeys[] = R"("key-1","key-2")";
 
-/// A gateway before a server of "pages" at b:1 and one of "shop" at b:2.
+/// A gateway with a server of "pages" at b:1 and one of "shop" at b:2.
 class PausedGatewayFixture : public IngressHandlerFixture {
  public:
   PausedGatewayFixture() {
@@ -40,7 +28,7 @@
     Start();
   }
 
-  /// Requests that were sent to back ends; questions for their health are none.
+  /// Requests sent to back ends, without health checks.
   size_t Attempts() const {
     return static_cast<size_t>(
         std::count_if(backends.calls.begin(), backends.calls.end(),
@@ -57,7 +45,7 @@
   }
 };
 
-TEST_CASE("A request that is read before a change goes by the change") {
+TEST_CASE("A request that is read before an acknowledged change follows the change") {
   PausedGatewayFixture gateway;
   gateway.PauseDuring([&] { gateway.control.Replace(Document(7, kBothKeys, "shop")); });
   const auto answer = gateway.Send("POST", "/p/x", "key-1");
@@ -67,7 +55,7 @@
   CHECK(gateway.backends.CountAt("b:2") == 1);
 }
 
-TEST_CASE("A key that was taken away while its gateway stood still admits nobody") {
+TEST_CASE("A key that was removed while the gateway was paused is rejected") {
   PausedGatewayFixture gateway;
   gateway.PauseDuring([&] { gateway.control.Replace(Document(7, R"("key-1")")); });
   const auto answer = gateway.Send("POST", "/p/x", "key-2");
@@ -76,7 +64,7 @@
   CHECK(gateway.backends.calls.empty());
 }
 
-/// A document whose route gives a request more time than the gateway stands still.
+/// A document whose route has a timeout longer than the pause.
 std::string LongTimeoutDocument() {
   std::string document = Document(7, kBothKeys);
   const std::string limit = R"("timeout_ms":800)";
@@ -89,7 +77,7 @@
   return none;
 }
 
-TEST_CASE("A further try as a gateway wakes goes to no back end that left meanwhile") {
+TEST_CASE("A retry after a pause is not sent to a back end that left meanwhile") {
   PausedGatewayFixture gateway;
   for (const char* const address : {"b:1", "b:3"}) {
     gateway.backends.Serve(address, [](const HttpRequest&) { return NoResponse(); });
@@ -107,10 +95,9 @@
   CHECK(gateway.backends.CountAt(other) == 0);
 }
 
-/// The route allows one back end for a request. As the gateway wakes, a try beside the first is
-/// due, and it turns out that the first reached nobody: both want to send, and wait for the same
-/// proof.
-TEST_CASE("Tries that waited for one proof keep to the attempts of their route") {
+/// With "attempts" 1: as the gateway wakes, a hedged attempt is due and the first attempt turns out
+/// to have failed to connect. Both wait for the same confirmation, but only one attempt may follow.
+TEST_CASE("Attempts that wait for the same confirmation respect the limit of their route") {
   PausedGatewayFixture gateway;
   FakeAnswer unreachable;
   unreachable.kind = FakeAnswer::Kind::kUnreachable;
@@ -136,13 +123,13 @@
   CHECK(gateway.Attempts() == 2);
 }
 
-TEST_CASE("A gateway that wakes where no control node answers serves by what it holds, soon") {
+TEST_CASE("A gateway that is isolated after a pause soon serves by its last configuration") {
   PausedGatewayFixture gateway;
   gateway.PauseDuring([&] { gateway.control.isolated = true; });
   const auto answer = gateway.Send("POST", "/p/x", "key-1");
   gateway.scheduler.RunFor(kMaxWait);
   CHECK(answer->status == 200);
-  // Once it has asked in vain it puts nothing off any more.
+  // After an unanswered poll requests are no longer delayed.
   const auto next = gateway.Send("POST", "/p/x", "key-1");
   gateway.scheduler.RunFor(milliseconds(20));
   CHECK(next->status == 200);
--- a/test/platform/reader_fuzz_test.cc
+++ b/test/platform/reader_fuzz_test.cc
@@ -1,6 +1,6 @@
-/// Seeded fuzzing of everything that reads what others say to the platform's interface: sound texts
-/// are mutated, and no reader may crash, hang, or take what breaks its own rules. Each run of the
-/// test does kExecutions for each reader; MILLSTAIR_FUZZ_EXECUTIONS sets another number.
+/// Seeded fuzzing of the parsers of the platform's interface: mutated valid inputs must not crash
+/// or hang a parser, or be accepted if they break its rules. MILLSTAIR_FUZZ_EXECUTIONS overrides
+/// kExecutions.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cstdlib>
@@ -20,7 +20,7 @@
 namespace millstair::platform {
 namespace {
 
-/// A fifth of a second on one core for all readers.
+/// Mutated inputs for each parser.
 constexpr size_t kExecutions = 20'000;
 
 size_t Executions() {
@@ -28,7 +28,7 @@
   return wanted == nullptr ? kExecutions : std::strtoull(wanted, nullptr, 10);
 }
 
-/// Sound texts of one kind, one in each file of the corpus.
+/// Valid inputs of one kind; each corpus file holds one.
 std::vector<std::string> CorpusOf(const std::string& kind) {
   std::vector<std::string> texts;
   const std::filesystem::path folder =
@@ -45,8 +45,7 @@
   return texts;
 }
 
-/// Changes a text here and there: bytes, pieces doubled, removed or taken from another text, and
-/// values that readers are known to stumble over.
+/// Mutates bytes, duplicates, removes or splices ranges, and inserts typical edge-case values.
 class Mutator {
  public:
   Mutator(uint64_t seed, std::vector<std::string> corpus)
@@ -113,7 +112,7 @@
   const std::vector<std::string> corpus_;
 };
 
-/// Gives `check` mutated texts of `kind`.
+/// Calls `check` with mutated inputs of `kind`.
 template <class Check>
 void Fuzz(const std::string& kind, Check check) {
   Mutator mutator(std::hash<std::string>()(kind), CorpusOf(kind));
@@ -122,14 +121,14 @@
   SUCCEED(kind);
 }
 
-/// Catch2's checks are slow; only what fails is told.
+/// Reports only failures to Catch2, whose assertions are slow.
 void Demand(bool holds, const std::string& text) {
   if (holds) return;
   INFO(text);
   CHECK(holds);
 }
 
-TEST_CASE("Mutated heartbeats are refused, or name a server that can be used") {
+TEST_CASE("Mutated heartbeats are rejected or describe a usable server") {
   Fuzz("heartbeat", [](const std::string& text) {
     const auto beat = ReadHeartbeat("i-1", text);
     if (!beat.ok()) return;
@@ -140,14 +139,14 @@
   });
 }
 
-TEST_CASE("Mutated leavings are refused, or end the server that is named") {
+TEST_CASE("Mutated deregistrations are rejected or apply to the named server") {
   Fuzz("deregistration", [](const std::string& text) {
     const auto leaving = ReadDeregistration("i-1", text);
     if (leaving.ok()) Demand(leaving->state == MemberState::kGone, text);
   });
 }
 
-TEST_CASE("Mutated routing documents are refused, or hold what they name") {
+TEST_CASE("Mutated routing documents are rejected or consistent") {
   Fuzz("routing", [](const std::string& text) {
     const auto table = RoutingCodec().Read(text);
     if (!table.ok()) return;
@@ -163,7 +162,7 @@
   });
 }
 
-TEST_CASE("Mutated reports of engines are refused or read") {
+TEST_CASE("Mutated engine reports are rejected or parsed") {
   Fuzz("report", [](const std::string& text) {
     const auto report = ServerProtocol().ReadReport(text);
     if (!report.ok()) return;
@@ -173,11 +172,11 @@
   });
 }
 
-TEST_CASE("Mutated events of streams are refused or read") {
+TEST_CASE("Mutated stream events are rejected or parsed") {
   Fuzz("event", [](const std::string& text) { (void)ServerProtocol().ReadEvent(text); });
 }
 
-TEST_CASE("Mutated batch jobs are refused, or have items that can be told apart") {
+TEST_CASE("Mutated batch jobs are rejected or have distinct items") {
   Fuzz("job", [](const std::string& text) {
     const auto job = ReadJob("j", "h", "/p", text);
     if (!job.ok()) return;
--- a/test/platform/recording_writer.h
+++ b/test/platform/recording_writer.h
@@ -1,4 +1,4 @@
-/// What a handler answers, noted for the tests of platform/.
+/// Records the response of a handler.
 #pragma once
 
 #include <memory>
@@ -16,7 +16,7 @@
   bool finished = false;
 };
 
-/// Notes the answer; its caller stays and reads at once.
+/// Records the response; its caller never disconnects and has no backpressure.
 class RecordingWriter : public ResponseWriter {
  public:
   explicit RecordingWriter(std::shared_ptr<Answer> answer) : answer_(std::move(answer)) {}
--- a/test/platform/routing_codec_test.cc
+++ b/test/platform/routing_codec_test.cc
@@ -33,7 +33,7 @@
 
 constexpr char kSafe[] = R"("kind":"safe","timeout_ms":800,"service":"pages")";
 
-TEST_CASE("A configuration of the platform becomes a route table") {
+TEST_CASE("A routing configuration is parsed into a route table") {
   const auto table = RoutingCodec().Read(Document(
       RouteWith(R"("kind":"safe","timeout_ms":800,"priority":2,
                    "split":[{"service":"pages","weight":90},{"service":"engines","weight":10}])") +
@@ -99,7 +99,7 @@
   CHECK(FindingsOf(WithTenants(R"({"t1":["k1"]})")) != "");
 }
 
-TEST_CASE("A configuration that is cut short is refused") {
+TEST_CASE("A truncated configuration is rejected") {
   const std::string whole = Document(RouteWith(kSafe));
   CHECK(FindingsOf(whole).empty());
   for (size_t size = 0; size < whole.size(); size += 7) {
@@ -107,7 +107,7 @@
   }
 }
 
-TEST_CASE("What makes a configuration invalid is named") {
+TEST_CASE("Errors name what makes a configuration invalid") {
   CHECK(FindingsOf(Document(RouteWith(R"("kind":"safe","timeout_ms":800,"service":"nobody")"))) !=
         "");
   CHECK(FindingsOf(Document(RouteWith(kSafe) + "," + RouteWith(kSafe))) != "");
@@ -117,7 +117,7 @@
   CHECK(FindingsOf(Document(RouteWith(R"("kind":"odd","timeout_ms":9,"service":"pages")"))) != "");
 }
 
-// A day of the bench (khosa-millstair, trouble-2 --seed 996026598232) had this acknowledged.
+// Regression test: such a configuration used to be accepted.
 TEST_CASE("A time limit of 0 is invalid on a route for batch jobs too") {
   CHECK(FindingsOf(Document(RouteWith(R"("kind":"rollout","service":"engines")"))).empty());
   CHECK(FindingsOf(Document(RouteWith(R"("kind":"rollout","timeout_ms":0,"service":"engines")"))) !=
--- a/test/platform/server_incarnations_test.cc
+++ b/test/platform/server_incarnations_test.cc
@@ -1,5 +1,4 @@
-/// Servers that start again under the name that they had, and entries that are no server's: from
-/// what is said on the wire to what the cluster believes.
+/// Restarted servers and invalid heartbeats, from the wire format to the state of the cluster.
 #include <catch2/catch.hpp>
 
 #include "cluster/backend_instance_id.h"
@@ -10,7 +9,7 @@
 namespace millstair::platform {
 namespace {
 
-/// What a server says of itself.
+/// Fields of a heartbeat.
 struct Heartbeat {
   uint64_t start_time = 0;
   uint64_t sequence = 1;
@@ -35,7 +34,7 @@
     driver.Apply(UpdateInstance{*instance});
   }
 
-  /// All that may get work.
+  /// Instances that may receive work.
   std::vector<BackendInstance> Live() const {
     std::vector<BackendInstance> live;
     for (const auto& [id, instance] : driver.state.configuration().instances) {
@@ -47,7 +46,7 @@
   StateMachineDriver driver;
 };
 
-TEST_CASE("A server that returns under its name with its counts at the start is believed") {
+TEST_CASE("A restarted server replaces its previous incarnation") {
   Fixture fixture;
   fixture.ApplyHeartbeat({1000, 9, "10.0.0.1:80", "ready", 5});
   fixture.ApplyHeartbeat({2000, 1, "10.0.0.2:80", "ready", 1});
@@ -58,13 +57,13 @@
   CHECK(live[0].sequence == 1);
 }
 
-TEST_CASE("A server that left is believed in its next life and its last words change nothing") {
+TEST_CASE("Late heartbeats of a previous incarnation do not affect a restarted server") {
   Fixture fixture;
   fixture.ApplyHeartbeat({1000, 9, "10.0.0.1:80", "draining", 5});
   CHECK(fixture.Live().empty());
   fixture.ApplyHeartbeat({2000, 1, "10.0.0.1:80", "ready", 1});
   CHECK(fixture.Live().size() == 1);
-  // Held up on their way by a cut.
+  // Delayed by a partition.
   for (uint64_t sequence = 10; sequence < 20; ++sequence) {
     fixture.ApplyHeartbeat({1000, sequence, "10.0.0.1:80", "draining", 5});
     fixture.ApplyHeartbeat({2000, sequence, "10.0.0.1:80", "ready", 1});
@@ -74,7 +73,7 @@
   CHECK(live[0].models == std::vector<NamedVersion>{{ModelName("m"), WeightVersion(1)}});
 }
 
-TEST_CASE("A life whose clock was set back is believed once it is heard alone") {
+TEST_CASE("An incarnation with an earlier start time is accepted once only it sends heartbeats") {
   Fixture fixture;
   fixture.ApplyHeartbeat({2000, 9, "10.0.0.1:80", "ready", 5});
   fixture.ApplyHeartbeat({1000, 1, "10.0.0.1:80", "ready", 1});
@@ -85,8 +84,7 @@
   CHECK(fixture.Live()[0].models[0].version == WeightVersion(1));
 }
 
-TEST_CASE(
-    "Late reports of an older life that come between those of the believed one change nothing") {
+TEST_CASE("Late heartbeats of an older incarnation between those of the active one are ignored") {
   Fixture fixture;
   fixture.ApplyHeartbeat({2000, 1, "10.0.0.2:80", "ready", 5});
   for (uint64_t sequence = 2; sequence < 30; ++sequence) {
@@ -98,7 +96,8 @@
   }
 }
 
-TEST_CASE("A life that was wrongly taken for over is believed again once it is heard alone") {
+TEST_CASE(
+    "An incarnation that was wrongly replaced is accepted again once only it sends heartbeats") {
   Fixture fixture;
   fixture.ApplyHeartbeat({2000, 1, "10.0.0.2:80", "ready", 5});
   for (uint64_t sequence = 7; sequence < 12; ++sequence) {
@@ -112,13 +111,13 @@
   CHECK(fixture.Live()[0].address == "10.0.0.2:80");
 }
 
-TEST_CASE("A leaving ends the life that it names, or the believed one") {
+TEST_CASE("A deregistration ends the incarnation that it names, or the active one") {
   Fixture fixture;
   fixture.ApplyHeartbeat({1000, 9});
   fixture.ApplyHeartbeat({2000, 1});
   fixture.driver.Apply(UpdateInstance{*ReadDeregistration("i-1", R"({"born":1000})")});
   CHECK(fixture.Live().size() == 1);
-  SECTION("it names the life") {
+  SECTION("it names the incarnation") {
     fixture.driver.Apply(UpdateInstance{*ReadDeregistration("i-1", R"({"born":2000})")});
     CHECK(fixture.Live().empty());
   }
@@ -132,7 +131,7 @@
   CHECK(fixture.Live().size() == 1);
 }
 
-TEST_CASE("A report under another service says nothing of the server that has the name") {
+TEST_CASE("A heartbeat under another service does not affect the server with the same name") {
   Fixture fixture;
   fixture.ApplyHeartbeat({1000, 1});
   auto other = *ReadHeartbeat("i-1", BodyOf({1000, 5, "10.0.0.9:80", "draining", 1}));
@@ -142,7 +141,7 @@
   CHECK(fixture.Live()[0].address == "10.0.0.1:80");
 }
 
-TEST_CASE("Lives survive a snapshot, and no two pairs of name and birth share an identifier") {
+TEST_CASE("Incarnations survive a snapshot, and instance ids are unique per name and start time") {
   Fixture fixture;
   fixture.ApplyHeartbeat({2000, 9});
   fixture.ApplyHeartbeat({1000, 1});
@@ -160,7 +159,7 @@
   }
 }
 
-TEST_CASE("An entry by another writer names no server") {
+TEST_CASE("A heartbeat with an invalid field is rejected") {
   const std::string complete = BodyOf({1000, 1, "10.0.0.1:80", "ready", 1});
   REQUIRE(ReadHeartbeat("i-1", complete).ok());
   const std::vector<std::pair<std::string, std::string>> faults = {
--- a/test/platform/server_protocol_test.cc
+++ b/test/platform/server_protocol_test.cc
@@ -8,7 +8,7 @@
 namespace millstair::platform {
 namespace {
 
-TEST_CASE("A request names its id, its time and the life of the server that is meant") {
+TEST_CASE("A request has its id, deadline and expected server instance") {
   BackendRequest request;
   request.http = {"POST", "/p/x?y=1", {{"X-Own", "1"}, {"deadline-ms", "9999"}}, "body"};
   request.host = "a.example";
@@ -28,7 +28,7 @@
   CHECK(FindHeader(made.headers, "Last-Event-Id") == "4");
 }
 
-TEST_CASE("A server sees no caller's key, and the tenant that the system found alone") {
+TEST_CASE("API keys are not forwarded, and the tenant header is set by the system only") {
   BackendRequest request;
   request.http = {"GET", "/p/", {{"key", "secret"}, {"TENANT", "forged"}, {"X-Own", "1"}}, ""};
   CHECK_FALSE(FindHeader(ServerProtocol().MakeRequest(request).headers, "Tenant").has_value());
@@ -40,7 +40,7 @@
   CHECK(made.headers.size() == 6);
 }
 
-TEST_CASE("Only the server's own word says that a request did not run") {
+TEST_CASE("Only a header of the server marks a request as not run") {
   const ServerProtocol wire;
   CHECK(wire.ReadAnswer({503, {{"Not-Run", "1"}}}, "id").not_run);
   CHECK(wire.ReadAnswer({421, {}}, "id").not_run);
@@ -49,7 +49,7 @@
   CHECK_FALSE(wire.ReadAnswer({500, {}}, "id").not_run);
 }
 
-TEST_CASE("An answer that names another request, or a success without a signature, is not taken") {
+TEST_CASE("A response to another request, or a success without a signature, is not accepted") {
   const ServerProtocol wire;
   CHECK(wire.ReadAnswer({200, {{"Request-Id", "id"}, {"Stamp", "s"}}}, "id").own);
   CHECK_FALSE(wire.ReadAnswer({200, {{"Request-Id", "other"}, {"Stamp", "s"}}}, "id").own);
@@ -57,7 +57,7 @@
   CHECK_FALSE(wire.ReadAnswer({200, {{"Stamp", "s"}}}, "id").own);
 }
 
-TEST_CASE("Events of a stream are read with their versions") {
+TEST_CASE("Stream events are parsed with their versions") {
   const ServerProtocol wire;
   const auto event = wire.ReadEvent("weight-versions: 7\nid: 3\ndata: some text");
   REQUIRE(event.ok());
@@ -72,7 +72,7 @@
   CHECK_FALSE(wire.ReadEvent("id: x\ndata: y").ok());
 }
 
-TEST_CASE("A report and an order of a server are read and written") {
+TEST_CASE("Server reports are parsed, and load orders are serialized") {
   const ServerProtocol wire;
   const auto report = wire.ReadReport(
       R"({"stage":"mixed","models":[{"name":"m","version":4,"adapters":[]}],"busy":true,"seq":2})");
@@ -94,7 +94,7 @@
   CHECK(wire.ReadLoadAnswer(502) == LoadAnswer::kUnknown);
 }
 
-TEST_CASE("A heartbeat of a server is read; a faulty one names the field") {
+TEST_CASE("A heartbeat is parsed; errors name the field") {
   const auto beat = ReadHeartbeat(
       "i-1", R"({"service":"s","addr":"10.0.0.9:80","zone":"z","version":"v1","slots":8,
                  "state":"draining","cold_left_ms":0,"models":[{"name":"m","version":3}],"seq":4})");
@@ -112,7 +112,7 @@
   CHECK_FALSE(ReadDeregistration("i-1", R"({"born":"7"})").ok());
 }
 
-TEST_CASE("A batch job is read whole, and its results are written") {
+TEST_CASE("A batch job is parsed completely, and its results are serialized") {
   const auto job = ReadJob("j", "h.example", "/p/x", R"({"step":7,"model":"m","min_version":6,
       "desired":2,"requests":[{"id":"a","path":"/p/1","headers":{"Model":"m"},"body":"q83v",
       "tokens":9,"group":"g","scorer":{"id":"s","host":"h","path":"/q","body":"3q2+7w=="}}]})");
--- a/test/platform/usage_report_codec_test.cc
+++ b/test/platform/usage_report_codec_test.cc
@@ -5,7 +5,7 @@
 namespace millstair::platform {
 namespace {
 
-TEST_CASE("A sum of usage names its window, its holder and the fence") {
+TEST_CASE("A usage report has its window, lease holder and fence") {
   const UsageStatement statement{UsageWindow(353445120),
                                  {{TenantName("t1"), 412}, {TenantName("t2"), 7}}};
   const HttpRequest made = UsageReportCodec().MakeUsageCall(statement, {"machine-1", 12});
@@ -18,7 +18,7 @@
         R"({"window_id":1,"counts":{}})");
 }
 
-TEST_CASE("Only a 2xx says that a call was taken, and only a refusal that it was not") {
+TEST_CASE("Only 2xx is an acceptance, and only client errors are rejections") {
   const UsageReportCodec wire;
   CHECK(wire.ReadAnswer(200) == UsageReportAnswer::kTaken);
   CHECK(wire.ReadAnswer(202) == UsageReportAnswer::kTaken);
