--- a/bench/demo/fault_script.cc
+++ b/bench/demo/fault_script.cc
@@ -95,7 +95,7 @@
     const std::string body = json::serialize(json::object{{"kind", kind}, {"name", name}});
     const BlockingReply reply =
         CallJson(run_, run_.fleet().link_control, "POST", "/fault", body, kHookTimeout);
-    done = done && reply.whole() && reply.status == kOk;
+    done = done && reply.complete() && reply.status == kOk;
   }
   return done;
 }
@@ -118,7 +118,7 @@
     run_.Sleep(std::chrono::milliseconds(kCrashMilliseconds));
     End(name);
   });
-  return reply.whole() && reply.status == kOk;
+  return reply.complete() && reply.status == kOk;
 }
 
 bool FaultScript::WatchDraining(const std::string& name) {
--- a/bench/demo/fleet_file.cc
+++ b/bench/demo/fleet_file.cc
@@ -53,7 +53,7 @@
   traffic.kind = TrafficKind(kind);
   fields.Text("host", traffic.host, Presence::kOptional, {});
   fields.Text("path", traffic.path, Presence::kRequired, {});
-  fields.Real("rate", traffic.rate, 0, kMaxRate);
+  fields.Double("rate", traffic.rate, 0, kMaxRate);
   return traffic;
 }
 
@@ -61,7 +61,7 @@
 std::vector<Item> ReadList(const std::string& file, YamlFields& parent, const std::string& key,
                            Item (*read)(YamlFields&), Findings& findings) {
   std::vector<Item> items;
-  const YAML::Node list = parent.Take(key, Presence::kRequired);
+  const YAML::Node list = parent.Consume(key, Presence::kRequired);
   if (!list.IsDefined()) return items;
   for (const YAML::Node& node : list) {
     YamlFields fields(file, node, key, findings);
@@ -84,11 +84,11 @@
   fields.Text("deployment", fleet.deployment, Presence::kRequired, CheckName);
   fields.Text("model", fleet.model, Presence::kRequired, CheckName);
   fields.Text("stream", fleet.stream, Presence::kRequired, CheckName);
-  fields.Whole("staleness_bound", fleet.staleness_bound, 0, kMaxCount);
-  fields.Whole("samples_per_step", fleet.samples_per_step, 1, kMaxCount);
-  fields.Whole("max_tokens", fleet.max_tokens, 1, kMaxCount);
+  fields.Unsigned("staleness_bound", fleet.staleness_bound, 0, kMaxCount);
+  fields.Unsigned("samples_per_step", fleet.samples_per_step, 1, kMaxCount);
+  fields.Unsigned("max_tokens", fleet.max_tokens, 1, kMaxCount);
   fields.Time("train_time", fleet.train_time, Duration(0), kMaxTrainTime);
-  fields.Real("completion_rate", fleet.completion_rate, 0, kMaxRate);
+  fields.Double("completion_rate", fleet.completion_rate, 0, kMaxRate);
   fields.Text("link_control", fleet.link_control, Presence::kRequired, CheckIpAndPort);
   fields.TextList("zones", fleet.zones, CheckName);
   fleet.nodes = ReadList<FleetNode>(file, fields, "nodes", ReadNode, findings);
--- a/bench/demo/node_probe.cc
+++ b/bench/demo/node_probe.cc
@@ -17,12 +17,12 @@
   const uint64_t life = run.LifeOf(node.name);
   const Duration at = run.clock().Now();
   const BlockingReply readiness = CallJson(run, node.address, "GET", "/readyz", "", kProbeTimeout);
-  const bool ready = readiness.whole() && readiness.status == kOk;
+  const bool ready = readiness.complete() && readiness.status == kOk;
   if (node.gateway) run.SetReady(node.name, ready);
   const BlockingReply page = CallJson(run, node.address, "GET", "/metrics", "", kProbeTimeout);
   const std::optional<double> revision =
       MetricValue(page.body, node.gateway ? kGatewayRevision : kControlRevision);
-  if (!page.whole() || !revision || life != run.LifeOf(node.name)) return;
+  if (!page.complete() || !revision || life != run.LifeOf(node.name)) return;
   run.Record([&](checks::History& history) {
     history.configurations.push_back({NodeId(node.name), Incarnation(life), at,
                                       Revision(static_cast<uint64_t>(*revision)),
--- a/bench/demo/operators.cc
+++ b/bench/demo/operators.cc
@@ -25,7 +25,7 @@
   std::rotate(options.servers.begin(),
               options.servers.begin() + static_cast<std::ptrdiff_t>(first % options.servers.size()),
               options.servers.end());
-  options.try_timeout = std::chrono::seconds(3);
+  options.attempt_timeout = std::chrono::seconds(3);
   options.timeout = std::chrono::seconds(15);
   return options;
 }
--- a/bench/demo/trainer.cc
+++ b/bench/demo/trainer.cc
@@ -100,7 +100,7 @@
   do {
     const BlockingReply reply =
         CallJson(run_, run_.PickGateway().address, "PUT", target, body, kPutTimeout);
-    if (reply.whole() && reply.status == kOk) {
+    if (reply.complete() && reply.status == kOk) {
       run_.Record([&](checks::History& history) {
         history.publishes[index].acknowledged = run_.clock().Now();
       });
@@ -141,7 +141,7 @@
   while (true) {
     const BlockingReply reply =
         CallJson(run_, run_.PickGateway().address, "PUT", target, body, kPutTimeout);
-    if (reply.whole() && reply.status == kOk) break;
+    if (reply.complete() && reply.status == kOk) break;
     if (run_.stopping()) {
       open_.push_back(open);
       return false;
@@ -190,7 +190,7 @@
   const BlockingReply reply =
       CallJson(run_, run_.PickGateway().address, "GET", target, "", kReadTimeout);
   read.answered = run_.clock().Now();
-  if (!reply.whole() || reply.status != kOk || !ParseRead(reply.body, read)) return false;
+  if (!reply.complete() || reply.status != kOk || !ParseRead(reply.body, read)) return false;
   run_.Record([&](checks::History& history) { history.reads.push_back(read); });
   TakeSamples(read);
   // Not moving the cursor on reads the same samples again.
--- a/bench/demo/truth_reader.cc
+++ b/bench/demo/truth_reader.cc
@@ -36,7 +36,7 @@
   const BlockingReply reply = CallJson(run, address, "GET", "/truth" + query, "", kTruthTimeout);
   json::error_code error;
   json::value page = json::parse(reply.body, error);
-  if (!reply.whole() || error || !page.is_object()) return std::nullopt;
+  if (!reply.complete() || error || !page.is_object()) return std::nullopt;
   return std::move(page.get_object());
 }
 
--- a/bench/load/live_call.cc
+++ b/bench/load/live_call.cc
@@ -52,7 +52,7 @@
 }
 
 CallEnd EndOf(const BlockingReply& reply) {
-  if (reply.whole()) {
+  if (reply.complete()) {
     return reply.status < kFirstErrorStatus ? CallEnd::kComplete : CallEnd::kRefused;
   }
   return *reply.failure == CallFailure::kCut ? CallEnd::kCut : CallEnd::kUnanswered;
--- a/source/ctl/apply_plan.cc
+++ b/source/ctl/apply_plan.cc
@@ -56,20 +56,20 @@
       return "create";
     case PlannedAction::kChange:
       return "change";
-    case PlannedAction::kKeep:
+    case PlannedAction::kUnchanged:
       break;
   }
   return "unchanged";
 }
 
-std::vector<PlannedChange> PlanApply(const std::vector<Resource>& wanted,
+std::vector<PlannedChange> PlanApply(const std::vector<Resource>& desired,
                                      const std::vector<Resource>& stored) {
   std::map<ResourceKey, const Resource*> by_key;
   for (const Resource& resource : stored) by_key[resource.key()] = &resource;
   std::vector<PlannedChange> plan;
-  for (const Resource& resource : wanted) {
+  for (const Resource& resource : desired) {
     PlannedChange change;
-    change.wanted = resource;
+    change.desired = resource;
     const auto found = by_key.find(resource.key());
     const Resource* current = found == by_key.end() ? nullptr : found->second;
     change.expected = current == nullptr ? Revision(0) : current->version;
@@ -89,8 +89,8 @@
 std::vector<ApplyItem> ItemsOf(const std::vector<PlannedChange>& plan) {
   std::vector<ApplyItem> items;
   for (const PlannedChange& change : plan) {
-    if (change.action == PlannedAction::kKeep) continue;
-    Resource resource = change.wanted;
+    if (change.action == PlannedAction::kUnchanged) continue;
+    Resource resource = change.desired;
     resource.version = Revision(0);
     items.push_back({std::move(resource), change.expected});
   }
--- a/source/ctl/blocking_client.cc
+++ b/source/ctl/blocking_client.cc
@@ -21,8 +21,8 @@
 namespace http = boost::beast::http;
 using Tcp = asio::ip::tcp;
 
-constexpr uint64_t kMaxBody = 1ULL << 30U;
-constexpr size_t kReadSize = 16 * 1024;
+constexpr uint64_t kMaxBodyBytes = 1ULL << 30U;
+constexpr size_t kReadChunkBytes = 16 * 1024;
 
 std::optional<Tcp::endpoint> Endpoint(const std::string& address) {
   const size_t colon = address.rfind(':');
@@ -64,16 +64,16 @@
       co_await stream_.async_connect(endpoint, asio::use_awaitable);
       reply_.failure = CallFailure::kUnknown;
       co_await http::async_write(stream_, request, asio::use_awaitable);
-      co_await ReadAnswer();
+      co_await ReadResponse();
     } catch (const boost::system::system_error& error) {
       reply_.reason = error.code().message();
     }
   }
 
  private:
-  asio::awaitable<void> ReadAnswer() {
+  asio::awaitable<void> ReadResponse() {
     http::response_parser<http::buffer_body> parser;
-    parser.body_limit(kMaxBody);
+    parser.body_limit(kMaxBodyBytes);
     co_await http::async_read_header(stream_, buffer_, parser, asio::use_awaitable);
     reply_.failure = CallFailure::kCut;
     reply_.status = parser.get().result_int();
@@ -83,20 +83,20 @@
     // An answer that ends with its connection can't be told from a cut one.
     const bool bounded = !parser.need_eof();
     while (!parser.is_done()) {
-      if (!co_await ReadPiece(parser)) co_return;
+      if (!co_await ReadChunk(parser)) co_return;
     }
     if (bounded) reply_.failure.reset();
     if (!bounded) reply_.reason = "the answer has no length";
   }
 
-  asio::awaitable<bool> ReadPiece(http::response_parser<http::buffer_body>& parser) {
-    parser.get().body().data = piece_.data();
-    parser.get().body().size = piece_.size();
+  asio::awaitable<bool> ReadChunk(http::response_parser<http::buffer_body>& parser) {
+    parser.get().body().data = chunk_.data();
+    parser.get().body().size = chunk_.size();
     boost::system::error_code error;
     co_await http::async_read_some(stream_, buffer_, parser,
                                    asio::redirect_error(asio::use_awaitable, error));
     if (error && error != http::error::need_buffer) throw boost::system::system_error(error);
-    const std::string_view bytes(piece_.data(), piece_.size() - parser.get().body().size);
+    const std::string_view bytes(chunk_.data(), chunk_.size() - parser.get().body().size);
     reply_.body += bytes;
     if (!on_body_ || bytes.empty() || on_body_(bytes)) co_return true;
     reply_.reason = "ended by the caller";
@@ -105,7 +105,7 @@
 
   beast::tcp_stream stream_;
   beast::flat_buffer buffer_;
-  std::array<char, kReadSize> piece_{};
+  std::array<char, kReadChunkBytes> chunk_{};
   BlockingReply& reply_;
   const BodyCallback& on_body_;
 };
--- a/source/ctl/blocking_client.h
+++ b/source/ctl/blocking_client.h
@@ -24,17 +24,17 @@
   HttpHeaders headers;
   std::string body;
 
-  bool whole() const { return !failure.has_value(); }
+  bool complete() const { return !failure.has_value(); }
 };
 
 /// Gets the body bytes as they arrive. Returning false ends the call; the connection is closed.
 using BodyCallback = std::function<bool(std::string_view bytes)>;
 
-/// What sends calls; tests put a fake in its place.
+/// What sends calls; tests put a fake in its location.
 class BlockingCaller {
  public:
   virtual ~BlockingCaller() = default;
-  /// Sends `request` to `address` ("ip:port") and waits for the whole answer, at most `timeout`.
+  /// Sends `request` to `address` ("ip:port") and waits for the complete answer, at most `timeout`.
   virtual BlockingReply Call(const std::string& address, const HttpRequest& request,
                              Duration timeout, const BodyCallback& on_body) = 0;
   BlockingReply Call(const std::string& address, const HttpRequest& request, Duration timeout) {
--- a/source/ctl/commands.cc
+++ b/source/ctl/commands.cc
@@ -14,7 +14,7 @@
 
 namespace json = boost::json;
 
-constexpr Duration kPollPause = std::chrono::milliseconds(200);
+constexpr Duration kPollInterval = std::chrono::milliseconds(200);
 constexpr Duration kWatchWait = std::chrono::seconds(3);
 
 void PrintStatusTables(CommandContext& context, const json::object& page) {
@@ -56,11 +56,11 @@
 
 ExitCode RunWait(CommandContext& context) {
   if (context.options.revision) {
-    return WaitInForce(context, Revision(*context.options.revision));
+    return WaitUntilApplied(context, Revision(*context.options.revision));
   }
   const absl::StatusOr<json::object> page = context.api.Status();
   if (!page.ok()) return ReportError(context, page.status());
-  return WaitInForce(context, RevisionOf(*page));
+  return WaitUntilApplied(context, RevisionOf(*page));
 }
 
 ExitCode RunWatch(CommandContext& context) {
@@ -170,7 +170,7 @@
   }
 }
 
-ExitCode WaitInForce(CommandContext& context, Revision revision) {
+ExitCode WaitUntilApplied(CommandContext& context, Revision revision) {
   std::vector<LaggingNode> lagging;
   do {
     const absl::StatusOr<std::vector<LaggingNode>> answer = context.api.Lagging(revision);
@@ -180,7 +180,7 @@
       fmt::print(context.out, "revision {} is in force on every node\n", revision);
       return ExitCode::kOk;
     }
-    context.sleep(kPollPause);
+    context.sleep(kPollInterval);
   } while (context.elapsed() < context.options.timeout);
   Table table({"NODE", "REVISION", "REASON"});
   for (const LaggingNode& node : lagging) {
--- a/source/ctl/commands.h
+++ b/source/ctl/commands.h
@@ -29,6 +29,6 @@
 ExitCode ReportError(CommandContext& context, const absl::Status& status);
 
 /// Waits until no node lacks `revision`, or the timeout has passed.
-ExitCode WaitInForce(CommandContext& context, Revision revision);
+ExitCode WaitUntilApplied(CommandContext& context, Revision revision);
 
 }  // namespace millstair
--- a/source/ctl/control_api.cc
+++ b/source/ctl/control_api.cc
@@ -20,8 +20,8 @@
 constexpr int kServerErrorStatus = 500;
 
 /// Whether another try, here or elsewhere, may get a final answer.
-bool WorthAnotherTry(const BlockingReply& reply) {
-  return !reply.whole() || reply.status >= kServerErrorStatus ||
+bool IsRetryable(const BlockingReply& reply) {
+  return !reply.complete() || reply.status >= kServerErrorStatus ||
          reply.status == kTooManyRequestsStatus || reply.status == kRequestTimeoutStatus;
 }
 
@@ -103,22 +103,22 @@
 
 absl::StatusOr<BlockingReply> ControlApi::Send(HttpRequest request) {
   if (options_.servers.empty()) return absl::UnavailableError("no control node is given");
-  const int rounds =
-      std::max<int>(1, static_cast<int>(options_.timeout / std::max(options_.pause, Duration(1))));
+  const int rounds = std::max<int>(
+      1, static_cast<int>(options_.timeout / std::max(options_.retry_delay, Duration(1))));
   const auto begin = std::chrono::steady_clock::now();
-  std::string last_fault;
+  std::string last_error;
   for (int round = 0; round < rounds; ++round) {
     for (size_t i = 0; i < options_.servers.size(); ++i) {
       const std::string& server = options_.servers[current_ % options_.servers.size()];
-      BlockingReply reply = caller_.Call(server, request, options_.try_timeout);
-      if (!WorthAnotherTry(reply)) return reply;
-      last_fault = fmt::format("{}: {}", server, reply.whole() ? DetailOf(reply) : reply.reason);
+      BlockingReply reply = caller_.Call(server, request, options_.attempt_timeout);
+      if (!IsRetryable(reply)) return reply;
+      last_error = fmt::format("{}: {}", server, reply.complete() ? DetailOf(reply) : reply.reason);
       ++current_;
     }
     if (std::chrono::steady_clock::now() - begin > options_.timeout) break;
-    sleep_(options_.pause);
+    sleep_(options_.retry_delay);
   }
-  return absl::UnavailableError(fmt::format("no control node answered; last {}", last_fault));
+  return absl::UnavailableError(fmt::format("no control node answered; last {}", last_error));
 }
 
 absl::Status ControlApi::OpenSession() {
--- a/source/ctl/control_api.h
+++ b/source/ctl/control_api.h
@@ -20,11 +20,11 @@
   /// Control nodes' HTTP addresses, "ip:port"; tried in turn.
   std::vector<std::string> servers;
   /// For one try.
-  Duration try_timeout = std::chrono::seconds(5);
+  Duration attempt_timeout = std::chrono::seconds(5);
   /// For a request with all its resends.
   Duration timeout = std::chrono::seconds(30);
   /// Pause after all servers were tried.
-  Duration pause = std::chrono::milliseconds(200);
+  Duration retry_delay = std::chrono::milliseconds(200);
 };
 
 /// A resource to write and the version it must replace; 0 demands absence.
@@ -49,7 +49,7 @@
 /// (nobody answered), FailedPrecondition (refused, did not run), Unknown (it may have run).
 class ControlApi {
  public:
-  /// `sleep` waits between rounds; tests put a fake in its place.
+  /// `sleep` waits between rounds; tests put a fake in its location.
   ControlApi(BlockingCaller& caller, ControlApiOptions options,
              std::function<void(Duration)> sleep);
 
--- a/source/ctl/resource_commands.cc
+++ b/source/ctl/resource_commands.cc
@@ -19,7 +19,7 @@
     ResourceKind::kMachine,      ResourceKind::kEngine, ResourceKind::kModel,
     ResourceKind::kAdapter,      ResourceKind::kPool,   ResourceKind::kStream,
     ResourceKind::kTrafficGroup, ResourceKind::kMatch};
-constexpr int kDrainTries = 5;
+constexpr int kMaxDrainAttempts = 5;
 
 ExitCode Usage(CommandContext& context, std::string_view message) {
   fmt::print(context.err, "{}\n", message);
@@ -35,7 +35,7 @@
   return false;
 }
 
-std::vector<Resource> BareResources(const std::vector<ParsedResource>& parsed) {
+std::vector<Resource> ResourcesOf(const std::vector<ParsedResource>& parsed) {
   std::vector<Resource> resources;
   resources.reserve(parsed.size());
   for (const ParsedResource& item : parsed) resources.push_back(item.resource);
@@ -56,13 +56,13 @@
                                                 const std::vector<ParsedResource>& parsed) {
   const absl::StatusOr<std::vector<Resource>> stored = ListAll(context.api);
   if (!stored.ok()) return stored.status();
-  return PlanApply(BareResources(parsed), *stored);
+  return PlanApply(ResourcesOf(parsed), *stored);
 }
 
 void PrintPlan(CommandContext& context, const std::vector<PlannedChange>& plan, Revision revision) {
   if (context.options.output == OutputFormat::kTable) {
     for (const PlannedChange& change : plan) {
-      fmt::print(context.out, "{}/{}: {}\n", KindName(change.wanted.kind()), change.wanted.name,
+      fmt::print(context.out, "{}/{}: {}\n", KindName(change.desired.kind()), change.desired.name,
                  PlannedActionName(change.action));
     }
     fmt::print(context.out, "revision {}\n", revision);
@@ -70,8 +70,8 @@
   }
   json::array changes;
   for (const PlannedChange& change : plan) {
-    changes.push_back(json::object{{"kind", std::string(KindName(change.wanted.kind()))},
-                                   {"name", change.wanted.name},
+    changes.push_back(json::object{{"kind", std::string(KindName(change.desired.kind()))},
+                                   {"name", change.desired.name},
                                    {"action", std::string(PlannedActionName(change.action))}});
   }
   const json::object page{{"revision", revision.value()}, {"changes", std::move(changes)}};
@@ -117,7 +117,7 @@
 }
 
 ExitCode FinishChange(CommandContext& context, Revision revision) {
-  return context.options.wait ? WaitInForce(context, revision) : ExitCode::kOk;
+  return context.options.wait ? WaitUntilApplied(context, revision) : ExitCode::kOk;
 }
 
 ExitCode DeleteOne(CommandContext& context, const ResourceKey& key) {
@@ -157,7 +157,7 @@
 /// Reads, changes and writes; again when someone else changed it in between.
 absl::StatusOr<ChangeResult> DrainOne(CommandContext& context, const ResourceKey& key, bool drain) {
   absl::StatusOr<ChangeResult> result;
-  for (int attempt = 0; attempt < kDrainTries; ++attempt) {
+  for (int attempt = 0; attempt < kMaxDrainAttempts; ++attempt) {
     absl::StatusOr<Resource> resource = context.api.Get(key);
     if (!resource.ok()) return resource.status();
     if (!SetDrain(*resource, drain)) {
@@ -246,9 +246,9 @@
   if (!plan.ok()) return ReportError(context, plan.status());
   bool different = false;
   for (const PlannedChange& change : *plan) {
-    if (change.action == PlannedAction::kKeep) continue;
+    if (change.action == PlannedAction::kUnchanged) continue;
     different = true;
-    fmt::print(context.out, "{}/{}: {}\n", KindName(change.wanted.kind()), change.wanted.name,
+    fmt::print(context.out, "{}/{}: {}\n", KindName(change.desired.kind()), change.desired.name,
                PlannedActionName(change.action));
     for (const std::string& line : change.differences) fmt::print(context.out, "  {}\n", line);
   }
--- a/source/resources/resource_codec.h
+++ b/source/resources/resource_codec.h
@@ -19,7 +19,7 @@
 /// A resource and where its document begins.
 struct ParsedResource {
   Resource resource;
-  Location place;
+  Location location;
 };
 
 /// Parses a stream of YAML documents. Every fault (unknown key, wrong unit, out of bounds, host
--- a/source/resources/resource_fields.h
+++ b/source/resources/resource_fields.h
@@ -1,7 +1,7 @@
 /// The fields of every kind of resource, stated once: name, form, bounds. Readers, writers and the
 /// check of docs/CONFIGURATION.md all visit this description.
 ///
-/// A visitor has Text, Flag, Whole, Real, Bytes, Time, TextList, Choice and OptionalSelector.
+/// A visitor has Text, Flag, Unsigned, Double, Bytes, Time, TextList, Choice and OptionalSelector.
 #pragma once
 
 #include <cstdint>
@@ -50,7 +50,7 @@
   visitor.Text("weight_store", spec.weight_store, TextForm::kIpAndPort, Presence::kRequired);
   visitor.Bytes("store_bytes_per_second", spec.store_bytes_per_second, 0, kMaxBytes);
   visitor.Bytes("version_bytes", spec.version_bytes, 0, kMaxBytes);
-  visitor.Real("live_capacity_floor", spec.live_capacity_floor, 0.0, 1.0);
+  visitor.Double("live_capacity_floor", spec.live_capacity_floor, 0.0, 1.0);
 }
 
 template <class Visitor>
@@ -63,16 +63,16 @@
 template <class Visitor>
 void VisitFields(Visitor& visitor, PoolSpec& spec) {
   visitor.Text("model", spec.model, TextForm::kName, Presence::kRequired);
-  visitor.Real("share", spec.share, 0.001, kMaxPoolShare);
-  visitor.Whole("max_in_flight", spec.max_in_flight, 1U, kMaxConcurrentLimit);
+  visitor.Double("share", spec.share, 0.001, kMaxPoolShare);
+  visitor.Unsigned("max_in_flight", spec.max_in_flight, 1U, kMaxConcurrentLimit);
 }
 
 template <class Visitor>
 void VisitFields(Visitor& visitor, StreamSpec& spec) {
   visitor.Text("pool", spec.pool, TextForm::kName, Presence::kRequired);
-  visitor.Whole("staleness_bound", spec.staleness_bound, uint64_t{0}, uint64_t{1'000'000});
-  visitor.Real("idle_time_weight", spec.idle_time_weight, 0.0, 1.0);
-  visitor.Whole("max_tokens", spec.max_tokens, 1U, kMaxTokensLimit);
+  visitor.Unsigned("staleness_bound", spec.staleness_bound, uint64_t{0}, uint64_t{1'000'000});
+  visitor.Double("idle_time_weight", spec.idle_time_weight, 0.0, 1.0);
+  visitor.Unsigned("max_tokens", spec.max_tokens, 1U, kMaxTokensLimit);
   visitor.Text("scorer", spec.scorer, TextForm::kOptionalIpAndPort, Presence::kOptional);
 }
 
@@ -82,9 +82,9 @@
   visitor.Text("path_prefix", spec.path_prefix, TextForm::kPathPrefix, Presence::kOptional);
   visitor.Text("model", spec.model, TextForm::kOptionalName, Presence::kOptional);
   visitor.Flag("repeatable", spec.repeatable);
-  visitor.Whole("priority", spec.priority, 1U, 3U);
-  visitor.Whole("max_concurrent", spec.max_concurrent, 1U, kMaxConcurrentLimit);
-  visitor.Whole("max_queued", spec.max_queued, 0U, kMaxConcurrentLimit);
+  visitor.Unsigned("priority", spec.priority, 1U, 3U);
+  visitor.Unsigned("max_concurrent", spec.max_concurrent, 1U, kMaxConcurrentLimit);
+  visitor.Unsigned("max_queued", spec.max_queued, 0U, kMaxConcurrentLimit);
   visitor.Time("deadline", spec.deadline, std::chrono::milliseconds(1), kMaxDeadline);
   visitor.Flag("serve_when_isolated", spec.serve_when_isolated);
   visitor.Time("hedge_after", spec.hedge_after, Duration{0}, kMaxDeadline);
--- a/source/resources/resource_reader.cc
+++ b/source/resources/resource_reader.cc
@@ -68,15 +68,16 @@
   fields.Finish();
   const std::optional<SelectorOperator> parsed = ParseSelectorOperator(op);
   if (!parsed) {
-    fields.Fault(node, fmt::format("operator '{}' is none of In, NotIn, Exists, DoesNotExist", op));
+    fields.AddFinding(node,
+                      fmt::format("operator '{}' is none of In, NotIn, Exists, DoesNotExist", op));
     return requirement;
   }
   requirement.op = *parsed;
   const bool takes_values = *parsed == SelectorOperator::kIn || *parsed == SelectorOperator::kNotIn;
   if (takes_values && requirement.values.empty()) {
-    fields.Fault(node, fmt::format("operator {} needs values", op));
+    fields.AddFinding(node, fmt::format("operator {} needs values", op));
   } else if (!takes_values && !requirement.values.empty()) {
-    fields.Fault(node, fmt::format("operator {} takes no values", op));
+    fields.AddFinding(node, fmt::format("operator {} takes no values", op));
   }
   return requirement;
 }
@@ -86,9 +87,9 @@
   Selector selector;
   YamlFields fields(file, node, what, findings);
   fields.TextMap("match_labels", selector.match_labels, CheckLabelKey, CheckLabelValue);
-  const YAML::Node expressions = fields.Take("match_expressions");
+  const YAML::Node expressions = fields.Consume("match_expressions");
   if (expressions.IsDefined() && !expressions.IsSequence()) {
-    fields.Fault(expressions, "'match_expressions' must be a list");
+    fields.AddFinding(expressions, "'match_expressions' must be a list");
   } else if (expressions.IsDefined()) {
     for (const YAML::Node& item : expressions) {
       selector.match_expressions.push_back(ReadRequirement(file, item, findings));
@@ -116,11 +117,11 @@
   }
   void Flag(const char* key, bool& value) { fields_.Flag(key, value); }
   template <class Number>
-  void Whole(const char* key, Number& value, Number min, Number max) {
-    fields_.Whole(key, value, min, max);
+  void Unsigned(const char* key, Number& value, Number min, Number max) {
+    fields_.Unsigned(key, value, min, max);
   }
-  void Real(const char* key, double& value, double min, double max) {
-    fields_.Real(key, value, min, max);
+  void Double(const char* key, double& value, double min, double max) {
+    fields_.Double(key, value, min, max);
   }
   void Bytes(const char* key, uint64_t& value, uint64_t min, uint64_t max) {
     fields_.Bytes(key, value, min, max);
@@ -141,7 +142,7 @@
     value = ParseEngineType(text).value_or(value);
   }
   void OptionalSelector(const char* key, std::optional<Selector>& value) {
-    const YAML::Node node = fields_.Take(key);
+    const YAML::Node node = fields_.Consume(key);
     if (node.IsDefined()) value = ReadSelector(file_, node, fmt::format("'{}'", key), findings_);
   }
   void Finish() { fields_.Finish(); }
@@ -156,7 +157,7 @@
 std::optional<Resource> ReadResource(const std::string& file, const YAML::Node& node,
                                      Findings& findings) {
   if (!node.IsMap()) {
-    findings.Add(PlaceOf(file, node), "a resource must be a mapping with kind, name and spec");
+    findings.Add(LocationOf(file, node), "a resource must be a mapping with kind, name and spec");
     return std::nullopt;
   }
   Resource resource;
@@ -167,9 +168,9 @@
   fields.Text("name", resource.name, Presence::kRequired, CheckName);
   fields.TextMap("labels", resource.labels, CheckLabelKey, CheckLabelValue);
   uint64_t version = 0;
-  fields.Whole("version", version, 0, std::numeric_limits<uint64_t>::max());
+  fields.Unsigned("version", version, 0, std::numeric_limits<uint64_t>::max());
   resource.version = Revision(version);
-  const YAML::Node spec = fields.Take("spec", Presence::kRequired);
+  const YAML::Node spec = fields.Consume("spec", Presence::kRequired);
   fields.Finish();
   const absl::StatusOr<ResourceKind> kind = ParseKind(kind_text);
   if (!kind.ok()) return std::nullopt;
@@ -184,9 +185,9 @@
 void ReportDuplicates(const std::vector<ParsedResource>& resources, Findings& findings) {
   std::map<ResourceKey, Location> first;
   for (const ParsedResource& parsed : resources) {
-    const auto [entry, added] = first.try_emplace(parsed.resource.key(), parsed.place);
+    const auto [entry, added] = first.try_emplace(parsed.resource.key(), parsed.location);
     if (added) continue;
-    findings.Add(parsed.place,
+    findings.Add(parsed.location,
                  fmt::format("{} '{}' stands twice, first at {}", KindName(parsed.resource.kind()),
                              parsed.resource.name, entry->second.ToString()));
   }
@@ -211,7 +212,7 @@
   for (const YAML::Node& document : LoadYamlDocuments(file, text, found)) {
     if (document.IsNull()) continue;
     std::optional<Resource> resource = ReadResource(file, document, found);
-    if (resource) resources.push_back({*std::move(resource), PlaceOf(file, document)});
+    if (resource) resources.push_back({*std::move(resource), LocationOf(file, document)});
   }
   ReportDuplicates(resources, found);
   AppendInOrder(found, findings);
--- a/source/resources/resource_references.cc
+++ b/source/resources/resource_references.cc
@@ -29,8 +29,8 @@
   }
 
   void Warn(const ParsedResource& from, const std::string& message) {
-    warnings_.Add(from.place, fmt::format("{} '{}' {}", KindName(from.resource.kind()),
-                                          from.resource.name, message));
+    warnings_.Add(from.location, fmt::format("{} '{}' {}", KindName(from.resource.kind()),
+                                             from.resource.name, message));
   }
 
   void Check(const ParsedResource&, const MachineSpec&) {}
@@ -95,9 +95,9 @@
 void CheckDuplicates(const std::vector<ParsedResource>& resources, Findings& findings) {
   std::map<ResourceKey, Location> first;
   for (const ParsedResource& parsed : resources) {
-    const auto [entry, added] = first.try_emplace(parsed.resource.key(), parsed.place);
-    if (added || entry->second.file == parsed.place.file) continue;
-    findings.Add(parsed.place,
+    const auto [entry, added] = first.try_emplace(parsed.resource.key(), parsed.location);
+    if (added || entry->second.file == parsed.location.file) continue;
+    findings.Add(parsed.location,
                  fmt::format("{} '{}' stands also at {}", KindName(parsed.resource.kind()),
                              parsed.resource.name, entry->second.ToString()));
   }
--- a/source/resources/resource_writer.cc
+++ b/source/resources/resource_writer.cc
@@ -59,10 +59,10 @@
   }
   void Flag(const char* key, bool value) { object_[key] = value; }
   template <class Number>
-  void Whole(const char* key, Number value, Number, Number) {
+  void Unsigned(const char* key, Number value, Number, Number) {
     object_[key] = value;
   }
-  void Real(const char* key, double value, double, double) { object_[key] = value; }
+  void Double(const char* key, double value, double, double) { object_[key] = value; }
   void Bytes(const char* key, uint64_t value, uint64_t, uint64_t) {
     object_[key] = FormatSize(value);
   }
--- a/source/resources/yaml_documents.cc
+++ b/source/resources/yaml_documents.cc
@@ -47,10 +47,10 @@
     CheckProgress(text);
     return YAML::LoadAll(text);
   } catch (const YAML::Exception& error) {
-    const Location place = error.mark.is_null()
-                               ? Location{file, 0, 0}
-                               : Location{file, error.mark.line + 1, error.mark.column + 1};
-    findings.Add(place, error.msg);
+    const Location location = error.mark.is_null()
+                                  ? Location{file, 0, 0}
+                                  : Location{file, error.mark.line + 1, error.mark.column + 1};
+    findings.Add(location, error.msg);
   }
   return {};
 }
--- a/source/resources/yaml_fields.h
+++ b/source/resources/yaml_fields.h
@@ -1,4 +1,4 @@
-/// Reads the fields of one YAML mapping and collects every fault with its place: unknown and
+/// Reads the fields of one YAML mapping and collects every fault with its location: unknown and
 /// repeated keys, missing ones, wrong types and units, values out of bounds.
 #pragma once
 
@@ -17,7 +17,7 @@
 namespace millstair {
 
 /// Place of `node` in `file`.
-Location PlaceOf(const std::string& file, const YAML::Node& node);
+Location LocationOf(const std::string& file, const YAML::Node& node);
 
 /// Whether a key must be there.
 enum class Presence { kOptional, kRequired };
@@ -34,9 +34,9 @@
 
   void Text(const std::string& key, std::string& value, Presence presence, const TextCheck& check);
   void Flag(const std::string& key, bool& value);
-  void Whole(const std::string& key, uint64_t& value, uint64_t min, uint64_t max);
-  void Whole(const std::string& key, uint32_t& value, uint32_t min, uint32_t max);
-  void Real(const std::string& key, double& value, double min, double max);
+  void Unsigned(const std::string& key, uint64_t& value, uint64_t min, uint64_t max);
+  void Unsigned(const std::string& key, uint32_t& value, uint32_t min, uint32_t max);
+  void Double(const std::string& key, double& value, double min, double max);
   void Bytes(const std::string& key, uint64_t& value, uint64_t min, uint64_t max);
   void Time(const std::string& key, Duration& value, Duration min, Duration max);
   void TextList(const std::string& key, std::vector<std::string>& value, const TextCheck& check);
@@ -44,9 +44,9 @@
                const TextCheck& check_key, const TextCheck& check_value);
 
   /// The node under `key`, marked as known; an undefined node if absent.
-  YAML::Node Take(const std::string& key, Presence presence = Presence::kOptional);
+  YAML::Node Consume(const std::string& key, Presence presence = Presence::kOptional);
   /// Adds a finding at `node`.
-  void Fault(const YAML::Node& node, const std::string& message);
+  void AddFinding(const YAML::Node& node, const std::string& message);
   /// Reports unknown keys. Call once, last.
   void Finish();
 
@@ -54,7 +54,7 @@
   struct Entry {
     YAML::Node key;
     YAML::Node value;
-    bool taken = false;
+    bool consumed = false;
   };
 
   /// The scalar's text, or none with a finding when it is no scalar.
--- a/source/server/command_line.cc
+++ b/source/server/command_line.cc
@@ -26,7 +26,7 @@
   options::options_description description("Settings (each overrides the file)");
   for (const SettingKey& key : SettingKeys()) {
     const std::string text =
-        fmt::format("{}; {}; default {}", key.meaning, KindText(key.kind), DefaultText(key));
+        fmt::format("{}; {}; default {}", key.description, KindText(key.kind), DefaultText(key));
     description.add_options()(FlagName(key.key).c_str(),
                               options::value<std::string>()->value_name("VALUE"), text.c_str());
   }
--- a/source/settings/raw_settings.cc
+++ b/source/settings/raw_settings.cc
@@ -17,9 +17,9 @@
 }
 
 /// Walks the document; keeps what the schema knows.
-class Reader {
+class SettingsReader {
  public:
-  Reader(const std::string& file, RawSettings& raw, Findings& findings)
+  SettingsReader(const std::string& file, RawSettings& raw, Findings& findings)
       : file_(file), raw_(raw), findings_(findings) {}
 
   void ReadMap(const YAML::Node& map, const std::string& prefix) {
@@ -27,7 +27,7 @@
     for (const auto& entry : map) {
       const std::string key = prefix + entry.first.Scalar();
       if (!seen.insert(key).second) {
-        findings_.Add(PlaceOf(entry.first), fmt::format("the key \"{}\" is set twice", key));
+        findings_.Add(LocationOf(entry.first), fmt::format("the key \"{}\" is set twice", key));
         continue;
       }
       ReadEntry(key, entry.first, entry.second);
@@ -35,12 +35,12 @@
   }
 
  private:
-  Location PlaceOf(const YAML::Node& node) const {
+  Location LocationOf(const YAML::Node& node) const {
     const YAML::Mark mark = node.Mark();
     return {file_, mark.line + 1, mark.column + 1};
   }
 
-  RawText TextOf(const YAML::Node& node) const { return {node.Scalar(), PlaceOf(node)}; }
+  RawText TextOf(const YAML::Node& node) const { return {node.Scalar(), LocationOf(node)}; }
 
   static bool IsSection(const std::string& key) {
     for (const SettingKey& entry : SettingKeys()) {
@@ -52,25 +52,25 @@
   void ReadEntry(const std::string& key, const YAML::Node& name, const YAML::Node& value) {
     if (IsSection(key)) {
       if (value.IsMap()) return ReadMap(value, key + ".");
-      return findings_.Add(PlaceOf(value), fmt::format("\"{}\" has to be a map of keys", key));
+      return findings_.Add(LocationOf(value), fmt::format("\"{}\" has to be a map of keys", key));
     }
     const SettingKey* schema = FindSettingKey(key);
     if (schema == nullptr) {
-      return findings_.Add(PlaceOf(name), fmt::format("unknown key \"{}\"", key));
+      return findings_.Add(LocationOf(name), fmt::format("unknown key \"{}\"", key));
     }
     RawSetting setting;
-    setting.place = PlaceOf(value);
-    bool sound = false;
+    setting.location = LocationOf(value);
+    bool valid = false;
     if (schema->kind == SettingKind::kControlNodes) {
-      sound = ReadNodes(value, setting);
+      valid = ReadNodes(value, setting);
     } else if (IsList(schema->kind)) {
-      sound = ReadList(value, setting);
+      valid = ReadList(value, setting);
     } else {
-      sound = value.IsScalar();
-      if (sound) setting.text = TextOf(value);
+      valid = value.IsScalar();
+      if (valid) setting.text = TextOf(value);
     }
-    if (!sound) {
-      return findings_.Add(PlaceOf(value),
+    if (!valid) {
+      return findings_.Add(LocationOf(value),
                            fmt::format("\"{}\" has to be a {}", key, KindText(schema->kind)));
     }
     raw_[key] = std::move(setting);
@@ -90,7 +90,7 @@
     for (const auto& item : value) {
       if (!item.IsMap()) return false;
       RawSetting::Node node;
-      node.place = PlaceOf(item);
+      node.location = LocationOf(item);
       for (const auto& field : item) ReadNodeField(field.first, field.second, node);
       setting.nodes.push_back(std::move(node));
     }
@@ -104,11 +104,12 @@
     if (key == "address") field = &node.address;
     if (key == "zone") field = &node.zone;
     if (field == nullptr) {
-      findings_.Add(PlaceOf(name), fmt::format("unknown key \"control_nodes.{}\"", key));
+      findings_.Add(LocationOf(name), fmt::format("unknown key \"control_nodes.{}\"", key));
     } else if (!value.IsScalar()) {
-      findings_.Add(PlaceOf(value), fmt::format("\"control_nodes.{}\" has to be a word", key));
-    } else if (field->place.line != 0) {
-      findings_.Add(PlaceOf(name), fmt::format("the key \"control_nodes.{}\" is set twice", key));
+      findings_.Add(LocationOf(value), fmt::format("\"control_nodes.{}\" has to be a word", key));
+    } else if (field->location.line != 0) {
+      findings_.Add(LocationOf(name),
+                    fmt::format("the key \"control_nodes.{}\" is set twice", key));
     } else {
       *field = TextOf(value);
     }
@@ -120,18 +121,18 @@
 };
 
 /// "c1/127.0.0.1:7000/zone-a" of a flag.
-RawSetting::Node NodeOfFlag(absl::string_view text, const Location& place, Findings& findings) {
+RawSetting::Node NodeOfFlag(absl::string_view text, const Location& location, Findings& findings) {
   const std::vector<std::string> parts = absl::StrSplit(text, '/');
   RawSetting::Node node;
-  node.place = place;
+  node.location = location;
   if (parts.size() != 3) {
-    findings.Add(place,
+    findings.Add(location,
                  fmt::format("\"{}\" is not of the form node/ip:port/zone", std::string(text)));
     return node;
   }
-  node.node = {parts[0], place};
-  node.address = {parts[1], place};
-  node.zone = {parts[2], place};
+  node.node = {parts[0], location};
+  node.address = {parts[1], location};
+  node.zone = {parts[2], location};
   return node;
 }
 
@@ -146,7 +147,7 @@
       findings.Add({file, 1, 1}, "the settings have to be a map of keys");
       return raw;
     }
-    Reader(file, raw, findings).ReadMap(document, "");
+    SettingsReader(file, raw, findings).ReadMap(document, "");
   } catch (const YAML::Exception& error) {
     findings.Add({file, error.mark.line + 1, error.mark.column + 1}, error.msg);
   }
@@ -155,24 +156,24 @@
 
 void ApplyOverrides(const SettingOverrides& overrides, RawSettings& raw, Findings& findings) {
   for (const auto& [key, value] : overrides) {
-    const Location place{"--" + FlagName(key), 0, 0};
+    const Location location{"--" + FlagName(key), 0, 0};
     const SettingKey* schema = FindSettingKey(key);
     if (schema == nullptr) {
-      findings.Add(place, fmt::format("unknown key \"{}\"", key));
+      findings.Add(location, fmt::format("unknown key \"{}\"", key));
       continue;
     }
     RawSetting setting;
-    setting.place = place;
+    setting.location = location;
     if (schema->kind == SettingKind::kControlNodes) {
       for (const absl::string_view item : absl::StrSplit(value, ',', absl::SkipEmpty())) {
-        setting.nodes.push_back(NodeOfFlag(item, place, findings));
+        setting.nodes.push_back(NodeOfFlag(item, location, findings));
       }
     } else if (IsList(schema->kind)) {
       for (const absl::string_view item : absl::StrSplit(value, ',', absl::SkipEmpty())) {
-        setting.list.push_back({std::string(item), place});
+        setting.list.push_back({std::string(item), location});
       }
     } else {
-      setting.text = {value, place};
+      setting.text = {value, location};
     }
     raw[key] = std::move(setting);
   }
--- a/source/settings/raw_settings.h
+++ b/source/settings/raw_settings.h
@@ -1,4 +1,4 @@
-/// Settings before their values are understood: each with its place. Internal to settings/.
+/// Settings before their values are understood: each with its location. Internal to settings/.
 #pragma once
 
 #include <map>
@@ -12,16 +12,16 @@
 
 struct RawText {
   std::string text;
-  Location place;
+  Location location;
 };
 
 /// One of `text`, `list` and `nodes` is filled, by the kind of the key.
 struct RawSetting {
-  Location place;
+  Location location;
   RawText text;
   std::vector<RawText> list;
   struct Node {
-    Location place;
+    Location location;
     RawText node;
     RawText address;
     RawText zone;
--- a/source/settings/settings.cc
+++ b/source/settings/settings.cc
@@ -22,17 +22,17 @@
 
 /// "8000/metrics".
 bool IsPortAndPath(const std::string& text) {
-  constexpr size_t kMostPortDigits = 5;
+  constexpr size_t kMaxPortDigits = 5;
   const size_t slash = text.find('/');
-  if (slash == 0 || slash == std::string::npos || slash > kMostPortDigits) return false;
+  if (slash == 0 || slash == std::string::npos || slash > kMaxPortDigits) return false;
   return std::all_of(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(slash),
                      [](unsigned char c) { return std::isdigit(c) != 0; });
 }
 
 /// Turns raw values into settings, one key after another.
-class Converter {
+class SettingsConverter {
  public:
-  Converter(const RawSettings& raw, const std::string& file, Findings& findings)
+  SettingsConverter(const RawSettings& raw, const std::string& file, Findings& findings)
       : raw_(raw), file_(file), findings_(findings) {}
 
   ServerSettings Convert() {
@@ -52,7 +52,7 @@
         settings_.founders.push_back(node.node);
       }
     }
-    CheckTogether();
+    CheckConsistency();
     return settings_;
   }
 
@@ -86,22 +86,23 @@
     if (key.kind == SettingKind::kName && !CheckName(raw)) return;
     if (key.kind == SettingKind::kAddress && !CheckAddress(raw)) return;
     if (key.kind == SettingKind::kPortAndPath && !IsPortAndPath(raw.text)) {
-      return findings_.Add(raw.place, fmt::format("\"{}\" is not of the form port/path", raw.text));
+      return findings_.Add(raw.location,
+                           fmt::format("\"{}\" is not of the form port/path", raw.text));
     }
     if (key.kind == SettingKind::kPath && raw.text.empty()) {
-      return findings_.Add(raw.place, fmt::format("\"{}\" is empty", key.key));
+      return findings_.Add(raw.location, fmt::format("\"{}\" is empty", key.key));
     }
     if (key.kind == SettingKind::kChoice &&
         std::find(key.choices.begin(), key.choices.end(), raw.text) == key.choices.end()) {
-      return findings_.Add(
-          raw.place, fmt::format("\"{}\" is none of {}", raw.text, fmt::join(key.choices, ", ")));
+      return findings_.Add(raw.location, fmt::format("\"{}\" is none of {}", raw.text,
+                                                     fmt::join(key.choices, ", ")));
     }
     key.text(settings_) = raw.text;
   }
 
   bool CheckName(const RawText& raw) {
     if (IsName(raw.text)) return true;
-    findings_.Add(raw.place,
+    findings_.Add(raw.location,
                   fmt::format("\"{}\" is not a name: letters, digits, '-', '_' and '.'", raw.text));
     return false;
   }
@@ -109,7 +110,7 @@
   bool CheckAddress(const RawText& raw) {
     const auto endpoint = ParseEndpoint(raw.text);
     if (endpoint.ok()) return true;
-    findings_.Add(raw.place, std::string(endpoint.status().message()));
+    findings_.Add(raw.location, std::string(endpoint.status().message()));
     return false;
   }
 
@@ -126,10 +127,10 @@
       status = number.status();
       if (status.ok()) value = *number;
     }
-    if (!status.ok()) return findings_.Add(raw.place, std::string(status.message()));
+    if (!status.ok()) return findings_.Add(raw.location, std::string(status.message()));
     if (value < key.min || value > key.max) {
-      return findings_.Add(raw.place, fmt::format("{} is out of bounds for \"{}\": {}", raw.text,
-                                                  key.key, BoundsText(key)));
+      return findings_.Add(raw.location, fmt::format("{} is out of bounds for \"{}\": {}", raw.text,
+                                                     key.key, BoundsText(key)));
     }
     if (key.kind == SettingKind::kDuration) {
       key.duration(settings_) = Duration(static_cast<Duration::rep>(value));
@@ -145,22 +146,22 @@
       if (role.text == "gateway") flag = &settings_.gateway;
       if (role.text == "storage") flag = &settings_.storage;
       if (flag == nullptr) {
-        findings_.Add(role.place,
+        findings_.Add(role.location,
                       fmt::format("\"{}\" is none of control, gateway, storage", role.text));
       } else if (*flag) {
-        findings_.Add(role.place, fmt::format("the role \"{}\" is listed twice", role.text));
+        findings_.Add(role.location, fmt::format("the role \"{}\" is listed twice", role.text));
       } else {
         *flag = true;
       }
     }
-    if (raw.list.empty()) findings_.Add(raw.place, "no role is listed");
+    if (raw.list.empty()) findings_.Add(raw.location, "no role is listed");
   }
 
   void SetSeeds(const RawSetting& raw) {
     for (const RawText& seed : raw.list) {
       if (CheckAddress(seed)) settings_.seeds.push_back(seed.text);
     }
-    if (raw.list.empty()) findings_.Add(raw.place, "no seed is listed");
+    if (raw.list.empty()) findings_.Add(raw.location, "no seed is listed");
   }
 
   /// Ports are the same on all control nodes, so that a seed's peer listener is known.
@@ -179,28 +180,28 @@
     for (const RawText& founder : raw.list) {
       if (!CheckName(founder)) continue;
       if (!seen.insert(founder.text).second) {
-        findings_.Add(founder.place, fmt::format("\"{}\" is listed twice", founder.text));
+        findings_.Add(founder.location, fmt::format("\"{}\" is listed twice", founder.text));
         continue;
       }
       settings_.founders.push_back(founder.text);
     }
-    if (raw.list.empty()) findings_.Add(raw.place, "no founder is listed");
+    if (raw.list.empty()) findings_.Add(raw.location, "no founder is listed");
   }
 
   void SetRoutes(const RawSetting& raw) {
     for (const RawText& route : raw.list) {
       const size_t equals = route.text.find('=');
       if (equals == std::string::npos) {
-        findings_.Add(route.place,
+        findings_.Add(route.location,
                       fmt::format("\"{}\" is not of the form ip:port=ip:port", route.text));
         continue;
       }
-      const RawText to{route.text.substr(0, equals), route.place};
-      const RawText via{route.text.substr(equals + 1), route.place};
-      const bool to_sound = CheckAddress(to);
-      if (!CheckAddress(via) || !to_sound) continue;
+      const RawText to{route.text.substr(0, equals), route.location};
+      const RawText via{route.text.substr(equals + 1), route.location};
+      const bool to_valid = CheckAddress(to);
+      if (!CheckAddress(via) || !to_valid) continue;
       if (!settings_.routes.emplace(to.text, via.text).second) {
-        findings_.Add(route.place, fmt::format("{} has two routes", to.text));
+        findings_.Add(route.location, fmt::format("{} has two routes", to.text));
       }
     }
   }
@@ -214,41 +215,41 @@
           !CheckNodeField(node, node.zone, "zone")) {
         continue;
       }
-      const bool name_sound = CheckName(node.node);
-      const bool address_sound = CheckAddress(node.address);
-      if (!CheckName(node.zone) || !name_sound || !address_sound) continue;
+      const bool name_valid = CheckName(node.node);
+      const bool address_valid = CheckAddress(node.address);
+      if (!CheckName(node.zone) || !name_valid || !address_valid) continue;
       if (!names.insert(node.node.text).second) {
-        findings_.Add(node.node.place, fmt::format("\"{}\" is listed twice", node.node.text));
+        findings_.Add(node.node.location, fmt::format("\"{}\" is listed twice", node.node.text));
       }
       if (!addresses.insert(node.address.text).second) {
-        findings_.Add(node.address.place, fmt::format("{} is listed twice", node.address.text));
+        findings_.Add(node.address.location, fmt::format("{} is listed twice", node.address.text));
       }
       settings_.control_nodes.push_back({node.node.text, node.address.text, node.zone.text});
     }
-    if (raw.nodes.empty()) findings_.Add(raw.place, "no control node is listed");
+    if (raw.nodes.empty()) findings_.Add(raw.location, "no control node is listed");
   }
 
   bool CheckNodeField(const RawSetting::Node& node, const RawText& field, std::string_view name) {
     if (!field.text.empty()) return true;
     // A flag that is no node at all was reported already.
-    if (node.place.line != 0) {
-      findings_.Add(node.place, fmt::format("the key \"control_nodes.{}\" is missing", name));
+    if (node.location.line != 0) {
+      findings_.Add(node.location, fmt::format("the key \"control_nodes.{}\" is missing", name));
     }
     return false;
   }
 
   // --- what has to fit together --------------------------------------------------------------
 
-  Location PlaceOf(const std::string& key) const {
+  Location LocationOf(const std::string& key) const {
     const auto found = raw_.find(key);
-    return found == raw_.end() ? Location{file_, 0, 0} : found->second.place;
+    return found == raw_.end() ? Location{file_, 0, 0} : found->second.location;
   }
 
-  void CheckTogether() {
+  void CheckConsistency() {
     CheckControlRole();
     CheckListeners();
     CheckFounders();
-    CheckRolesTogether();
+    CheckRoleCombination();
     const TimingSettings& timing = settings_.timing;
     CheckOrder("timing.heartbeat", timing.heartbeat, "timing.source_timeout",
                timing.source_timeout);
@@ -256,7 +257,7 @@
     CheckOrder("timing.raft_heartbeat", 3 * timing.raft_heartbeat, "timing.election_timeout",
                timing.election_timeout, "three times ");
     if (timing.claim_retention % std::chrono::hours(1) != Duration(0)) {
-      findings_.Add(PlaceOf("timing.claim_retention"),
+      findings_.Add(LocationOf("timing.claim_retention"),
                     "\"timing.claim_retention\" has to be in whole hours");
     }
   }
@@ -265,7 +266,7 @@
                   Duration large, std::string_view factor = "") {
     if (small < large) return;
     const std::string key = raw_.contains(small_key) ? small_key : large_key;
-    findings_.Add(PlaceOf(key),
+    findings_.Add(LocationOf(key),
                   fmt::format("{}\"{}\" ({}) has to be less than \"{}\" ({})", factor, small_key,
                               FormatDuration(small), large_key, FormatDuration(large)));
   }
@@ -283,25 +284,25 @@
         settings_.control_nodes.begin(), settings_.control_nodes.end(),
         [this](const ControlNodeSetting& node) { return node.node == settings_.node; });
     if (self == settings_.control_nodes.end()) {
-      findings_.Add(PlaceOf("control_nodes"),
+      findings_.Add(LocationOf("control_nodes"),
                     fmt::format("the control node \"{}\" is not listed itself", settings_.node));
     } else if (self->address != settings_.peer_address && !settings_.peer_address.empty()) {
-      findings_.Add(PlaceOf("control_nodes"),
+      findings_.Add(LocationOf("control_nodes"),
                     fmt::format("\"{}\" is listed with {}, but its peer address is {}",
                                 settings_.node, self->address, settings_.peer_address));
     }
   }
 
-  void CheckRolesTogether() {
+  void CheckRoleCombination() {
     if (settings_.control && settings_.storage) {
-      findings_.Add(PlaceOf("roles"), "one node can't have both roles control and storage");
+      findings_.Add(LocationOf("roles"), "one node can't have both roles control and storage");
     }
-    const bool served = settings_.service_interface != "none";
-    if (settings_.storage && !served) {
-      findings_.Add(PlaceOf("roles"), "the role storage needs a \"service.interface\"");
+    const bool serves_platform = settings_.service_interface != "none";
+    if (settings_.storage && !serves_platform) {
+      findings_.Add(LocationOf("roles"), "the role storage needs a \"service.interface\"");
     }
-    if (served && settings_.service_listen.empty() && !settings_.storage) {
-      findings_.Add(PlaceOf("service.interface"), "the key \"service.listen\" is missing");
+    if (serves_platform && settings_.service_listen.empty() && !settings_.storage) {
+      findings_.Add(LocationOf("service.interface"), "the key \"service.listen\" is missing");
     }
   }
 
@@ -316,13 +317,13 @@
     for (const auto& [key, address] : listeners) {
       if (address.empty() || address.ends_with(":0")) continue;
       if (seen.insert(address).second) continue;
-      findings_.Add(PlaceOf(key), fmt::format("{} is used by two listeners", address));
+      findings_.Add(LocationOf(key), fmt::format("{} is used by two listeners", address));
     }
     const auto endpoint = ParseEndpoint(settings_.peer_address);
     if (!endpoint.ok()) return;
     if (endpoint->address().is_unspecified()) {
       findings_.Add(
-          PlaceOf(raw_.contains("peer.address") ? "peer.address" : "peer.listen"),
+          LocationOf(raw_.contains("peer.address") ? "peer.address" : "peer.listen"),
           fmt::format("other nodes can't reach {}: set \"peer.address\"", settings_.peer_address));
     }
   }
@@ -334,7 +335,7 @@
           std::any_of(settings_.control_nodes.begin(), settings_.control_nodes.end(),
                       [&founder](const ControlNodeSetting& node) { return node.node == founder; });
       if (listed) continue;
-      findings_.Add(PlaceOf("founders"),
+      findings_.Add(LocationOf("founders"),
                     fmt::format("the founder \"{}\" is not in \"control_nodes\"", founder));
     }
   }
@@ -352,7 +353,7 @@
   RawSettings raw;
   if (!text.empty()) raw = ReadRawSettings(file, text, findings);
   ApplyOverrides(overrides, raw, findings);
-  return Converter(raw, file, findings).Convert();
+  return SettingsConverter(raw, file, findings).Convert();
 }
 
 }  // namespace millstair
--- a/source/settings/settings_schema.cc
+++ b/source/settings/settings_schema.cc
@@ -15,30 +15,30 @@
 constexpr uint64_t kMiB = 1024 * kKiB;
 
 SettingKey Text(std::string_view key, SettingKind kind, std::string ServerSettings::*member,
-                std::string_view meaning, std::string_view default_words = "none") {
+                std::string_view description, std::string_view default_description = "none") {
   SettingKey entry;
   entry.key = key;
   entry.kind = kind;
-  entry.meaning = meaning;
-  entry.default_words = default_words;
+  entry.description = description;
+  entry.default_description = default_description;
   entry.text = [member](ServerSettings& settings) -> std::string& { return settings.*member; };
   return entry;
 }
 
 SettingKey Required(SettingKey entry) {
   entry.required = true;
-  entry.default_words = "required";
+  entry.default_description = "required";
   return entry;
 }
 
 SettingKey Time(std::string_view key, Duration TimingSettings::*member, uint64_t min, uint64_t max,
-                std::string_view meaning) {
+                std::string_view description) {
   SettingKey entry;
   entry.key = key;
   entry.kind = SettingKind::kDuration;
   entry.min = min;
   entry.max = max;
-  entry.meaning = meaning;
+  entry.description = description;
   entry.duration = [member](ServerSettings& settings) -> Duration& {
     return settings.timing.*member;
   };
@@ -46,13 +46,13 @@
 }
 
 SettingKey Limit(std::string_view key, SettingKind kind, uint64_t LimitSettings::*member,
-                 uint64_t min, uint64_t max, std::string_view meaning) {
+                 uint64_t min, uint64_t max, std::string_view description) {
   SettingKey entry;
   entry.key = key;
   entry.kind = kind;
   entry.min = min;
   entry.max = max;
-  entry.meaning = meaning;
+  entry.description = description;
   entry.number = [member](ServerSettings& settings) -> uint64_t& {
     return settings.limits.*member;
   };
@@ -60,24 +60,24 @@
 }
 
 SettingKey Number(std::string_view key, uint64_t ServerSettings::*member, uint64_t min,
-                  uint64_t max, std::string_view meaning) {
+                  uint64_t max, std::string_view description) {
   SettingKey entry;
   entry.key = key;
   entry.kind = SettingKind::kCount;
   entry.min = min;
   entry.max = max;
-  entry.meaning = meaning;
+  entry.description = description;
   entry.number = [member](ServerSettings& settings) -> uint64_t& { return settings.*member; };
   return entry;
 }
 
-SettingKey List(std::string_view key, SettingKind kind, std::string_view meaning,
-                std::string_view default_words) {
+SettingKey List(std::string_view key, SettingKind kind, std::string_view description,
+                std::string_view default_description) {
   SettingKey entry;
   entry.key = key;
   entry.kind = kind;
-  entry.meaning = meaning;
-  entry.default_words = default_words;
+  entry.description = description;
+  entry.default_description = default_description;
   return entry;
 }
 
@@ -88,9 +88,9 @@
   return entry;
 }
 
-SettingKey Flag(std::string_view key, std::string ServerSettings::*member, std::string_view meaning,
-                std::string_view default_words) {
-  SettingKey entry = Text(key, SettingKind::kChoice, member, meaning, default_words);
+SettingKey Flag(std::string_view key, std::string ServerSettings::*member,
+                std::string_view description, std::string_view default_description) {
+  SettingKey entry = Text(key, SettingKind::kChoice, member, description, default_description);
   entry.choices = {"true", "false"};
   return entry;
 }
@@ -283,7 +283,7 @@
   ServerSettings defaults;
   if (key.duration) return FormatDuration(key.duration(defaults));
   if (key.number) return NumberText(key.kind, key.number(defaults));
-  return std::string(key.default_words);
+  return std::string(key.default_description);
 }
 
 std::string BoundsText(const SettingKey& key) {
--- a/source/settings/settings_schema.h
+++ b/source/settings/settings_schema.h
@@ -1,5 +1,5 @@
-/// Every settings key: its kind, unit, default, bounds and meaning. docs/CONFIGURATION.md lists the
-/// same; a test holds the two in step. Internal to settings/ and its tests.
+/// Every settings key: its kind, unit, default, bounds and description. docs/CONFIGURATION.md lists
+/// the same; a test holds the two in step. Internal to settings/ and its tests.
 #pragma once
 
 #include <cstdint>
@@ -36,14 +36,14 @@
   /// Bounds in microseconds, bytes or as a count; for numbers only.
   uint64_t min = 0;
   uint64_t max = 0;
-  std::string_view meaning;
+  std::string_view description;
   /// The member of ServerSettings that it sets; which one, goes by the kind.
   std::function<std::string&(ServerSettings&)> text;
   std::function<Duration&(ServerSettings&)> duration;
   std::function<uint64_t&(ServerSettings&)> number;
   std::vector<std::string_view> choices;
   /// Default in words, where it is not a value.
-  std::string_view default_words;
+  std::string_view default_description;
 };
 
 const std::vector<SettingKey>& SettingKeys();
--- a/source/settings/settings_table.cc
+++ b/source/settings/settings_table.cc
@@ -11,7 +11,7 @@
   for (const SettingKey& key : SettingKeys()) {
     const std::string bounds = BoundsText(key);
     table += fmt::format("| `{}` | {} | {} | {} | {} |\n", key.key, KindText(key.kind),
-                         DefaultText(key), bounds.empty() ? "-" : bounds, key.meaning);
+                         DefaultText(key), bounds.empty() ? "-" : bounds, key.description);
   }
   return table;
 }
--- a/source/settings/settings_table.h
+++ b/source/settings/settings_table.h
@@ -5,7 +5,7 @@
 
 namespace millstair {
 
-/// One Markdown row for each key: key, value, default, bounds, meaning.
+/// One Markdown row for each key: key, value, default, bounds, description.
 std::string SettingsTable();
 
 }  // namespace millstair
--- a/test/ctl/apply_plan_test.cc
+++ b/test/ctl/apply_plan_test.cc
@@ -11,10 +11,10 @@
 
 TEST_CASE("a plan creates, changes and keeps") {
   const std::vector<Resource> stored = {Machine("kept", false, 3), Machine("changed", false, 4)};
-  const std::vector<Resource> wanted = {Machine("kept", false, 0), Machine("changed", true, 0),
-                                        Machine("new", false, 0), Machine("changed", true, 2)};
-  const std::vector<PlannedChange> plan = PlanApply(wanted, stored);
-  REQUIRE(plan[0].action == PlannedAction::kKeep);
+  const std::vector<Resource> desired = {Machine("kept", false, 0), Machine("changed", true, 0),
+                                         Machine("new", false, 0), Machine("changed", true, 2)};
+  const std::vector<PlannedChange> plan = PlanApply(desired, stored);
+  REQUIRE(plan[0].action == PlannedAction::kUnchanged);
   REQUIRE(plan[1].action == PlannedAction::kChange);
   REQUIRE(plan[1].differences == std::vector<std::string>{"spec.drain: false -> true"});
   REQUIRE(plan[1].expected == Revision(4));
--- a/test/ctl/blocking_client_test.cc
+++ b/test/ctl/blocking_client_test.cc
@@ -65,18 +65,18 @@
   Server server;
   BlockingClient client;
   const std::string address = server.server->address();
-  const BlockingReply whole = client.Call(address, {"POST", "/whole", {}, "body"}, kLong);
-  REQUIRE(whole.whole());
-  REQUIRE(whole.status == 200);
-  REQUIRE(whole.body == "body");
-  REQUIRE(FindHeader(whole.headers, "x-method") == "POST");
+  const BlockingReply complete = client.Call(address, {"POST", "/whole", {}, "body"}, kLong);
+  REQUIRE(complete.complete());
+  REQUIRE(complete.status == 200);
+  REQUIRE(complete.body == "body");
+  REQUIRE(FindHeader(complete.headers, "x-method") == "POST");
   std::string seen;
   const BlockingReply streamed =
       client.Call(address, {"GET", "/stream", {}, ""}, kLong, [&](std::string_view bytes) {
         seen += bytes;
         return true;
       });
-  REQUIRE(streamed.whole());
+  REQUIRE(streamed.complete());
   REQUIRE(streamed.body == "one two");
   REQUIRE(seen == "one two");
 }
--- a/test/ctl/control_api_test.cc
+++ b/test/ctl/control_api_test.cc
@@ -20,7 +20,7 @@
 };
 
 /// Answers from a script, in order.
-class ScriptedCaller : public BlockingCaller {
+class FakeCaller : public BlockingCaller {
  public:
   using BlockingCaller::Call;
   BlockingReply Call(const std::string& address, const HttpRequest& request, Duration,
@@ -73,7 +73,7 @@
     return RunCommand(context);
   }
 
-  ScriptedCaller caller;
+  FakeCaller caller;
   ControlApi api;
   std::ostringstream out;
   std::ostringstream err;
@@ -81,11 +81,10 @@
 
 TEST_CASE("a change whose answer was lost is sent again under the same key at the next server") {
   Fixture fixture;
-  fixture.caller.replies = {ScriptedCaller::Answer(200, R"({"session":"s1"})"),
-                            ScriptedCaller::Lost(),
-                            ScriptedCaller::Answer(503, R"({"detail":"no leader"})"),
-                            ScriptedCaller::Answer(200, R"({"revision":9})"),
-                            ScriptedCaller::Answer(200, R"({"revision":10})")};
+  fixture.caller.replies = {FakeCaller::Answer(200, R"({"session":"s1"})"), FakeCaller::Lost(),
+                            FakeCaller::Answer(503, R"({"detail":"no leader"})"),
+                            FakeCaller::Answer(200, R"({"revision":9})"),
+                            FakeCaller::Answer(200, R"({"revision":10})")};
   const ResourceKey key{ResourceKind::kMachine, "m"};
   const auto first = fixture.api.Delete(key, Revision(7));
   REQUIRE(first.ok());
@@ -104,8 +103,8 @@
 TEST_CASE("a conflict names the winner") {
   Fixture fixture;
   fixture.caller.replies = {
-      ScriptedCaller::Answer(200, R"({"session":"s1"})"),
-      ScriptedCaller::Answer(412, fmt::format(R"({{"conflicting":[{}]}})", kMachine))};
+      FakeCaller::Answer(200, R"({"session":"s1"})"),
+      FakeCaller::Answer(412, fmt::format(R"({{"conflicting":[{}]}})", kMachine))};
   REQUIRE(fixture.Run({"delete", "Machine", "m", "--revision", "3"}) == ExitCode::kConflict);
   REQUIRE(fixture.err.str().find("version: 7") != std::string::npos);
 }
@@ -113,7 +112,7 @@
 TEST_CASE("each kind of failure has its own exit code") {
   Fixture fixture;
   SECTION("not found") {
-    fixture.caller.replies = {ScriptedCaller::Answer(404, R"({"detail":"no such Machine"})")};
+    fixture.caller.replies = {FakeCaller::Answer(404, R"({"detail":"no such Machine"})")};
     REQUIRE(fixture.Run({"get", "Machine", "x"}) == ExitCode::kNotFound);
     REQUIRE(fixture.err.str() == "no such Machine\n");
   }
@@ -122,18 +121,18 @@
     REQUIRE(fixture.caller.sent.size() >= 2);
   }
   SECTION("session expired") {
-    fixture.caller.replies = {ScriptedCaller::Answer(200, R"({"session":"s1"})"),
-                              ScriptedCaller::Answer(410, R"({"detail":"expired"})")};
+    fixture.caller.replies = {FakeCaller::Answer(200, R"({"session":"s1"})"),
+                              FakeCaller::Answer(410, R"({"detail":"expired"})")};
     REQUIRE(fixture.Run({"delete", "Machine", "x"}) == ExitCode::kRefused);
   }
   SECTION("session expired, and an earlier send may have run") {
-    BlockingReply expired = ScriptedCaller::Answer(410, R"({"detail":"expired"})");
+    BlockingReply expired = FakeCaller::Answer(410, R"({"detail":"expired"})");
     expired.headers = {{"Millstair-Outcome", "unknown"}};
-    fixture.caller.replies = {ScriptedCaller::Answer(200, R"({"session":"s1"})"), expired};
+    fixture.caller.replies = {FakeCaller::Answer(200, R"({"session":"s1"})"), expired};
     REQUIRE(fixture.Run({"delete", "Machine", "x"}) == ExitCode::kUnanswered);
   }
   SECTION("invalid") {
-    fixture.caller.replies = {ScriptedCaller::Answer(400, R"({"detail":"bad"})")};
+    fixture.caller.replies = {FakeCaller::Answer(400, R"({"detail":"bad"})")};
     REQUIRE(fixture.Run({"get", "Machine"}) == ExitCode::kInvalid);
   }
   SECTION("unknown kind") { REQUIRE(fixture.Run({"get", "Fleet"}) == ExitCode::kUsage); }
@@ -143,14 +142,14 @@
   Fixture fixture;
   const std::string behind = R"({"lagging":[{"node":"g2","revision":4,"reason":"no heartbeat"}]})";
   SECTION("until none is left") {
-    fixture.caller.replies = {ScriptedCaller::Answer(200, behind),
-                              ScriptedCaller::Answer(200, R"({"lagging":[]})")};
+    fixture.caller.replies = {FakeCaller::Answer(200, behind),
+                              FakeCaller::Answer(200, R"({"lagging":[]})")};
     REQUIRE(fixture.Run({"wait", "--revision", "5"}) == ExitCode::kOk);
     REQUIRE(fixture.caller.sent[0].request.target == "/v1/revisions/5/lagging");
   }
   SECTION("or the time is over") {
     for (int i = 0; i < 10; ++i) {
-      fixture.caller.replies.push_back(ScriptedCaller::Answer(200, behind));
+      fixture.caller.replies.push_back(FakeCaller::Answer(200, behind));
     }
     REQUIRE(fixture.Run({"wait", "--revision", "5", "--timeout", "1s"}) == ExitCode::kLagging);
     REQUIRE(fixture.err.str().find("g2") != std::string::npos);
@@ -161,9 +160,9 @@
 TEST_CASE("drain builds on the stored version and tries again after a conflict") {
   Fixture fixture;
   fixture.caller.replies = {
-      ScriptedCaller::Answer(200, kMachine), ScriptedCaller::Answer(200, R"({"session":"s1"})"),
-      ScriptedCaller::Answer(412, fmt::format(R"({{"conflicting":[{}]}})", kMachine)),
-      ScriptedCaller::Answer(200, kMachine), ScriptedCaller::Answer(200, R"({"revision":12})")};
+      FakeCaller::Answer(200, kMachine), FakeCaller::Answer(200, R"({"session":"s1"})"),
+      FakeCaller::Answer(412, fmt::format(R"({{"conflicting":[{}]}})", kMachine)),
+      FakeCaller::Answer(200, kMachine), FakeCaller::Answer(200, R"({"revision":12})")};
   REQUIRE(fixture.Run({"drain", "Machine/m"}) == ExitCode::kOk);
   const HttpRequest& last = fixture.caller.sent.back().request;
   REQUIRE(last.target == "/v1/apply");
--- a/test/resources/configuration_page_test.cc
+++ b/test/resources/configuration_page_test.cc
@@ -28,10 +28,10 @@
     Add(key, "true or false", value ? "true" : "false", "-");
   }
   template <class Number>
-  void Whole(const char* key, Number value, Number min, Number max) {
+  void Unsigned(const char* key, Number value, Number min, Number max) {
     Add(key, "whole number", fmt::format("{}", value), fmt::format("{} to {}", min, max));
   }
-  void Real(const char* key, double value, double min, double max) {
+  void Double(const char* key, double value, double min, double max) {
     Add(key, "number", fmt::format("{}", value), fmt::format("{} to {}", min, max));
   }
   void Bytes(const char* key, uint64_t value, uint64_t min, uint64_t max) {
--- a/test/resources/resource_codec_test.cc
+++ b/test/resources/resource_codec_test.cc
@@ -42,7 +42,7 @@
   REQUIRE(resources.size() == 2);
   const auto& group = std::get<TrafficGroupSpec>(resources[0].resource.spec);
   REQUIRE(resources[0].resource.labels == Labels{{"service", "booking"}});
-  REQUIRE(resources[0].place == Location{"f.yaml", 2, 1});
+  REQUIRE(resources[0].location == Location{"f.yaml", 2, 1});
   REQUIRE(group.deadline == std::chrono::milliseconds(1500));
   REQUIRE_FALSE(group.repeatable);
   REQUIRE(group.max_concurrent == TrafficGroupSpec{}.max_concurrent);
--- a/test/settings/settings_test.cc
+++ b/test/settings/settings_test.cc
@@ -15,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr const char* kSound = R"(node: c1
+constexpr const char* kValidSettings = R"(node: c1
 zone: z1
 cluster: test
 roles: [control, gateway]
@@ -47,7 +47,7 @@
 
 TEST_CASE("A sound file gives its values and the defaults") {
   Findings findings;
-  const ServerSettings settings = ReadSettings("f.yaml", kSound, {}, findings);
+  const ServerSettings settings = ReadSettings("f.yaml", kValidSettings, {}, findings);
   CHECK(findings.ToString().empty());
   CHECK(settings.node == "c1");
   CHECK(settings.control);
@@ -62,27 +62,29 @@
 }
 
 TEST_CASE("Routes lead from one address to another, once each") {
-  const std::string sound = std::string(kSound) + "routes: [\"127.0.0.1:1=127.0.0.2:2\"]\n";
+  const std::string sound = std::string(kValidSettings) + "routes: [\"127.0.0.1:1=127.0.0.2:2\"]\n";
   Findings findings;
   const ServerSettings settings = ReadSettings("f.yaml", sound, {}, findings);
   CHECK(findings.ToString().empty());
   CHECK(settings.routes.at("127.0.0.1:1") == "127.0.0.2:2");
-  const std::string faulty =
-      std::string(kSound) +
+  const std::string invalid =
+      std::string(kValidSettings) +
       "routes: [nowhere, \"127.0.0.1:1=host:2\", \"127.0.0.1:1=127.0.0.2:2\", "
       "\"127.0.0.1:1=127.0.0.2:3\"]\n";
   findings = {};
-  ReadSettings("f.yaml", faulty, {}, findings);
+  ReadSettings("f.yaml", invalid, {}, findings);
   REQUIRE(findings.items().size() == 3);
   CHECK(findings.items()[0].message == "\"nowhere\" is not of the form ip:port=ip:port");
   CHECK(findings.items()[2].message == "127.0.0.1:1 has two routes");
 }
 
 TEST_CASE("Seeds are named by their IP numbers, at the port of their peer listeners") {
-  const std::string listed = std::string(kSound).substr(
-      std::string(kSound).find("control_nodes"),
-      std::string(kSound).find("data:") - std::string(kSound).find("control_nodes"));
-  const std::string seeds = Replaced(kSound, listed, "seeds: [\"10.0.0.1:80\", \"10.0.0.2:80\"]\n");
+  const std::string listed = std::string(kValidSettings)
+                                 .substr(std::string(kValidSettings).find("control_nodes"),
+                                         std::string(kValidSettings).find("data:") -
+                                             std::string(kValidSettings).find("control_nodes"));
+  const std::string seeds =
+      Replaced(kValidSettings, listed, "seeds: [\"10.0.0.1:80\", \"10.0.0.2:80\"]\n");
   Findings findings;
   ServerSettings settings = ReadSettings("f.yaml", seeds, {}, findings);
   CHECK(findings.ToString().empty());
@@ -92,14 +94,15 @@
       ReadSettings("f.yaml", Replaced(seeds, "peer:\n", "peer:\n  seeds_port: 9\n"), {}, findings);
   CHECK(findings.ToString().empty());
   CHECK(settings.control_nodes[1] == ControlNodeSetting{"10.0.0.2", "10.0.0.2:9", ""});
-  const std::string faulty = Replaced(seeds, "peer:\n", "peer:\n  seeds_port: 65536\n");
-  CHECK(FindingsOf(faulty).find("f.yaml:6") != std::string::npos);
+  const std::string invalid = Replaced(seeds, "peer:\n", "peer:\n  seeds_port: 65536\n");
+  CHECK(FindingsOf(invalid).find("f.yaml:6") != std::string::npos);
 }
 
 TEST_CASE("Flags win over the file, and suffice without one") {
   Findings findings;
-  ServerSettings settings = ReadSettings(
-      "f.yaml", kSound, {{"timing.lease", "5s"}, {"roles", "gateway"}, {"zone", "z9"}}, findings);
+  ServerSettings settings =
+      ReadSettings("f.yaml", kValidSettings,
+                   {{"timing.lease", "5s"}, {"roles", "gateway"}, {"zone", "z9"}}, findings);
   CHECK(findings.empty());
   CHECK(settings.timing.lease == std::chrono::seconds(5));
   CHECK_FALSE(settings.control);
@@ -119,14 +122,14 @@
   CHECK(settings.control_nodes[1].zone == "y");
 }
 
-struct FaultyCase {
+struct InvalidCase {
   std::string from;
   std::string to;
   std::string finding;
 };
 
 TEST_CASE("Each fault is one finding with its place") {
-  const std::vector<FaultyCase> cases = {
+  const std::vector<InvalidCase> cases = {
       {"zone: z1\n", "zone: z1\nzome: z2\n", "f.yaml:3:1: unknown key \"zome\""},
       {"  lease: 3s", "  leese: 3s", "f.yaml:14:3: unknown key \"timing.leese\""},
       {"zone: z1\n", "zone: z1\nzone: z2\n", "f.yaml:3:1: the key \"zone\" is set twice"},
@@ -171,10 +174,10 @@
        "f.yaml:14:10: \"timing.source_timeout\" (1500ms) has to be less than \"timing.lease\" "
        "(1s)"},
   };
-  for (const FaultyCase& faulty : cases) {
-    INFO(faulty.finding);
-    const std::string findings = FindingsOf(Replaced(kSound, faulty.from, faulty.to));
-    CHECK(findings.find(faulty.finding + "\n") != std::string::npos);
+  for (const InvalidCase& invalid : cases) {
+    INFO(invalid.finding);
+    const std::string findings = FindingsOf(Replaced(kValidSettings, invalid.from, invalid.to));
+    CHECK(findings.find(invalid.finding + "\n") != std::string::npos);
   }
 }
 
@@ -202,13 +205,13 @@
   std::mt19937_64 random(20261204);
   const std::string marks = "[]{}:,-&*!|>'\"%@`# \n\t0a";
   for (int round = 0; round < 3000; ++round) {
-    std::string text = kSound;
+    std::string text = kValidSettings;
     for (uint64_t change = 1 + random() % 5; change > 0; --change) {
-      const size_t place = random() % text.size();
+      const size_t location = random() % text.size();
       if (random() % 2 == 0) {
-        text[place] = marks[random() % marks.size()];
+        text[location] = marks[random() % marks.size()];
       } else {
-        text.erase(place, 1 + random() % 8);
+        text.erase(location, 1 + random() % 8);
       }
       if (text.empty()) text = "x";
     }
