--- a/source/tenants/tenant_directory.cc
+++ b/source/tenants/tenant_directory.cc
@@ -19,7 +19,6 @@
   return XXH3_64bits_withSeed(key.data(), key.size(), seed);
 }
 
-/// Takes as long for keys that differ early as for those that differ late.
 bool EqualInConstantTime(std::string_view left, std::string_view right) {
   if (left.size() != right.size()) return false;
   unsigned char difference = 0;
--- a/test/tenants/tenant_directory_test.cc
+++ b/test/tenants/tenant_directory_test.cc
@@ -20,7 +20,7 @@
   return findings.ToString();
 }
 
-TEST_CASE("A key leads to its tenant alone") {
+TEST_CASE("A key identifies exactly its tenant") {
   const TenantDirectory directory({Entry("a", {"key-1", "key-2"}, 1), Entry("b", {"key-3"})});
   REQUIRE(directory.FindByKey("key-2") != nullptr);
   CHECK(*directory.FindByKey("key-2") == Tenant{TenantName("a"), 1});
@@ -32,7 +32,7 @@
   CHECK(directory.FindByName(TenantName("c")) == nullptr);
 }
 
-TEST_CASE("A caller needs a key that a tenant holds, but for public routes") {
+TEST_CASE("A caller needs a valid key except for public routes") {
   const TenantDirectory directory({Entry("a", {"key-1"})});
   CHECK(directory.Check("key-1", false).verdict == AccessVerdict::kAllowed);
   CHECK(directory.Check("key-1", false).tenant == TenantName("a"));
@@ -43,12 +43,12 @@
   CHECK(directory.Check("key-1", true).tenant == TenantName("a"));
 }
 
-TEST_CASE("Without tenants nobody is known") {
+TEST_CASE("Without tenants every key is unknown") {
   const TenantDirectory directory({});
   CHECK(directory.Check("key-1", false).verdict == AccessVerdict::kUnknownKey);
 }
 
-TEST_CASE("What is wrong with tenants is named together, and no key is shown") {
+TEST_CASE("All invalid entries are reported without revealing keys") {
   CHECK(FindingsOf({Entry("a", {"key-1"}), Entry("b", {"key-2"})}).empty());
   const std::string findings = FindingsOf({Entry("a", {"secret-1", ""}), Entry("a", {"secret-2"}),
                                            Entry("c", {"secret-1"}), Entry("", {})});
@@ -60,13 +60,13 @@
   CHECK(FindingsOf({Entry("a", {"key-1", "key-1"})}) != "");
 }
 
-TEST_CASE("A fingerprint tells keys apart and does not hold them") {
+TEST_CASE("A fingerprint distinguishes keys without containing them") {
   CHECK(KeyFingerprint("key-1") == KeyFingerprint("key-1"));
   CHECK(KeyFingerprint("key-1") != KeyFingerprint("key-2"));
   CHECK(KeyFingerprint("key-1").size() == 8);
 }
 
-TEST_CASE("100,000 keys take no more than 14 MB") {
+TEST_CASE("100,000 keys use at most 14 MB of heap") {
   constexpr size_t kKeys = 100'000;
   constexpr size_t kMostBytes = 14'000'000;
   std::vector<TenantEntry> entries(1);
