--- a/source/resources/resource.h
+++ b/source/resources/resource.h
@@ -1,4 +1,4 @@
-/// The labelled resources that operators create.
+/// The labelled resources that operators manage.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
   Zone zone;
   /// IP number under which the platform's machine list names it.
   std::string address;
-  /// Operators' wish to take the machine out: it gets no new work.
+  /// Set by operators to take the machine out of service: it gets no new work.
   bool drain = false;
   friend bool operator==(const MachineSpec&, const MachineSpec&) = default;
 };
@@ -58,9 +58,9 @@
 /// Capacity that rollouts may use.
 struct PoolSpec {
   ModelName model;
-  /// Weight against other pools that share engines.
+  /// Weight relative to other pools that share engines.
   double share = 1.0;
-  /// Generations under way at once, over all gateways.
+  /// Concurrent generations over all gateways.
   uint32_t max_in_flight = 64;
   friend bool operator==(const PoolSpec&, const PoolSpec&) = default;
 };
@@ -69,18 +69,18 @@
 struct StreamSpec {
   /// Name of its Pool.
   std::string pool;
-  /// Largest allowed (newest published version - oldest version in the sample) at hand-on.
+  /// Maximum of (newest published version - oldest version in the sample) at delivery.
   uint64_t staleness_bound = 1;
-  /// Weight of trainer idle time against staleness in the schedule: 1 only idle time counts,
-  /// 0 only staleness counts.
+  /// Weight of trainer idle time against staleness in scheduling: 1 is only idle time, 0 only
+  /// staleness.
   double idle_time_weight = 0.5;
   uint32_t max_tokens = 256;
-  /// "ip:port" of the scoring service; empty hands samples on unscored.
+  /// "ip:port" of the scoring service; empty delivers samples unscored.
   std::string scorer;
   friend bool operator==(const StreamSpec&, const StreamSpec&) = default;
 };
 
-/// Live traffic that shares rules: which requests belong to it and how they are treated.
+/// A class of live traffic: which requests belong to it and how they are handled.
 struct TrafficGroupSpec {
   /// Host header values; empty is any.
   std::vector<std::string> hosts;
@@ -93,17 +93,17 @@
   uint32_t max_concurrent = 256;
   uint32_t max_queued = 256;
   Duration deadline = std::chrono::seconds(30);
-  /// Go on serving when the gateway's configuration lease has lapsed. Gives up the promise that
-  /// a leaving back end gets no new work.
+  /// Continue to serve after the gateway's configuration lease has expired. A leaving back end may
+  /// then get new work.
   bool serve_when_isolated = false;
-  /// Second try at another back end after this time without an answer; 0 is never.
+  /// Hedged attempt at another back end after this time without a response; 0 is never.
   Duration hedge_after{0};
   friend bool operator==(const TrafficGroupSpec&, const TrafficGroupSpec&) = default;
 };
 
-/// States which labels should meet. Engines that match `engines` (by their own labels and their
-/// machine's) hold the models that match `models` and serve the workloads (Pools and
-/// TrafficGroups) that match `workloads`. A missing selector matches nothing.
+/// Assigns models and workloads to engines by labels. Engines that match `engines` (by their own
+/// labels and their machine's) hold the models that match `models` and serve the workloads (Pools
+/// and TrafficGroups) that match `workloads`. A missing selector matches nothing.
 struct MatchSpec {
   std::optional<Selector> workloads;
   std::optional<Selector> models;
--- a/source/resources/resource_codec.h
+++ b/source/resources/resource_codec.h
@@ -16,19 +16,19 @@
 std::string_view KindName(ResourceKind kind);
 absl::StatusOr<ResourceKind> ParseKind(std::string_view name);
 
-/// A resource and where its document begins.
+/// A resource and the start of its document.
 struct ParsedResource {
   Resource resource;
   Location location;
 };
 
-/// Parses a stream of YAML documents. Every fault (unknown key, wrong unit, out of bounds, host
-/// name where an IP number is due, duplicate resource) is added to `findings`.
+/// Parses a stream of YAML documents. Every error (unknown key, wrong unit, out of bounds, host
+/// name instead of an IP address, duplicate resource) is added to `findings`.
 std::vector<ParsedResource> ParseResources(const std::string& file, const std::string& text,
                                            Findings& findings);
 std::string ToYaml(const Resource& resource);
 std::string ToJson(const Resource& resource);
-/// JSON is read by the YAML parser, whose superset it is; faults are InvalidArgument with places.
+/// Uses the YAML parser, as YAML is a superset of JSON. Errors are InvalidArgument with locations.
 absl::StatusOr<Resource> ResourceFromJson(const std::string& text);
 
 }  // namespace millstair
--- a/source/resources/resource_fields.h
+++ b/source/resources/resource_fields.h
@@ -1,5 +1,5 @@
-/// The fields of every kind of resource, stated once: name, form, bounds. Readers, writers and the
-/// check of docs/CONFIGURATION.md all visit this description.
+/// Single description of the fields of every resource kind: name, form and bounds. Visited by
+/// readers, writers and the test of docs/CONFIGURATION.md.
 ///
 /// A visitor has Text, Flag, Unsigned, Double, Bytes, Time, TextList, Choice and OptionalSelector.
 #pragma once
--- a/source/resources/resource_names.h
+++ b/source/resources/resource_names.h
@@ -1,4 +1,4 @@
-/// Words of the enumerations in resources.
+/// Text forms of the enumerations in resources.
 #pragma once
 
 #include <optional>
--- a/source/resources/resource_reader.cc
+++ b/source/resources/resource_reader.cc
@@ -1,4 +1,4 @@
-// Reads resources from YAML and JSON.
+// Parses resources from YAML and JSON.
 #include <algorithm>
 #include <map>
 #include <tuple>
@@ -153,7 +153,7 @@
   YamlFields fields_;
 };
 
-/// None when the kind is unknown, as the fields can't be judged then.
+/// nullopt if the kind is unknown, as the fields can't be checked then.
 std::optional<Resource> ReadResource(const std::string& file, const YAML::Node& node,
                                      Findings& findings) {
   if (!node.IsMap()) {
@@ -193,7 +193,7 @@
   }
 }
 
-/// Appends `found` in the order of the text.
+/// Appends `found` sorted by location.
 void AppendInOrder(const Findings& found, Findings& findings) {
   std::vector<Finding> ordered = found.items();
   std::stable_sort(ordered.begin(), ordered.end(), [](const Finding& a, const Finding& b) {
--- a/source/resources/resource_references.h
+++ b/source/resources/resource_references.h
@@ -1,4 +1,4 @@
-/// Checks between resources: the same one in two files, and names that lead nowhere.
+/// Checks across resources: duplicates in several files, and dangling references.
 #pragma once
 
 #include <vector>
@@ -8,7 +8,7 @@
 
 namespace millstair {
 
-/// Adds a finding for each resource that stands in more than one file.
+/// Adds a finding for each resource that is defined in more than one file.
 void CheckDuplicates(const std::vector<ParsedResource>& resources, Findings& findings);
 
 /// Warnings: references to resources that are not among `resources` (they may be stored already),
--- a/source/resources/scalar_text.h
+++ b/source/resources/scalar_text.h
@@ -1,4 +1,4 @@
-/// Text forms of scalar values in resources: IP numbers, names, labels.
+/// Validation of scalar values in resources: IP addresses, names, labels.
 #pragma once
 
 #include <string_view>
@@ -7,7 +7,7 @@
 
 namespace millstair {
 
-/// An IPv4 or IPv6 number. A host name is an error that says so.
+/// An IPv4 or IPv6 address; the error for a host name says so.
 absl::Status CheckIpNumber(std::string_view text);
 /// "ip:port", or "[ip]:port" for IPv6; the port is 1..65535.
 absl::Status CheckIpAndPort(std::string_view text);
--- a/source/resources/selector.h
+++ b/source/resources/selector.h
@@ -1,4 +1,4 @@
-/// Labels and selectors: how operators say which machines, models and workloads meet.
+/// Labels and selectors, by which operators match machines, models and workloads.
 #pragma once
 
 #include <map>
--- a/source/resources/yaml_documents.cc
+++ b/source/resources/yaml_documents.cc
@@ -7,8 +7,8 @@
 namespace millstair {
 namespace {
 
-/// Watches that the parser moves on. yaml-cpp 0.7 yields empty documents without end when a token
-/// stands where no document can begin.
+/// Throws if the parser makes no progress: yaml-cpp 0.7 yields empty documents endlessly after a
+/// token that can't start a document.
 class ProgressCheck : public YAML::EventHandler {
  public:
   void OnDocumentStart(const YAML::Mark& mark) override {
--- a/source/resources/yaml_documents.h
+++ b/source/resources/yaml_documents.h
@@ -1,4 +1,4 @@
-/// Loads all documents of a YAML stream; faults become findings.
+/// Loads all documents of a YAML stream; errors become findings.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace millstair {
 
-/// Empty when the text is no YAML; the finding says where.
+/// Empty if the text is not valid YAML; the finding has the location.
 std::vector<YAML::Node> LoadYamlDocuments(const std::string& file, const std::string& text,
                                           Findings& findings);
 
--- a/source/resources/yaml_fields.h
+++ b/source/resources/yaml_fields.h
@@ -1,5 +1,5 @@
-/// Reads the fields of one YAML mapping and collects every fault with its location: unknown and
-/// repeated keys, missing ones, wrong types and units, values out of bounds.
+/// Parses the fields of a YAML mapping and reports every error with its location: unknown, repeated
+/// and missing keys, wrong types and units, values out of bounds.
 #pragma once
 
 #include <cstdint>
@@ -16,17 +16,15 @@
 
 namespace millstair {
 
-/// Place of `node` in `file`.
 Location LocationOf(const std::string& file, const YAML::Node& node);
 
-/// Whether a key must be there.
 enum class Presence { kOptional, kRequired };
 
-/// Checks the text of a scalar; the status' message becomes the finding.
+/// Validates the text of a scalar; the message of the status becomes the finding.
 using TextCheck = std::function<absl::Status(std::string_view)>;
 
-/// Fields of one mapping. Each getter leaves the value alone when its key is absent or faulty.
-/// Finish() reports the keys that nobody asked for.
+/// Fields of one mapping. Getters leave the value unchanged if its key is absent or invalid.
+/// Finish() reports the keys that were not read.
 class YamlFields {
  public:
   /// `what` names the mapping in findings, for example "Machine" or "spec".
@@ -43,7 +41,7 @@
   void TextMap(const std::string& key, std::map<std::string, std::string>& value,
                const TextCheck& check_key, const TextCheck& check_value);
 
-  /// The node under `key`, marked as known; an undefined node if absent.
+  /// Returns the node under `key` and marks it as read; an undefined node if absent.
   YAML::Node Consume(const std::string& key, Presence presence = Presence::kOptional);
   /// Adds a finding at `node`.
   void AddFinding(const YAML::Node& node, const std::string& message);
@@ -57,7 +55,7 @@
     bool consumed = false;
   };
 
-  /// The scalar's text, or none with a finding when it is no scalar.
+  /// Text of a scalar; null if `node` is undefined, and null with a finding if it is no scalar.
   const std::string* ScalarText(const YAML::Node& node, const std::string& key);
 
   std::string file_;
--- a/test/resources/configuration_page_test.cc
+++ b/test/resources/configuration_page_test.cc
@@ -11,7 +11,7 @@
 namespace millstair {
 namespace {
 
-/// Visitor of VisitFields that makes the first four cells of each field's row.
+/// Visitor of VisitFields that renders the first four cells of each field's row.
 class RowWriter {
  public:
   void Text(const char* key, const std::string& value, TextForm form, Presence presence) {
@@ -81,7 +81,7 @@
   }
 };
 
-/// The part of the page under "## <kind>".
+/// The section "## <kind>" of the page.
 std::string SectionOf(const std::string& page, std::string_view kind) {
   const std::string heading = fmt::format("\n## {}\n", kind);
   const size_t begin = page.find(heading);
@@ -89,7 +89,7 @@
   return page.substr(begin, page.find("\n## ", begin + heading.size()) - begin);
 }
 
-TEST_CASE("docs/CONFIGURATION.md lists every field of every kind as the code has it") {
+TEST_CASE("docs/CONFIGURATION.md matches the fields of every kind") {
   std::ifstream stream(std::string(MILLSTAIR_SOURCE_DIR) + "/docs/CONFIGURATION.md");
   const std::string page(std::istreambuf_iterator<char>(stream), {});
   for (int i = 0; i < 8; ++i) {
--- a/test/resources/resource_codec_test.cc
+++ b/test/resources/resource_codec_test.cc
@@ -20,7 +20,7 @@
   return messages;
 }
 
-TEST_CASE("a resource is read with labels, units and defaults") {
+TEST_CASE("a resource is parsed with labels, units and defaults") {
   Findings findings;
   const auto resources = ParseResources("f.yaml", R"(
 kind: TrafficGroup
@@ -51,7 +51,7 @@
   REQUIRE(model.version_bytes == 1ULL << 30U);
 }
 
-TEST_CASE("all faults are found at once, each with its place") {
+TEST_CASE("all errors are reported at once with their locations") {
   const std::vector<std::string> messages = MessagesOf(R"(kind: Machine
 name: m1
 spec:
@@ -84,26 +84,26 @@
               "Pool, Stream, TrafficGroup, Match)"});
 }
 
-TEST_CASE("a resource or key that stands twice is a finding") {
+TEST_CASE("a duplicate resource or key is a finding") {
   REQUIRE(MessagesOf("kind: Match\nname: a\nname: b\nspec: {}\n") ==
           std::vector<std::string>{"f.yaml:3:1: key 'name' stands twice in the resource"});
   REQUIRE(MessagesOf("{kind: Match, name: a, spec: {}}\n---\n{kind: Match, name: a, spec: {}}\n") ==
           std::vector<std::string>{"f.yaml:3:1: Match 'a' stands twice, first at f.yaml:1:1"});
 }
 
-TEST_CASE("broken YAML is a finding with its place") {
+TEST_CASE("invalid YAML is a finding with its location") {
   const std::vector<std::string> messages = MessagesOf("kind: Match\nname: [a\n");
   REQUIRE(messages.size() == 1);
   REQUIRE(messages[0].rfind("f.yaml:3:1: ", 0) == 0);
 }
 
-TEST_CASE("a parser that stops moving is a finding, not an endless stream of documents") {
+TEST_CASE("a parser without progress is a finding, not an endless stream of documents") {
   // yaml-cpp 0.7 never gets past the comma.
   REQUIRE(MessagesOf("{kind: Match},\n") ==
           std::vector<std::string>{"f.yaml:1:14: unexpected token"});
 }
 
-TEST_CASE("addresses must be IP numbers with ports") {
+TEST_CASE("addresses must be IP addresses with ports") {
   REQUIRE(CheckIpAndPort("127.0.0.1:80").ok());
   REQUIRE(CheckIpAndPort("[::1]:80").ok());
   for (const char* text : {"localhost:80", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:65536",
@@ -130,7 +130,7 @@
   REQUIRE_FALSE(Matches(expression("gpu", SelectorOperator::kDoesNotExist, {}), labels));
 }
 
-TEST_CASE("references that lead nowhere are warnings") {
+TEST_CASE("dangling references are warnings") {
   Findings findings;
   const auto resources = ParseResources("f.yaml", R"(
 {kind: Engine, name: e, spec: {machine: m, address: "127.0.0.1:1"}}
@@ -215,7 +215,7 @@
   return MachineSpec{};
 }
 
-TEST_CASE("every resource survives YAML and JSON") {
+TEST_CASE("every resource round-trips through YAML and JSON") {
   rc::prop("round trip", [] {
     const auto kind = static_cast<ResourceKind>(*rc::gen::inRange(0, 8));
     Resource resource{AnyWord(), AnyLabels(), AnySpec(kind),
@@ -233,7 +233,7 @@
   });
 }
 
-TEST_CASE("damaged input gives findings or resources, never a crash") {
+TEST_CASE("mutated input yields findings or resources, never a crash") {
   const std::string sound = R"(kind: Match
 name: match-1
 labels: {a: b}
