--- a/source/settings/raw_settings.cc
+++ b/source/settings/raw_settings.cc
@@ -16,7 +16,7 @@
          kind == SettingKind::kRoutes || kind == SettingKind::kAddresses;
 }
 
-/// Walks the document; keeps what the schema knows.
+/// Traverses the document and collects the values of keys in the schema.
 class SettingsReader {
  public:
   SettingsReader(const std::string& file, RawSettings& raw, Findings& findings)
@@ -120,7 +120,7 @@
   Findings& findings_;
 };
 
-/// "c1/127.0.0.1:7000/zone-a" of a flag.
+/// Parses a flag value such as "c1/127.0.0.1:7000/zone-a".
 RawSetting::Node NodeOfFlag(absl::string_view text, const Location& location, Findings& findings) {
   const std::vector<std::string> parts = absl::StrSplit(text, '/');
   RawSetting::Node node;
--- a/source/settings/raw_settings.h
+++ b/source/settings/raw_settings.h
@@ -1,4 +1,4 @@
-/// Settings before their values are understood: each with its location. Internal to settings/.
+/// Unparsed settings with their locations. Internal to settings/.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
   Location location;
 };
 
-/// One of `text`, `list` and `nodes` is filled, by the kind of the key.
+/// One of `text`, `list` and `nodes` is set, depending on the kind of the key.
 struct RawSetting {
   Location location;
   RawText text;
@@ -31,9 +31,9 @@
 
 using RawSettings = std::map<std::string, RawSetting>;
 
-/// Reads the YAML `text`: finds syntax errors, unknown and repeated keys, and wrong shapes.
+/// Parses the YAML `text`; reports syntax errors, unknown and repeated keys, and wrong node types.
 RawSettings ReadRawSettings(const std::string& file, const std::string& text, Findings& findings);
-/// Puts the flags' values over those of the file.
+/// Replaces values of the file by those of flags.
 void ApplyOverrides(const SettingOverrides& overrides, RawSettings& raw, Findings& findings);
 
 }  // namespace millstair
--- a/source/settings/settings.cc
+++ b/source/settings/settings.cc
@@ -20,7 +20,7 @@
          });
 }
 
-/// "8000/metrics".
+/// True for texts such as "8000/metrics".
 bool IsPortAndPath(const std::string& text) {
   constexpr size_t kMaxPortDigits = 5;
   const size_t slash = text.find('/');
@@ -29,7 +29,7 @@
                      [](unsigned char c) { return std::isdigit(c) != 0; });
 }
 
-/// Turns raw values into settings, one key after another.
+/// Converts raw values to settings.
 class SettingsConverter {
  public:
   SettingsConverter(const RawSettings& raw, const std::string& file, Findings& findings)
@@ -164,7 +164,7 @@
     if (raw.list.empty()) findings_.Add(raw.location, "no seed is listed");
   }
 
-  /// Ports are the same on all control nodes, so that a seed's peer listener is known.
+  /// Derives the control nodes from the seeds. Their peer listeners all have the same port.
   void UseSeeds() {
     const std::string own_port = settings_.peer_listen.substr(settings_.peer_listen.rfind(':') + 1);
     const std::string port =
@@ -231,15 +231,13 @@
 
   bool CheckNodeField(const RawSetting::Node& node, const RawText& field, std::string_view name) {
     if (!field.text.empty()) return true;
-    // A flag that is no node at all was reported already.
+    // A malformed flag has been reported by ApplyOverrides.
     if (node.location.line != 0) {
       findings_.Add(node.location, fmt::format("the key \"control_nodes.{}\" is missing", name));
     }
     return false;
   }
 
-  // --- what has to fit together --------------------------------------------------------------
-
   Location LocationOf(const std::string& key) const {
     const auto found = raw_.find(key);
     return found == raw_.end() ? Location{file_, 0, 0} : found->second.location;
@@ -277,7 +275,7 @@
       findings_.Add({file_, 0, 0}, fmt::format("a {} node needs the key \"data\"",
                                                settings_.control ? "control" : "storage"));
     }
-    // A node that joins later need not be among the seeds.
+    // With seeds, a node that joins later need not be listed.
     if (!settings_.control || !settings_.seeds.empty()) return;
     if (settings_.node.empty() || settings_.control_nodes.empty()) return;
     const auto self = std::find_if(
--- a/source/settings/settings.h
+++ b/source/settings/settings.h
@@ -1,4 +1,4 @@
-/// Settings of one millstaird process: a YAML file, and flags that win over it.
+/// Settings of a millstaird process: a YAML file, and flags that override it.
 #pragma once
 
 #include <cstdint>
@@ -43,16 +43,16 @@
   Duration http_write = std::chrono::seconds(60);
   Duration call_connect = std::chrono::seconds(2);
   Duration call_read = std::chrono::seconds(120);
-  /// After the acknowledged leaving of a back end no node gives it new work later than this; 0 sets
-  /// no bound.
+  /// Maximum time from the acknowledged leaving of a back end until no node assigns it new work; 0
+  /// sets no bound.
   Duration leave_bound{0};
   Duration holder_lease = std::chrono::seconds(3);
   Duration job_retention = std::chrono::minutes(2);
-  /// Length of the windows in which tenants' requests are metered; 0 meters none.
+  /// Length of the windows for which tenants' requests are counted; 0 disables metering.
   Duration usage_window{0};
   Duration run_stall = std::chrono::milliseconds(2500);
-  /// So many seconds' worth of its service's rate may reach a back end that is slow after its start
-  /// in one second, from all nodes together.
+  /// Limit of the requests that all nodes together may send to a cold back end in one second: the
+  /// number that its service's cold rate allows in this time.
   Duration cold_span = std::chrono::seconds(1);
 };
 
@@ -76,43 +76,43 @@
   bool control = false;
   bool gateway = false;
   bool storage = false;
-  /// Name of this node's machine, as operators know it; may be empty.
+  /// The operators' name of this node's machine; may be empty.
   std::string machine;
   std::string peer_listen;
-  /// Where others reach the peer listener; `peer_listen` unless set.
+  /// Address by which other nodes reach the peer listener; `peer_listen` unless set.
   std::string peer_address;
   std::string http_listen;
   /// Listener of the operators' API; empty if it is `http_listen`.
   std::string http_operators;
   std::vector<ControlNodeSetting> control_nodes;
-  /// Names of the founding members of the cluster group; all control nodes unless set.
+  /// Names of the initial members of the cluster group; all control nodes unless set.
   std::vector<std::string> founders;
-  /// Addresses of control nodes, if `control_nodes` are not listed: each is named by its IP number
-  /// and has its peer listener at `seeds_port`.
+  /// Addresses of control nodes, an alternative to `control_nodes`: each node is named by its IP
+  /// address and has its peer listener at `seeds_port`.
   std::vector<std::string> seeds;
   /// 0 is the port of this node's peer listener.
   uint64_t seeds_port = 0;
-  /// "true" on the first start of the whole cluster: the seeds found it.
+  /// "true" on the first start of the cluster, which the seeds then bootstrap.
   std::string bootstrap = "true";
-  /// What is spoken at `service_listen`: "none" or the adapter's name.
+  /// Protocol at `service_listen`: "none" or the name of the adapter.
   std::string service_interface = "none";
   std::string service_listen;
-  /// Listener that tells load balancers whether this node takes work; empty if there is none.
+  /// Listener for readiness probes of load balancers; empty if there is none.
   std::string service_readiness;
-  /// Machines with replicas that may be lost at once.
+  /// Number of machines with replicas that may fail at once.
   uint64_t tolerated_losses = 1;
-  /// Engines that load weights at once; 0 is a fifth of them, and two at least.
+  /// Engines that load weights concurrently; 0 is a fifth of them, but at least two.
   uint64_t concurrent_loads = 0;
-  /// "port/path" where this node's metrics are read as well; empty is nowhere else.
+  /// "port/path" of an additional metrics listener; empty if there is none.
   std::string metrics;
-  /// "ip:port" as others name it, to "ip:port" as this node reaches it.
+  /// Advertised "ip:port" to the "ip:port" by which this node reaches it.
   std::map<std::string, std::string> routes;
   std::string data_folder;
   /// "ip:port" of the platform's machine list; empty if there is none.
   std::string platform_list;
-  /// "ip:port" to which the sums of usage are sent; empty sends none.
+  /// "ip:port" that receives usage reports; empty sends none.
   std::string metering_platform;
-  /// Requests beyond that.
+  /// Requests that may reach a cold back end in one second beyond the limit of `timing.cold_span`.
   uint64_t cold_slack = 4;
   std::string log_level = "info";
   uint64_t workers = 2;
@@ -121,11 +121,11 @@
   LimitSettings limits;
 };
 
-/// Values given on the command line, by settings key ("peer.listen"). They win over the file.
+/// Values given on the command line, by settings key ("peer.listen"). They override the file.
 using SettingOverrides = std::map<std::string, std::string>;
 
-/// Reads `text` (YAML, from `file`) and `overrides`; adds all that is wrong to `findings`. What was
-/// faulty keeps its default. Empty `text` is no file.
+/// Parses `text` (YAML, from `file`) and `overrides`; adds all errors to `findings`. Invalid values
+/// keep their defaults. Empty `text` means that there is no file.
 ServerSettings ReadSettings(const std::string& file, const std::string& text,
                             const SettingOverrides& overrides, Findings& findings);
 
--- a/source/settings/settings_schema.h
+++ b/source/settings/settings_schema.h
@@ -1,5 +1,5 @@
-/// Every settings key: its kind, unit, default, bounds and description. docs/CONFIGURATION.md lists
-/// the same; a test holds the two in step. Internal to settings/ and its tests.
+/// Schema of the settings: kind, unit, default, bounds and description of every key. A test checks
+/// that docs/CONFIGURATION.md matches it. Internal to settings/ and its tests.
 #pragma once
 
 #include <cstdint>
@@ -29,7 +29,7 @@
 };
 
 struct SettingKey {
-  /// "peer.listen".
+  /// Dotted path such as "peer.listen".
   std::string_view key;
   SettingKind kind = SettingKind::kName;
   bool required = false;
@@ -37,12 +37,13 @@
   uint64_t min = 0;
   uint64_t max = 0;
   std::string_view description;
-  /// The member of ServerSettings that it sets; which one, goes by the kind.
+  /// Access to the member of ServerSettings that the key sets; which one is set depends on the
+  /// kind.
   std::function<std::string&(ServerSettings&)> text;
   std::function<Duration&(ServerSettings&)> duration;
   std::function<uint64_t&(ServerSettings&)> number;
   std::vector<std::string_view> choices;
-  /// Default in words, where it is not a value.
+  /// Description of the default if it is not a value.
   std::string_view default_description;
 };
 
@@ -53,9 +54,9 @@
 std::string FlagName(std::string_view key);
 /// The default as text: "250ms", "none", ...
 std::string DefaultText(const SettingKey& key);
-/// The bounds as text: "10ms to 10s"; "" if there are none.
+/// The bounds as text: "10ms to 10s"; empty if there are none.
 std::string BoundsText(const SettingKey& key);
-/// What a value looks like: "duration (us, ms, s, min, h)".
+/// Description of valid values: "duration (us, ms, s, min, h)".
 std::string_view KindText(SettingKind kind);
 
 }  // namespace millstair
--- a/source/settings/settings_table.h
+++ b/source/settings/settings_table.h
@@ -1,11 +1,11 @@
-/// The table of docs/CONFIGURATION.md, made from the schema.
+/// The table of docs/CONFIGURATION.md, generated from the schema.
 #pragma once
 
 #include <string>
 
 namespace millstair {
 
-/// One Markdown row for each key: key, value, default, bounds, description.
+/// A Markdown table with a row for each key: key, value, default, bounds, meaning.
 std::string SettingsTable();
 
 }  // namespace millstair
--- a/test/settings/deployments_test.cc
+++ b/test/settings/deployments_test.cc
@@ -8,7 +8,7 @@
 namespace millstair {
 namespace {
 
-TEST_CASE("The settings of both deployments are sound") {
+TEST_CASE("The settings of both deployments are valid") {
   namespace fs = std::filesystem;
   size_t files = 0;
   for (const char* deployment : {"association", "khosa"}) {
--- a/test/settings/settings_test.cc
+++ b/test/settings/settings_test.cc
@@ -45,7 +45,7 @@
   return findings.ToString();
 }
 
-TEST_CASE("A sound file gives its values and the defaults") {
+TEST_CASE("A valid file sets values and leaves defaults") {
   Findings findings;
   const ServerSettings settings = ReadSettings("f.yaml", kValidSettings, {}, findings);
   CHECK(findings.ToString().empty());
@@ -61,7 +61,7 @@
   CHECK(settings.limits.http_body == 1024 * 1024);
 }
 
-TEST_CASE("Routes lead from one address to another, once each") {
+TEST_CASE("Each address has at most one route") {
   const std::string sound = std::string(kValidSettings) + "routes: [\"127.0.0.1:1=127.0.0.2:2\"]\n";
   Findings findings;
   const ServerSettings settings = ReadSettings("f.yaml", sound, {}, findings);
@@ -78,7 +78,7 @@
   CHECK(findings.items()[2].message == "127.0.0.1:1 has two routes");
 }
 
-TEST_CASE("Seeds are named by their IP numbers, at the port of their peer listeners") {
+TEST_CASE("Control nodes are derived from seeds by IP address and peer port") {
   const std::string listed = std::string(kValidSettings)
                                  .substr(std::string(kValidSettings).find("control_nodes"),
                                          std::string(kValidSettings).find("data:") -
@@ -98,7 +98,7 @@
   CHECK(FindingsOf(invalid).find("f.yaml:6") != std::string::npos);
 }
 
-TEST_CASE("Flags win over the file, and suffice without one") {
+TEST_CASE("Flags override the file and suffice without one") {
   Findings findings;
   ServerSettings settings =
       ReadSettings("f.yaml", kValidSettings,
@@ -128,7 +128,7 @@
   std::string finding;
 };
 
-TEST_CASE("Each fault is one finding with its place") {
+TEST_CASE("Each error is a finding with its location") {
   const std::vector<InvalidCase> cases = {
       {"zone: z1\n", "zone: z1\nzome: z2\n", "f.yaml:3:1: unknown key \"zome\""},
       {"  lease: 3s", "  leese: 3s", "f.yaml:14:3: unknown key \"timing.leese\""},
@@ -181,7 +181,7 @@
   }
 }
 
-TEST_CASE("All findings come at once, and those of flags name the flag") {
+TEST_CASE("All errors are reported at once, and those of flags name the flag") {
   const std::string findings = FindingsOf(
       "node: a b\nroles: [x]\npeer: 7\ntiming: {lease: 1}\n",
       {{"http.listen", "here"}, {"control_nodes", "c1/127.0.0.1:1"}, {"log.level", "loud"}});
@@ -196,12 +196,12 @@
   }
 }
 
-TEST_CASE("Broken YAML is a finding with its place") {
+TEST_CASE("Invalid YAML is a finding with its location") {
   CHECK(FindingsOf("node: [a\nzone: b\n").substr(0, 7) == "f.yaml:");
   CHECK(FindingsOf("- a\n- b\n").substr(0, 11) == "f.yaml:1:1:");
 }
 
-TEST_CASE("Random changes of a sound file never stop the reader") {
+TEST_CASE("Random mutations of a valid file do not crash the parser") {
   std::mt19937_64 random(20261204);
   const std::string marks = "[]{}:,-&*!|>'\"%@`# \n\t0a";
   for (int round = 0; round < 3000; ++round) {
@@ -221,7 +221,7 @@
   }
 }
 
-TEST_CASE("Values with units are read exactly") {
+TEST_CASE("Values with units are parsed exactly") {
   CHECK(*ParseDuration("250ms") == milliseconds(250));
   CHECK(*ParseDuration("1.5s") == milliseconds(1500));
   CHECK(*ParseDuration("2min") == std::chrono::minutes(2));
@@ -236,14 +236,14 @@
   CHECK(FormatSize(3 << 20) == "3MiB");
 }
 
-TEST_CASE("docs/CONFIGURATION.md lists every key as the schema has it") {
+TEST_CASE("docs/CONFIGURATION.md matches the schema") {
   std::ifstream file(std::string(MILLSTAIR_SOURCE_DIR) + "/docs/CONFIGURATION.md");
   std::stringstream page;
   page << file.rdbuf();
   CHECK(page.str().find(SettingsTable()) != std::string::npos);
 }
 
-TEST_CASE("Defaults lie within their bounds, and flags are distinct") {
+TEST_CASE("Defaults are within bounds, and flags are unique") {
   std::set<std::string> flags;
   ServerSettings defaults;
   for (const SettingKey& key : SettingKeys()) {
