--- a/source/ctl/apply_plan.h
+++ b/source/ctl/apply_plan.h
@@ -1,4 +1,4 @@
-/// What an apply would change: desired resources against stored ones.
+/// Changes that an apply makes: the difference of desired and stored resources.
 #pragma once
 
 #include <string>
@@ -17,18 +17,18 @@
 struct PlannedChange {
   PlannedAction action = PlannedAction::kUnchanged;
   Resource desired;
-  /// Version stored now, or the one that the file demands; 0 demands absence.
+  /// Stored version, or the one required by the file; 0 requires absence.
   Revision expected;
-  /// One line a difference: "spec.drain: false -> true".
+  /// One line per difference, such as "spec.drain: false -> true".
   std::vector<std::string> differences;
 };
 
-/// One entry per desired resource, in their order. A `version` in a file is kept as the version
-/// that must be stored; otherwise the stored one is what the change builds on.
+/// One entry per desired resource, in their order. The expected version is the `version` in the
+/// file if it has one, otherwise the stored one.
 std::vector<PlannedChange> PlanApply(const std::vector<Resource>& desired,
                                      const std::vector<Resource>& stored);
 
-/// The changes to send; those that keep everything are left out.
+/// The changes to send, without unchanged resources.
 std::vector<ApplyItem> ItemsOf(const std::vector<PlannedChange>& plan);
 
 }  // namespace millstair
--- a/source/ctl/blocking_client.cc
+++ b/source/ctl/blocking_client.cc
@@ -80,7 +80,7 @@
     for (const auto& field : parser.get()) {
       reply_.headers.push_back({std::string(field.name_string()), std::string(field.value())});
     }
-    // An answer that ends with its connection can't be told from a cut one.
+    // Without a length, the end of the connection can't be distinguished from truncation.
     const bool bounded = !parser.need_eof();
     while (!parser.is_done()) {
       if (!co_await ReadChunk(parser)) co_return;
--- a/source/ctl/blocking_client.h
+++ b/source/ctl/blocking_client.h
@@ -1,6 +1,6 @@
 /// A small blocking HTTP/1.1 client on Boost.Beast for millstairctl, the demo and the bench.
 ///
-/// Every call uses a connection of its own, so that no answer can belong to an earlier request.
+/// Each call uses a new connection, so that a response can't belong to an earlier request.
 #pragma once
 
 #include <functional>
@@ -13,13 +13,13 @@
 
 namespace millstair {
 
-/// Answer to a blocking call. With `failure` set the answer is missing or cut; what was read of it
-/// is kept.
+/// Result of a blocking call. If `failure` is set, the response is missing or truncated; the part
+/// that was read is retained.
 struct BlockingReply {
   std::optional<CallFailure> failure;
-  /// Why the call failed.
+  /// Why the call failed; for people.
   std::string reason;
-  /// 0 without an answer.
+  /// 0 without a response.
   int status = 0;
   HttpHeaders headers;
   std::string body;
@@ -27,14 +27,15 @@
   bool complete() const { return !failure.has_value(); }
 };
 
-/// Gets the body bytes as they arrive. Returning false ends the call; the connection is closed.
+/// Receives body bytes as they arrive. Returning false ends the call and closes the connection.
 using BodyCallback = std::function<bool(std::string_view bytes)>;
 
-/// What sends calls; tests put a fake in its location.
+/// Interface of the client; replaced by a fake in tests.
 class BlockingCaller {
  public:
   virtual ~BlockingCaller() = default;
-  /// Sends `request` to `address` ("ip:port") and waits for the complete answer, at most `timeout`.
+  /// Sends `request` to `address` ("ip:port") and waits for the complete response, at most
+  /// `timeout`.
   virtual BlockingReply Call(const std::string& address, const HttpRequest& request,
                              Duration timeout, const BodyCallback& on_body) = 0;
   BlockingReply Call(const std::string& address, const HttpRequest& request, Duration timeout) {
@@ -42,7 +43,7 @@
   }
 };
 
-/// Thread-safe: a call shares nothing with others.
+/// Thread-safe.
 class BlockingClient : public BlockingCaller {
  public:
   using BlockingCaller::Call;
--- a/source/ctl/commands.h
+++ b/source/ctl/commands.h
@@ -11,7 +11,7 @@
 
 namespace millstair {
 
-/// Where a command writes and how it waits.
+/// Environment of a command: API client, options, outputs and clock.
 struct CommandContext {
   ControlApi& api;
   const CtlOptions& options;
@@ -25,10 +25,10 @@
 
 ExitCode RunCommand(CommandContext& context);
 
-/// Writes the error and maps it to an exit code.
+/// Prints the error and maps it to an exit code.
 ExitCode ReportError(CommandContext& context, const absl::Status& status);
 
-/// Waits until no node lacks `revision`, or the timeout has passed.
+/// Waits until all nodes have applied `revision` or the timeout has passed.
 ExitCode WaitUntilApplied(CommandContext& context, Revision revision);
 
 }  // namespace millstair
--- a/source/ctl/control_api.cc
+++ b/source/ctl/control_api.cc
@@ -19,7 +19,7 @@
 constexpr int kTooManyRequestsStatus = 429;
 constexpr int kServerErrorStatus = 500;
 
-/// Whether another try, here or elsewhere, may get a final answer.
+/// Whether a retry, at this server or another, may get a final response.
 bool IsRetryable(const BlockingReply& reply) {
   return !reply.complete() || reply.status >= kServerErrorStatus ||
          reply.status == kTooManyRequestsStatus || reply.status == kRequestTimeoutStatus;
@@ -44,7 +44,7 @@
   if (reply.status == kConflictStatus) return absl::AbortedError(detail);
   if (reply.status == 400 || reply.status == 422) return absl::InvalidArgumentError(detail);
   const auto outcome = FindHeader(reply.headers, kOutcomeHeader);
-  // An earlier send of the same change may have run, as when its session expired meanwhile.
+  // An earlier attempt of the same change may have run, as when its session expired since.
   if (outcome && *outcome != OutcomeName(Outcome::kNotRun)) return absl::UnknownError(detail);
   return absl::FailedPreconditionError(detail);
 }
--- a/source/ctl/exit_codes.h
+++ b/source/ctl/exit_codes.h
@@ -9,16 +9,16 @@
   kDifferent = 1,
   /// Wrong command line.
   kUsage = 2,
-  /// The files hold findings, or the server refused the input.
+  /// The files are invalid, or the server rejected the input.
   kInvalid = 3,
-  /// Compare-and-set lost against another change.
+  /// Conflict with another change (compare-and-set failed).
   kConflict = 4,
   kNotFound = 5,
-  /// No control node answered in time. A change may have been made.
+  /// No control node responded in time. The outcome of a change is unknown.
   kUnanswered = 6,
-  /// The server said that the change was not made (session expired, refused).
+  /// The server rejected the change without making it (as with an expired session).
   kRefused = 7,
-  /// `wait`: some node still lacks the revision.
+  /// `wait`: some node has not applied the revision yet.
   kLagging = 8,
 };
 
--- a/source/ctl/main.cc
+++ b/source/ctl/main.cc
@@ -1,4 +1,4 @@
-// millstairctl: the operators' command line.
+// Entry point of millstairctl, the operators' command line.
 #include <iostream>
 #include <thread>
 
--- a/source/ctl/resource_commands.cc
+++ b/source/ctl/resource_commands.cc
@@ -26,7 +26,7 @@
   return ExitCode::kUsage;
 }
 
-/// Reads the files of the command; false when they hold findings.
+/// Reads the files of the command; false if they are invalid.
 bool ReadFiles(CommandContext& context, std::vector<ParsedResource>& resources) {
   Findings findings;
   resources = ReadResourceFiles(context.options.files, findings);
@@ -154,7 +154,7 @@
   return false;
 }
 
-/// Reads, changes and writes; again when someone else changed it in between.
+/// Reads, changes and writes a resource; retries if it was changed concurrently.
 absl::StatusOr<ChangeResult> DrainOne(CommandContext& context, const ResourceKey& key, bool drain) {
   absl::StatusOr<ChangeResult> result;
   for (int attempt = 0; attempt < kMaxDrainAttempts; ++attempt) {
--- a/source/ctl/resource_files.h
+++ b/source/ctl/resource_files.h
@@ -9,8 +9,8 @@
 
 namespace millstair {
 
-/// Reads each path: a file, or a folder with its *.yaml, *.yml and *.json files in the order of
-/// their names (sub-folders included). All faults of all files go to `findings`.
+/// Reads each path: a file, or the *.yaml, *.yml and *.json files of a folder and its sub-folders
+/// in the order of their names. All errors are added to `findings`.
 std::vector<ParsedResource> ReadResourceFiles(const std::vector<std::string>& paths,
                                               Findings& findings);
 
--- a/source/ctl/table.h
+++ b/source/ctl/table.h
@@ -1,4 +1,4 @@
-/// Plain text tables for people.
+/// Plain text tables.
 #pragma once
 
 #include <string>
@@ -23,7 +23,7 @@
 /// One table for a JSON array of objects: a column per key, in order of first appearance.
 std::string TableOf(const boost::json::array& objects);
 
-/// Text of a JSON value in a cell: strings bare, all else as JSON.
+/// Text of a JSON value in a cell: strings without quotes, others as JSON.
 std::string CellText(const boost::json::value& value);
 
 }  // namespace millstair
--- a/test/ctl/blocking_client_test.cc
+++ b/test/ctl/blocking_client_test.cc
@@ -10,7 +10,7 @@
 namespace millstair {
 namespace {
 
-/// Whole, streamed, cut and missing answers by path.
+/// Sends complete, streamed, truncated or no responses depending on the path.
 class PathHandler : public RequestHandler {
  public:
   void Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) override {
@@ -51,7 +51,7 @@
   std::unique_ptr<HttpServer> server;
 };
 
-/// An address that nothing listens on.
+/// An address without a listener.
 std::string FreeAddress() {
   boost::asio::io_context io;
   boost::asio::ip::tcp::acceptor acceptor(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
@@ -61,7 +61,7 @@
 constexpr Duration kLong = std::chrono::seconds(20);
 constexpr Duration kShort = std::chrono::milliseconds(200);
 
-TEST_CASE("whole and streamed answers are read to their end") {
+TEST_CASE("complete and streamed responses are read to their end") {
   Server server;
   BlockingClient client;
   const std::string address = server.server->address();
@@ -81,7 +81,7 @@
   REQUIRE(seen == "one two");
 }
 
-TEST_CASE("a failure says how far the call came") {
+TEST_CASE("a failure tells how far the call progressed") {
   Server server;
   BlockingClient client;
   const std::string address = server.server->address();
--- a/test/ctl/control_api_test.cc
+++ b/test/ctl/control_api_test.cc
@@ -19,7 +19,7 @@
   HttpRequest request;
 };
 
-/// Answers from a script, in order.
+/// Returns scripted replies in order.
 class FakeCaller : public BlockingCaller {
  public:
   using BlockingCaller::Call;
@@ -63,7 +63,7 @@
     return options;
   }
 
-  /// Runs a command line; `out` and `err` hold what it wrote.
+  /// Runs a command line; its output is in `out` and `err`.
   ExitCode Run(const std::vector<std::string>& line) {
     absl::StatusOr<CtlOptions> parsed = ParseCtlOptions(line);
     REQUIRE(parsed.ok());
@@ -79,7 +79,7 @@
   std::ostringstream err;
 };
 
-TEST_CASE("a change whose answer was lost is sent again under the same key at the next server") {
+TEST_CASE("a change without a response is resent with the same key to the next server") {
   Fixture fixture;
   fixture.caller.replies = {FakeCaller::Answer(200, R"({"session":"s1"})"), FakeCaller::Lost(),
                             FakeCaller::Answer(503, R"({"detail":"no leader"})"),
@@ -100,7 +100,7 @@
   REQUIRE(FindHeader(sent[1].request.headers, "If-Match") == "\"7\"");
 }
 
-TEST_CASE("a conflict names the winner") {
+TEST_CASE("a conflict returns the stored resource") {
   Fixture fixture;
   fixture.caller.replies = {
       FakeCaller::Answer(200, R"({"session":"s1"})"),
@@ -138,7 +138,7 @@
   SECTION("unknown kind") { REQUIRE(fixture.Run({"get", "Fleet"}) == ExitCode::kUsage); }
 }
 
-TEST_CASE("wait names the nodes that lack the revision") {
+TEST_CASE("wait lists the nodes that have not applied the revision") {
   Fixture fixture;
   const std::string behind = R"({"lagging":[{"node":"g2","revision":4,"reason":"no heartbeat"}]})";
   SECTION("until none is left") {
@@ -157,7 +157,7 @@
   }
 }
 
-TEST_CASE("drain builds on the stored version and tries again after a conflict") {
+TEST_CASE("drain expects the stored version and retries after a conflict") {
   Fixture fixture;
   fixture.caller.replies = {
       FakeCaller::Answer(200, kMachine), FakeCaller::Answer(200, R"({"session":"s1"})"),
@@ -171,7 +171,7 @@
   REQUIRE(KeyOf(fixture.caller.sent.back()) == "s1/2");
 }
 
-TEST_CASE("options name servers as IP numbers with ports") {
+TEST_CASE("servers must be IP addresses with ports") {
   REQUIRE(ParseCtlOptions({"status", "-s", "127.0.0.1:1", "-s", "[::1]:2"})->servers.size() == 2);
   REQUIRE_FALSE(ParseCtlOptions({"status", "-s", "localhost:1"}).ok());
   REQUIRE_FALSE(ParseCtlOptions({"status", "--timeout", "3"}).ok());
