--- a/test/platform/ingress_request_handler_test.cc
+++ b/test/platform/ingress_request_handler_test.cc
@@ -24,9 +24,9 @@
   IngressHandlerFixture fixture;
   fixture.Start();
   fixture.backends.Serve("b:1", [](const HttpRequest&) {
-    FakeAnswer silent;
-    silent.kind = FakeAnswer::Kind::kNoResponse;
-    return silent;
+    FakeAnswer no_response;
+    no_response.kind = FakeAnswer::Kind::kNoResponse;
+    return no_response;
   });
   CHECK(fixture.Page("key-1") == 0);
   fixture.calls.reset();
--- a/test/platform/routing_codec_test.cc
+++ b/test/platform/routing_codec_test.cc
@@ -100,10 +100,10 @@
 }
 
 TEST_CASE("A truncated configuration is rejected") {
-  const std::string whole = Document(RouteWith(kSafe));
-  CHECK(FindingsOf(whole).empty());
-  for (size_t size = 0; size < whole.size(); size += 7) {
-    CHECK_FALSE(FindingsOf(whole.substr(0, size)).empty());
+  const std::string document = Document(RouteWith(kSafe));
+  CHECK(FindingsOf(document).empty());
+  for (size_t size = 0; size < document.size(); size += 7) {
+    CHECK_FALSE(FindingsOf(document.substr(0, size)).empty());
   }
 }
 
--- a/test/platform/server_incarnations_test.cc
+++ b/test/platform/server_incarnations_test.cc
@@ -162,7 +162,7 @@
 TEST_CASE("A heartbeat with an invalid field is rejected") {
   const std::string complete = BodyOf({1000, 1, "10.0.0.1:80", "ready", 1});
   REQUIRE(ReadHeartbeat("i-1", complete).ok());
-  const std::vector<std::pair<std::string, std::string>> faults = {
+  const std::vector<std::pair<std::string, std::string>> replacements = {
       {R"("state":"ready")", R"("state":"paused")"},
       {R"("state":"ready")", R"("state":3)"},
       {R"("zone":"z",)", ""},
@@ -174,11 +174,11 @@
       {R"("born":1000)", R"("born":1.5)"},
       {R"("version":1}])", R"("version":-1}])"},
   };
-  for (const auto& [part, fault] : faults) {
+  for (const auto& [part, replacement] : replacements) {
     std::string body = complete;
     const size_t at = body.find(part);
     REQUIRE(at != std::string::npos);
-    body.replace(at, part.size(), fault);
+    body.replace(at, part.size(), replacement);
     INFO(body);
     CHECK_FALSE(ReadHeartbeat("i-1", body).ok());
   }
--- a/test/platform/server_protocol_test.cc
+++ b/test/platform/server_protocol_test.cc
@@ -102,10 +102,10 @@
   CHECK(beat->state == MemberState::kLeaving);
   CHECK(beat->sequence == 4);
   CHECK(beat->models == std::vector<NamedVersion>{{ModelName("m"), WeightVersion(3)}});
-  const auto faulty = ReadHeartbeat(
+  const auto invalid = ReadHeartbeat(
       "i-1", R"({"service":"s","addr":"1.1.1.1:1","zone":"z","slots":1,"state":"ready"})");
-  REQUIRE_FALSE(faulty.ok());
-  CHECK(std::string(faulty.status().message()).find("seq") != std::string::npos);
+  REQUIRE_FALSE(invalid.ok());
+  CHECK(std::string(invalid.status().message()).find("seq") != std::string::npos);
   CHECK(ReadDeregistration("i-1", "{}")->state == MemberState::kGone);
   CHECK(ReadDeregistration("i-1", R"({"born":7})")->id ==
         MakeInstanceId(ServerName("i-1"), StartTime(7)));
