--- a/source/resources/scalar_text.cc
+++ b/source/resources/scalar_text.cc
@@ -42,13 +42,13 @@
          inet_pton(AF_INET6, text.c_str(), buffer.data()) == 1;
 }
 
-absl::Status CheckPort(std::string_view text, std::string_view whole) {
+absl::Status CheckPort(std::string_view text, std::string_view address) {
   uint32_t port = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), port);
   const bool whole_number = error == std::errc() && end == text.data() + text.size();
   if (!whole_number || port == 0 || port > std::numeric_limits<uint16_t>::max()) {
     return absl::InvalidArgumentError(
-        fmt::format("port '{}' in '{}' is not a number from 1 to 65535", text, whole));
+        fmt::format("port '{}' in '{}' is not a number from 1 to 65535", text, address));
   }
   return absl::OkStatus();
 }
--- a/test/resources/resource_codec_test.cc
+++ b/test/resources/resource_codec_test.cc
@@ -234,7 +234,7 @@
 }
 
 TEST_CASE("mutated input yields findings or resources, never a crash") {
-  const std::string sound = R"(kind: Match
+  const std::string valid = R"(kind: Match
 name: match-1
 labels: {a: b}
 spec:
@@ -250,7 +250,7 @@
   int sound_count = 0;
   constexpr int kRounds = 3000;
   for (int round = 0; round < kRounds; ++round) {
-    std::string text = sound;
+    std::string text = valid;
     const size_t edits = 1 + random() % 4;
     for (size_t i = 0; i < edits; ++i) {
       const size_t at = random() % text.size();
--- a/test/settings/settings_test.cc
+++ b/test/settings/settings_test.cc
@@ -62,9 +62,9 @@
 }
 
 TEST_CASE("Each address has at most one route") {
-  const std::string sound = std::string(kValidSettings) + "routes: [\"127.0.0.1:1=127.0.0.2:2\"]\n";
+  const std::string valid = std::string(kValidSettings) + "routes: [\"127.0.0.1:1=127.0.0.2:2\"]\n";
   Findings findings;
-  const ServerSettings settings = ReadSettings("f.yaml", sound, {}, findings);
+  const ServerSettings settings = ReadSettings("f.yaml", valid, {}, findings);
   CHECK(findings.ToString().empty());
   CHECK(settings.routes.at("127.0.0.1:1") == "127.0.0.2:2");
   const std::string invalid =
