--- a/test/platform/paused_gateway_test.cc
+++ b/test/platform/paused_gateway_test.cc
@@ -35,8 +35,7 @@
                       [](const auto& call) { return call->request.method == "POST"; }));
   }
 
-  /// Stands still while `change` is made; the next thing that the node does is what its caller
-  /// has it do.
+  /// Pauses the node while `change` is made. On return it is awake but has processed nothing yet.
   void PauseDuring(const std::function<void()>& change) {
     environment.Suspend();
     change();
