--- a/source/resources/yaml_documents.cc
+++ b/source/resources/yaml_documents.cc
@@ -7,8 +7,8 @@
 namespace millstair {
 namespace {
 
-/// Watches that the parser moves on. yaml-cpp 0.7 yields empty documents without end when a token
-/// stands where no document can begin.
+/// Throws if the parser makes no progress: yaml-cpp 0.7 yields empty documents endlessly after a
+/// token that can't start a document.
 class ProgressCheck : public YAML::EventHandler {
  public:
   void OnDocumentStart(const YAML::Mark& mark) override {
@@ -47,10 +47,10 @@
     CheckProgress(text);
     return YAML::LoadAll(text);
   } catch (const YAML::Exception& error) {
-    const Location place = error.mark.is_null()
-                               ? Location{file, 0, 0}
-                               : Location{file, error.mark.line + 1, error.mark.column + 1};
-    findings.Add(place, error.msg);
+    const Location location = error.mark.is_null()
+                                  ? Location{file, 0, 0}
+                                  : Location{file, error.mark.line + 1, error.mark.column + 1};
+    findings.Add(location, error.msg);
   }
   return {};
 }
--- a/source/resources/yaml_fields.h
+++ b/source/resources/yaml_fields.h
@@ -1,5 +1,5 @@
-/// Reads the fields of one YAML mapping and collects every fault with its place: unknown and
-/// repeated keys, missing ones, wrong types and units, values out of bounds.
+/// Parses the fields of a YAML mapping and reports every error with its location: unknown, repeated
+/// and missing keys, wrong types and units, values out of bounds.
 #pragma once
 
 #include <cstdint>
@@ -16,17 +16,15 @@
 
 namespace millstair {
 
-/// Place of `node` in `file`.
-Location PlaceOf(const std::string& file, const YAML::Node& node);
+Location LocationOf(const std::string& file, const YAML::Node& node);
 
-/// Whether a key must be there.
 enum class Presence { kOptional, kRequired };
 
-/// Checks the text of a scalar; the status' message becomes the finding.
+/// Validates the text of a scalar; the message of the status becomes the finding.
 using TextCheck = std::function<absl::Status(std::string_view)>;
 
-/// Fields of one mapping. Each getter leaves the value alone when its key is absent or faulty.
-/// Finish() reports the keys that nobody asked for.
+/// Fields of one mapping. Getters leave the value unchanged if its key is absent or invalid.
+/// Finish() reports the keys that were not read.
 class YamlFields {
  public:
   /// `what` names the mapping in findings, for example "Machine" or "spec".
@@ -34,19 +32,19 @@
 
   void Text(const std::string& key, std::string& value, Presence presence, const TextCheck& check);
   void Flag(const std::string& key, bool& value);
-  void Whole(const std::string& key, uint64_t& value, uint64_t min, uint64_t max);
-  void Whole(const std::string& key, uint32_t& value, uint32_t min, uint32_t max);
-  void Real(const std::string& key, double& value, double min, double max);
+  void Unsigned(const std::string& key, uint64_t& value, uint64_t min, uint64_t max);
+  void Unsigned(const std::string& key, uint32_t& value, uint32_t min, uint32_t max);
+  void Double(const std::string& key, double& value, double min, double max);
   void Bytes(const std::string& key, uint64_t& value, uint64_t min, uint64_t max);
   void Time(const std::string& key, Duration& value, Duration min, Duration max);
   void TextList(const std::string& key, std::vector<std::string>& value, const TextCheck& check);
   void TextMap(const std::string& key, std::map<std::string, std::string>& value,
                const TextCheck& check_key, const TextCheck& check_value);
 
-  /// The node under `key`, marked as known; an undefined node if absent.
-  YAML::Node Take(const std::string& key, Presence presence = Presence::kOptional);
+  /// Returns the node under `key` and marks it as read; an undefined node if absent.
+  YAML::Node Consume(const std::string& key, Presence presence = Presence::kOptional);
   /// Adds a finding at `node`.
-  void Fault(const YAML::Node& node, const std::string& message);
+  void AddFinding(const YAML::Node& node, const std::string& message);
   /// Reports unknown keys. Call once, last.
   void Finish();
 
@@ -54,10 +52,10 @@
   struct Entry {
     YAML::Node key;
     YAML::Node value;
-    bool taken = false;
+    bool consumed = false;
   };
 
-  /// The scalar's text, or none with a finding when it is no scalar.
+  /// Text of a scalar; null if `node` is undefined, and null with a finding if it is no scalar.
   const std::string* ScalarText(const YAML::Node& node, const std::string& key);
 
   std::string file_;
--- a/source/server/server_node.h
+++ b/source/server/server_node.h
@@ -1,4 +1,4 @@
-/// One node of millstair in this process: its storage, transport, roles and listeners.
+/// A node of the cluster: its storage, transport, roles and listeners.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 #include "runtime/runtime.h"
 #include "runtime/runtime_environment.h"
 #include "server/exit_code.h"
-#include "server/front.h"
+#include "server/frontend.h"
 #include "settings/settings.h"
 #include "storage/posix_file_system.h"
 #include "transport/address_routes.h"
@@ -26,59 +26,59 @@
 
 namespace millstair {
 
-/// Why a node did not start.
-struct StartFault {
+/// Why a node did not start; kOk if it did.
+struct StartError {
   ExitCode code = ExitCode::kOk;
   std::string message;
 };
 
-/// Everything but the constructor, Start, BeginStop and Close lives on the node's serial executor.
+/// Lives on the node's serial executor, except the constructor, Start, BeginStop and Close.
 class ServerNode : public PeerReceiver {
  public:
-  /// `stats` outlives `runtime`, and that the node.
+  /// `stats` outlives `runtime`, which outlives the node.
   ServerNode(Runtime& runtime, StatsRegistry& stats, ServerSettings settings);
   ~ServerNode() override;
 
-  /// Starts all parts and waits for it. A code other than kOk says what stood in the way.
-  StartFault Start();
-  /// Says at once that it is not ready, and still takes work for `timing.stop_notice`. Then
-  /// finishes what runs, hands over leaderships, and calls `done` on the executor.
+  /// Starts all components and blocks until they run.
+  StartError Start();
+  /// Reports the node as not ready at once but accepts work for `timing.stop_notice`. Then drains
+  /// running work, transfers leaderships and calls `done` on the executor.
   void BeginStop(std::function<void()> done);
-  /// Ends all parts and waits for it.
+  /// Destroys all components and blocks until it is done.
   void Close();
 
   void Receive(const NodeId& from, const PeerMessage& message) override;
 
-  /// Where the listeners are, with the ports picked. Known once started.
+  /// Addresses of the listeners with their actual ports. Valid once started.
   const std::string& http_address() const { return http_->address(); }
   const std::string& peer_address() const { return transport_->address(); }
 
  private:
-  StartFault StartParts();
-  StartFault OpenFolder();
-  StartFault StartTransport();
-  StartFault StartControl();
-  /// Writes the identity of a founder on the first start of the whole cluster.
-  void FoundIfFirst();
+  StartError StartParts();
+  StartError OpenFolder();
+  StartError StartTransport();
+  StartError StartControl();
+  /// Writes the identity of an initial member on the first start of the cluster.
+  void InitializeOnFirstStart();
   void StartGateway();
-  StartFault StartStorage();
-  StartFault StartServiceListeners();
-  StartFault StartMetrics(const FrontTargets& targets);
+  StartError StartStorage();
+  StartError StartServiceListeners();
+  StartError StartMetrics(const FrontendTargets& targets);
   bool ServesPlatform() const { return settings_.service_interface != "none"; }
-  StartFault StartListeners();
+  StartError StartListeners();
   absl::StatusOr<std::unique_ptr<HttpServer>> ListenHttp(const std::string& address,
                                                          RequestHandler& handler);
 
   bool Ready() const;
   void UpdateStats();
-  /// The steps of a stop, one after another.
+  /// Steps of a stop, in order.
   void DrainGateway();
   void DrainControl();
   void DrainStorage();
-  /// Requests whose answers are not sent to their end.
+  /// Requests whose responses are not completely sent.
   size_t RunningRequests() const;
-  /// Waits until the last answers are sent.
-  void WaitForAnswers(TimePoint until);
+  /// Waits until the last responses are sent or `until` has passed.
+  void WaitForResponses(TimePoint until);
 
   Runtime& runtime_;
   StatsRegistry& stats_;
@@ -97,9 +97,9 @@
   std::unique_ptr<StorageNode> storage_;
   std::unique_ptr<RequestHandler> service_;
   std::unique_ptr<RequestHandler> readiness_;
-  std::unique_ptr<Front> front_;
-  std::unique_ptr<Front> operators_front_;
-  std::unique_ptr<Front> metrics_front_;
+  std::unique_ptr<Frontend> frontend_;
+  std::unique_ptr<Frontend> operators_frontend_;
+  std::unique_ptr<Frontend> metrics_frontend_;
   std::unique_ptr<HttpServer> http_;
   std::unique_ptr<HttpServer> operators_http_;
   std::unique_ptr<HttpServer> service_http_;
--- a/test/ctl/control_api_test.cc
+++ b/test/ctl/control_api_test.cc
@@ -19,8 +19,8 @@
   HttpRequest request;
 };
 
-/// Answers from a script, in order.
-class ScriptedCaller : public BlockingCaller {
+/// Returns scripted replies in order.
+class FakeCaller : public BlockingCaller {
  public:
   using BlockingCaller::Call;
   BlockingReply Call(const std::string& address, const HttpRequest& request, Duration,
@@ -63,7 +63,7 @@
     return options;
   }
 
-  /// Runs a command line; `out` and `err` hold what it wrote.
+  /// Runs a command line; its output is in `out` and `err`.
   ExitCode Run(const std::vector<std::string>& line) {
     absl::StatusOr<CtlOptions> parsed = ParseCtlOptions(line);
     REQUIRE(parsed.ok());
@@ -73,19 +73,18 @@
     return RunCommand(context);
   }
 
-  ScriptedCaller caller;
+  FakeCaller caller;
   ControlApi api;
   std::ostringstream out;
   std::ostringstream err;
 };
 
-TEST_CASE("a change whose answer was lost is sent again under the same key at the next server") {
+TEST_CASE("a change without a response is resent with the same key to the next server") {
   Fixture fixture;
-  fixture.caller.replies = {ScriptedCaller::Answer(200, R"({"session":"s1"})"),
-                            ScriptedCaller::Lost(),
-                            ScriptedCaller::Answer(503, R"({"detail":"no leader"})"),
-                            ScriptedCaller::Answer(200, R"({"revision":9})"),
-                            ScriptedCaller::Answer(200, R"({"revision":10})")};
+  fixture.caller.replies = {FakeCaller::Answer(200, R"({"session":"s1"})"), FakeCaller::Lost(),
+                            FakeCaller::Answer(503, R"({"detail":"no leader"})"),
+                            FakeCaller::Answer(200, R"({"revision":9})"),
+                            FakeCaller::Answer(200, R"({"revision":10})")};
   const ResourceKey key{ResourceKind::kMachine, "m"};
   const auto first = fixture.api.Delete(key, Revision(7));
   REQUIRE(first.ok());
@@ -101,11 +100,11 @@
   REQUIRE(FindHeader(sent[1].request.headers, "If-Match") == "\"7\"");
 }
 
-TEST_CASE("a conflict names the winner") {
+TEST_CASE("a conflict returns the stored resource") {
   Fixture fixture;
   fixture.caller.replies = {
-      ScriptedCaller::Answer(200, R"({"session":"s1"})"),
-      ScriptedCaller::Answer(412, fmt::format(R"({{"conflicting":[{}]}})", kMachine))};
+      FakeCaller::Answer(200, R"({"session":"s1"})"),
+      FakeCaller::Answer(412, fmt::format(R"({{"conflicting":[{}]}})", kMachine))};
   REQUIRE(fixture.Run({"delete", "Machine", "m", "--revision", "3"}) == ExitCode::kConflict);
   REQUIRE(fixture.err.str().find("version: 7") != std::string::npos);
 }
@@ -113,7 +112,7 @@
 TEST_CASE("each kind of failure has its own exit code") {
   Fixture fixture;
   SECTION("not found") {
-    fixture.caller.replies = {ScriptedCaller::Answer(404, R"({"detail":"no such Machine"})")};
+    fixture.caller.replies = {FakeCaller::Answer(404, R"({"detail":"no such Machine"})")};
     REQUIRE(fixture.Run({"get", "Machine", "x"}) == ExitCode::kNotFound);
     REQUIRE(fixture.err.str() == "no such Machine\n");
   }
@@ -122,35 +121,35 @@
     REQUIRE(fixture.caller.sent.size() >= 2);
   }
   SECTION("session expired") {
-    fixture.caller.replies = {ScriptedCaller::Answer(200, R"({"session":"s1"})"),
-                              ScriptedCaller::Answer(410, R"({"detail":"expired"})")};
+    fixture.caller.replies = {FakeCaller::Answer(200, R"({"session":"s1"})"),
+                              FakeCaller::Answer(410, R"({"detail":"expired"})")};
     REQUIRE(fixture.Run({"delete", "Machine", "x"}) == ExitCode::kRefused);
   }
   SECTION("session expired, and an earlier send may have run") {
-    BlockingReply expired = ScriptedCaller::Answer(410, R"({"detail":"expired"})");
+    BlockingReply expired = FakeCaller::Answer(410, R"({"detail":"expired"})");
     expired.headers = {{"Millstair-Outcome", "unknown"}};
-    fixture.caller.replies = {ScriptedCaller::Answer(200, R"({"session":"s1"})"), expired};
+    fixture.caller.replies = {FakeCaller::Answer(200, R"({"session":"s1"})"), expired};
     REQUIRE(fixture.Run({"delete", "Machine", "x"}) == ExitCode::kUnanswered);
   }
   SECTION("invalid") {
-    fixture.caller.replies = {ScriptedCaller::Answer(400, R"({"detail":"bad"})")};
+    fixture.caller.replies = {FakeCaller::Answer(400, R"({"detail":"bad"})")};
     REQUIRE(fixture.Run({"get", "Machine"}) == ExitCode::kInvalid);
   }
   SECTION("unknown kind") { REQUIRE(fixture.Run({"get", "Fleet"}) == ExitCode::kUsage); }
 }
 
-TEST_CASE("wait names the nodes that lack the revision") {
+TEST_CASE("wait lists the nodes that have not applied the revision") {
   Fixture fixture;
   const std::string behind = R"({"lagging":[{"node":"g2","revision":4,"reason":"no heartbeat"}]})";
   SECTION("until none is left") {
-    fixture.caller.replies = {ScriptedCaller::Answer(200, behind),
-                              ScriptedCaller::Answer(200, R"({"lagging":[]})")};
+    fixture.caller.replies = {FakeCaller::Answer(200, behind),
+                              FakeCaller::Answer(200, R"({"lagging":[]})")};
     REQUIRE(fixture.Run({"wait", "--revision", "5"}) == ExitCode::kOk);
     REQUIRE(fixture.caller.sent[0].request.target == "/v1/revisions/5/lagging");
   }
   SECTION("or the time is over") {
     for (int i = 0; i < 10; ++i) {
-      fixture.caller.replies.push_back(ScriptedCaller::Answer(200, behind));
+      fixture.caller.replies.push_back(FakeCaller::Answer(200, behind));
     }
     REQUIRE(fixture.Run({"wait", "--revision", "5", "--timeout", "1s"}) == ExitCode::kLagging);
     REQUIRE(fixture.err.str().find("g2") != std::string::npos);
@@ -158,12 +157,12 @@
   }
 }
 
-TEST_CASE("drain builds on the stored version and tries again after a conflict") {
+TEST_CASE("drain expects the stored version and retries after a conflict") {
   Fixture fixture;
   fixture.caller.replies = {
-      ScriptedCaller::Answer(200, kMachine), ScriptedCaller::Answer(200, R"({"session":"s1"})"),
-      ScriptedCaller::Answer(412, fmt::format(R"({{"conflicting":[{}]}})", kMachine)),
-      ScriptedCaller::Answer(200, kMachine), ScriptedCaller::Answer(200, R"({"revision":12})")};
+      FakeCaller::Answer(200, kMachine), FakeCaller::Answer(200, R"({"session":"s1"})"),
+      FakeCaller::Answer(412, fmt::format(R"({{"conflicting":[{}]}})", kMachine)),
+      FakeCaller::Answer(200, kMachine), FakeCaller::Answer(200, R"({"revision":12})")};
   REQUIRE(fixture.Run({"drain", "Machine/m"}) == ExitCode::kOk);
   const HttpRequest& last = fixture.caller.sent.back().request;
   REQUIRE(last.target == "/v1/apply");
@@ -172,7 +171,7 @@
   REQUIRE(KeyOf(fixture.caller.sent.back()) == "s1/2");
 }
 
-TEST_CASE("options name servers as IP numbers with ports") {
+TEST_CASE("servers must be IP addresses with ports") {
   REQUIRE(ParseCtlOptions({"status", "-s", "127.0.0.1:1", "-s", "[::1]:2"})->servers.size() == 2);
   REQUIRE_FALSE(ParseCtlOptions({"status", "-s", "localhost:1"}).ok());
   REQUIRE_FALSE(ParseCtlOptions({"status", "--timeout", "3"}).ok());
--- /dev/null
+++ b/test/platform/ingress_request_handler_test.cc
@@ -0,0 +1,91 @@
+#include "platform/ingress_request_handler.h"
+
+#include <catch2/catch.hpp>
+
+#include "test/platform/ingress_handler_fixture.h"
+
+namespace millstair::platform {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+TEST_CASE("A request is forwarded with the tenant of its key and without the key") {
+  IngressHandlerFixture fixture;
+  fixture.Start();
+  CHECK(fixture.Page("key-1") == 200);
+  REQUIRE(fixture.backends.calls.size() == 1);
+  const HttpHeaders& sent = fixture.backends.calls[0]->request.headers;
+  CHECK(FindHeader(sent, "Tenant") == "t1");
+  CHECK_FALSE(FindHeader(sent, "Key").has_value());
+}
+
+TEST_CASE("Destroying a node cancels its running requests") {
+  IngressHandlerFixture fixture;
+  fixture.Start();
+  fixture.backends.Serve("b:1", [](const HttpRequest&) {
+    FakeAnswer no_response;
+    no_response.kind = FakeAnswer::Kind::kNoResponse;
+    return no_response;
+  });
+  CHECK(fixture.Page("key-1") == 0);
+  fixture.calls.reset();
+  fixture.node.reset();
+  REQUIRE(fixture.backends.calls.size() == 1);
+  CHECK(fixture.backends.calls[0]->cancelled);
+}
+
+TEST_CASE("Without a valid key only public routes are served") {
+  IngressHandlerFixture fixture;
+  fixture.Start();
+  for (const char* key : {"", "key-9"}) {
+    CHECK(fixture.Page(key) == 401);
+    CHECK(fixture.Request("POST", "/j/x", key, "{}").status == 401);
+    CHECK(fixture.Request("GET", "/v1/lots/a?since_rev=0", key).status == 401);
+    CHECK(fixture.Request("GET", "/v1/items/a?id=b", key).status == 401);
+    CHECK(fixture.Request("DELETE", "/v1/lots/a", key).status == 401);
+    CHECK(fixture.Request("POST", "/open/x", key).status == 200);
+    CHECK(fixture.Request("POST", "/nowhere/x", key).status == 404);
+  }
+  CHECK(fixture.backends.calls.size() == 2);
+}
+
+TEST_CASE("A removed key is rejected once the configuration is applied") {
+  IngressHandlerFixture fixture;
+  fixture.Start();
+  CHECK(fixture.Page("key-2") == 200);
+  fixture.control.Replace(Document(2, R"("key-1")"));
+  fixture.scheduler.RunFor(seconds(2));
+  CHECK(fixture.Page("key-2") == 401);
+  CHECK(fixture.Page("key-1") == 200);
+}
+
+TEST_CASE("A node with an unconfirmed configuration admits nobody by key") {
+  IngressHandlerFixture fixture;
+  fixture.control.isolated = true;
+  fixture.Start();
+  CHECK(fixture.Page("key-1") == 503);
+  fixture.control.Push();
+  const Answer answer = fixture.Request("POST", "/p/x", "key-1");
+  CHECK(answer.status == 503);
+  CHECK(FindHeader(answer.headers, "Retry-After").has_value());
+  CHECK(fixture.Request("POST", "/open/x", "").status == 200);
+  CHECK(fixture.backends.calls.size() == 1);
+  fixture.control.isolated = false;
+  fixture.scheduler.RunFor(seconds(3));
+  CHECK(fixture.Page("key-1") == 200);
+}
+
+TEST_CASE("An isolated node admits known keys and rejects unknown ones as retryable") {
+  IngressHandlerFixture fixture;
+  fixture.Start();
+  fixture.control.isolated = true;
+  fixture.scheduler.RunFor(seconds(10));
+  CHECK(fixture.Page("key-1") == 200);
+  CHECK(fixture.Page("key-9") == 503);
+  // The route may have been added since.
+  CHECK(fixture.Request("POST", "/nowhere/x", "key-1").status == 503);
+}
+
+}  // namespace
+}  // namespace millstair::platform
--- a/test/platform/server_wire_test.cc
+++ b/test/platform/server_protocol_test.cc
@@ -1,4 +1,4 @@
-#include "platform/server_wire.h"
+#include "platform/server_protocol.h"
 
 #include <catch2/catch.hpp>
 
@@ -8,7 +8,7 @@
 namespace millstair::platform {
 namespace {
 
-TEST_CASE("A request names its id, its time and the life of the server that is meant") {
+TEST_CASE("A request has its id, deadline and expected server instance") {
   BackendRequest request;
   request.http = {"POST", "/p/x?y=1", {{"X-Own", "1"}, {"deadline-ms", "9999"}}, "body"};
   request.host = "a.example";
@@ -16,7 +16,7 @@
   request.time_left = std::chrono::milliseconds(321);
   request.instance = InstanceId("i-7");
   request.resume_after = 4;
-  const HttpRequest made = ServerWire().MakeRequest(request);
+  const HttpRequest made = ServerProtocol().MakeRequest(request);
   CHECK(made.method == "POST");
   CHECK(made.target == "/p/x?y=1");
   CHECK(made.body == "body");
@@ -28,20 +28,20 @@
   CHECK(FindHeader(made.headers, "Last-Event-Id") == "4");
 }
 
-TEST_CASE("A server sees no caller's key, and the tenant that the system found alone") {
+TEST_CASE("API keys are not forwarded, and the tenant header is set by the system only") {
   BackendRequest request;
   request.http = {"GET", "/p/", {{"key", "secret"}, {"TENANT", "forged"}, {"X-Own", "1"}}, ""};
-  CHECK_FALSE(FindHeader(ServerWire().MakeRequest(request).headers, "Tenant").has_value());
+  CHECK_FALSE(FindHeader(ServerProtocol().MakeRequest(request).headers, "Tenant").has_value());
   request.tenant = TenantName("t1");
-  const HttpRequest made = ServerWire().MakeRequest(request);
+  const HttpRequest made = ServerProtocol().MakeRequest(request);
   CHECK_FALSE(FindHeader(made.headers, "Key").has_value());
   CHECK(FindHeader(made.headers, "Tenant") == "t1");
   CHECK(FindHeader(made.headers, "X-Own") == "1");
   CHECK(made.headers.size() == 6);
 }
 
-TEST_CASE("Only the server's own word says that a request did not run") {
-  const ServerWire wire;
+TEST_CASE("Only a header of the server marks a request as not run") {
+  const ServerProtocol wire;
   CHECK(wire.ReadAnswer({503, {{"Not-Run", "1"}}}, "id").not_run);
   CHECK(wire.ReadAnswer({421, {}}, "id").not_run);
   CHECK(wire.ReadAnswer({421, {}}, "id").wrong_instance);
@@ -49,16 +49,16 @@
   CHECK_FALSE(wire.ReadAnswer({500, {}}, "id").not_run);
 }
 
-TEST_CASE("An answer that names another request, or a success without a signature, is not taken") {
-  const ServerWire wire;
+TEST_CASE("A response to another request, or a success without a signature, is not accepted") {
+  const ServerProtocol wire;
   CHECK(wire.ReadAnswer({200, {{"Request-Id", "id"}, {"Stamp", "s"}}}, "id").own);
   CHECK_FALSE(wire.ReadAnswer({200, {{"Request-Id", "other"}, {"Stamp", "s"}}}, "id").own);
   CHECK_FALSE(wire.ReadAnswer({200, {{"Request-Id", "id"}}}, "id").own);
   CHECK_FALSE(wire.ReadAnswer({200, {{"Stamp", "s"}}}, "id").own);
 }
 
-TEST_CASE("Events of a stream are read with their versions") {
-  const ServerWire wire;
+TEST_CASE("Stream events are parsed with their versions") {
+  const ServerProtocol wire;
   const auto event = wire.ReadEvent("weight-versions: 7\nid: 3\ndata: some text");
   REQUIRE(event.ok());
   REQUIRE(event->has_value());
@@ -72,8 +72,8 @@
   CHECK_FALSE(wire.ReadEvent("id: x\ndata: y").ok());
 }
 
-TEST_CASE("A report and an order of a server are read and written") {
-  const ServerWire wire;
+TEST_CASE("Server reports are parsed, and load orders are serialized") {
+  const ServerProtocol wire;
   const auto report = wire.ReadReport(
       R"({"stage":"mixed","models":[{"name":"m","version":4,"adapters":[]}],"busy":true,"seq":2})");
   REQUIRE(report.ok());
@@ -94,7 +94,7 @@
   CHECK(wire.ReadLoadAnswer(502) == LoadAnswer::kUnknown);
 }
 
-TEST_CASE("A heartbeat of a server is read; a faulty one names the field") {
+TEST_CASE("A heartbeat is parsed; errors name the field") {
   const auto beat = ReadHeartbeat(
       "i-1", R"({"service":"s","addr":"10.0.0.9:80","zone":"z","version":"v1","slots":8,
                  "state":"draining","cold_left_ms":0,"models":[{"name":"m","version":3}],"seq":4})");
@@ -102,17 +102,17 @@
   CHECK(beat->state == MemberState::kLeaving);
   CHECK(beat->sequence == 4);
   CHECK(beat->models == std::vector<NamedVersion>{{ModelName("m"), WeightVersion(3)}});
-  const auto faulty = ReadHeartbeat(
+  const auto invalid = ReadHeartbeat(
       "i-1", R"({"service":"s","addr":"1.1.1.1:1","zone":"z","slots":1,"state":"ready"})");
-  REQUIRE_FALSE(faulty.ok());
-  CHECK(std::string(faulty.status().message()).find("seq") != std::string::npos);
+  REQUIRE_FALSE(invalid.ok());
+  CHECK(std::string(invalid.status().message()).find("seq") != std::string::npos);
   CHECK(ReadDeregistration("i-1", "{}")->state == MemberState::kGone);
   CHECK(ReadDeregistration("i-1", R"({"born":7})")->id ==
         MakeInstanceId(ServerName("i-1"), StartTime(7)));
   CHECK_FALSE(ReadDeregistration("i-1", R"({"born":"7"})").ok());
 }
 
-TEST_CASE("A batch job is read whole, and its results are written") {
+TEST_CASE("A batch job is parsed completely, and its results are serialized") {
   const auto job = ReadJob("j", "h.example", "/p/x", R"({"step":7,"model":"m","min_version":6,
       "desired":2,"requests":[{"id":"a","path":"/p/1","headers":{"Model":"m"},"body":"q83v",
       "tokens":9,"group":"g","scorer":{"id":"s","host":"h","path":"/q","body":"3q2+7w=="}}]})");
--- a/test/server/host_check_test.cc
+++ b/test/server/host_check_test.cc
@@ -25,7 +25,7 @@
   return codes;
 }
 
-ServerSettings Sound(const TemporaryFolder& folder) {
+ServerSettings ValidSettings(const TemporaryFolder& folder) {
   ServerSettings settings;
   settings.peer_listen = "127.0.0.1:0";
   settings.http_listen = "127.0.0.1:0";
@@ -33,17 +33,17 @@
   return settings;
 }
 
-TEST_CASE("A sound machine has no findings, and is left as it was") {
+TEST_CASE("A suitable host has no findings, and no files are created") {
   const TemporaryFolder folder;
-  CHECK(CheckHost(Sound(folder)).empty());
+  CHECK(CheckHost(ValidSettings(folder)).empty());
   CHECK_FALSE(fs::exists(folder / "data"));
 }
 
-TEST_CASE("Taken and foreign addresses are found, all at once") {
+TEST_CASE("All addresses that are in use or not local are reported") {
   const TemporaryFolder folder;
   boost::asio::io_context io;
   boost::asio::ip::tcp::acceptor taken(io, {boost::asio::ip::address_v4::loopback(), 0});
-  ServerSettings settings = Sound(folder);
+  ServerSettings settings = ValidSettings(folder);
   settings.peer_listen = FormatEndpoint(taken.local_endpoint());
   settings.http_listen = "203.0.113.1:80";
   const auto findings = CheckHost(settings);
@@ -54,9 +54,9 @@
   CHECK(findings[1].finding.message.find("\"http.listen\"") == 0);
 }
 
-TEST_CASE("A data folder in use, or that is none, is found") {
+TEST_CASE("A data folder that is locked or not a folder is reported") {
   const TemporaryFolder folder;
-  ServerSettings settings = Sound(folder);
+  ServerSettings settings = ValidSettings(folder);
   {
     const auto other = PosixFileSystem::Open(settings.data_folder, {});
     REQUIRE(other.ok());
@@ -70,10 +70,10 @@
   CHECK(CodesOf(settings) == std::vector<ExitCode>{ExitCode::kFolderUnusable});
 }
 
-TEST_CASE("A data folder that can't be written is found") {
-  // Root may write anywhere; /proc takes no folders from anybody.
+TEST_CASE("A read-only data folder is reported") {
+  // Permission bits do not stop root, but nobody can create folders in /proc.
   const TemporaryFolder folder;
-  ServerSettings settings = Sound(folder);
+  ServerSettings settings = ValidSettings(folder);
   settings.data_folder = "/proc/millstair-data";
   if (::geteuid() != 0) {
     settings.data_folder = folder / "read-only";
--- a/test/server/server_node_test.cc
+++ b/test/server/server_node_test.cc
@@ -19,14 +19,14 @@
 using testing::RawClient;
 using testing::TemporaryFolder;
 
-/// An address whose port was free a moment ago.
+/// A loopback address with a port that is currently free.
 std::string FreeAddress() {
   boost::asio::io_context io;
   boost::asio::ip::tcp::acceptor acceptor(io, {boost::asio::ip::address_v4::loopback(), 0});
   return FormatEndpoint(acceptor.local_endpoint());
 }
 
-/// Whole answer to a GET; empty if nobody listens.
+/// Complete response to a GET; empty if the connection fails.
 std::string Get(const std::string& address, const std::string& target) {
   try {
     RawClient client(address);
@@ -49,9 +49,9 @@
   return Get(node.http_address(), "/readyz").starts_with("HTTP/1.1 200");
 }
 
-/// Three control nodes and a gateway, in one process, over real sockets and files.
-struct Fleet {
-  Fleet() {
+/// Three control nodes and a gateway in one process, with real sockets and files.
+struct TestCluster {
+  TestCluster() {
     for (int i = 1; i <= 3; ++i) {
       const std::string name = "c" + std::to_string(i);
       control_nodes.push_back({name, FreeAddress(), "z" + std::to_string(i)});
@@ -117,57 +117,57 @@
   std::vector<std::unique_ptr<ServerNode>> nodes;
 };
 
-TEST_CASE("Three control nodes and a gateway become ready, and stop in order") {
-  Fleet fleet;
-  for (size_t i = 0; i < 3; ++i) fleet.StartControl(i);
-  fleet.StartGateway();
-  for (const auto& node : fleet.nodes) CHECK(WaitUntil([&] { return IsReady(*node); }));
+TEST_CASE("Three control nodes and a gateway become ready and stop gracefully") {
+  TestCluster cluster;
+  for (size_t i = 0; i < 3; ++i) cluster.StartControl(i);
+  cluster.StartGateway();
+  for (const auto& node : cluster.nodes) CHECK(WaitUntil([&] { return IsReady(*node); }));
 
-  const std::string& control = fleet.nodes[0]->http_address();
+  const std::string& control = cluster.nodes[0]->http_address();
   CHECK(WaitUntil([&] { return Get(control, "/v1/status").find("\"g1\"") != std::string::npos; }));
-  const std::string& gateway = fleet.nodes[3]->http_address();
+  const std::string& gateway = cluster.nodes[3]->http_address();
   CHECK(Get(gateway, "/metrics").find("millstair_lease_valid 1") != std::string::npos);
   CHECK(Get(control, "/metrics").find("millstair_raft_applied_index{group=\"cluster\"}") !=
         std::string::npos);
 
-  // The gateway first, then whichever control node leads, until one is left.
-  Fleet::StopInOrder(*fleet.nodes[3]);
+  // Stops the gateway first, then the control nodes one by one.
+  TestCluster::StopInOrder(*cluster.nodes[3]);
   CHECK(Get(gateway, "/livez").empty());
-  Fleet::StopInOrder(*fleet.nodes[0]);
-  for (size_t i = 1; i < 3; ++i) CHECK(WaitUntil([&] { return IsReady(*fleet.nodes[i]); }));
-  Fleet::StopInOrder(*fleet.nodes[1]);
-  Fleet::StopInOrder(*fleet.nodes[2]);
+  TestCluster::StopInOrder(*cluster.nodes[0]);
+  for (size_t i = 1; i < 3; ++i) CHECK(WaitUntil([&] { return IsReady(*cluster.nodes[i]); }));
+  TestCluster::StopInOrder(*cluster.nodes[1]);
+  TestCluster::StopInOrder(*cluster.nodes[2]);
 }
 
-TEST_CASE("A stopping node says so at once, and still takes work while callers turn away") {
-  Fleet fleet;
-  fleet.stop_notice = std::chrono::minutes(10);
-  for (size_t i = 0; i < 3; ++i) fleet.StartControl(i);
-  for (const auto& node : fleet.nodes) CHECK(WaitUntil([&] { return IsReady(*node); }));
-  ServerNode& stopping = *fleet.nodes[0];
+TEST_CASE("A stopping node reports not ready at once and accepts work during the stop notice") {
+  TestCluster cluster;
+  cluster.stop_notice = std::chrono::minutes(10);
+  for (size_t i = 0; i < 3; ++i) cluster.StartControl(i);
+  for (const auto& node : cluster.nodes) CHECK(WaitUntil([&] { return IsReady(*node); }));
+  ServerNode& stopping = *cluster.nodes[0];
   std::atomic<bool> ended{false};
   stopping.BeginStop([&ended] { ended = true; });
   CHECK(WaitUntil([&] { return !IsReady(stopping); }));
   CHECK(Get(stopping.http_address(), "/v1/status").starts_with("HTTP/1.1 200"));
   CHECK_FALSE(ended);
-  for (const auto& node : fleet.nodes) node->Close();
+  for (const auto& node : cluster.nodes) node->Close();
 }
 
-TEST_CASE("What keeps a node from starting has its own exit code") {
-  Fleet fleet;
-  fleet.StartControl(0);
+TEST_CASE("Each cause of a failed start has its own exit code") {
+  TestCluster cluster;
+  cluster.StartControl(0);
   const auto start = [&](const ServerSettings& settings) {
-    StatsRegistry& stats = fleet.stats[1];
-    ServerNode node(fleet.runtime, stats, settings);
+    StatsRegistry& stats = cluster.stats[1];
+    ServerNode node(cluster.runtime, stats, settings);
     return node.Start().code;
   };
-  ServerSettings settings = fleet.ControlSettings(0);
+  ServerSettings settings = cluster.ControlSettings(0);
   CHECK(start(settings) == ExitCode::kFolderLocked);
-  settings.data_folder = fleet.folder / "other";
+  settings.data_folder = cluster.folder / "other";
   CHECK(start(settings) == ExitCode::kAddressTaken);
   settings.data_folder = "/proc/none";
   CHECK(start(settings) == ExitCode::kFolderUnusable);
-  Fleet::StopInOrder(*fleet.nodes[0]);
+  TestCluster::StopInOrder(*cluster.nodes[0]);
 }
 
 }  // namespace
