--- a/bench/demo/demo_command.cc
+++ b/bench/demo/demo_command.cc
@@ -45,8 +45,9 @@
   call.max_tokens = 4;
   call.timeout = std::chrono::seconds(5);
   while (run.clock().Now() < kFirstAnswerLimit) {
-    call.try_id = fmt::format("first-{}", run.clock().Now().count());
-    const checks::CallTry record = PlaceCall(run.caller(), run.PickGateway(), call, run.clock());
+    call.attempt_id = fmt::format("first-{}", run.clock().Now().count());
+    const checks::CallAttempt record =
+        PlaceCall(run.caller(), run.PickGateway(), call, run.clock());
     if (record.end == checks::CallEnd::kComplete) return true;
     run.Sleep(std::chrono::milliseconds(200));
   }
--- a/bench/demo/demo_report.cc
+++ b/bench/demo/demo_report.cc
@@ -34,7 +34,7 @@
   static constexpr std::array<const char*, 5> kNames = {"complete", "refused", "cut", "unanswered",
                                                         "abandoned"};
   std::array<uint64_t, 5> counts{};
-  for (const checks::CallTry& call : history.calls) {
+  for (const checks::CallAttempt& call : history.calls) {
     const bool completion = call.kind == checks::CallKind::kCompletion;
     if (completion == completions) ++counts.at(static_cast<size_t>(call.end));
   }
--- a/bench/demo/live_traffic.cc
+++ b/bench/demo/live_traffic.cc
@@ -9,9 +9,9 @@
 namespace millstair {
 namespace {
 
+using checks::CallAttempt;
 using checks::CallEnd;
 using checks::CallKind;
-using checks::CallTry;
 using checks::ClaimedOutcome;
 
 constexpr int kThreadsPerKind = 24;
@@ -30,7 +30,7 @@
 }
 
 /// Whether the caller of a booking may ask again: the answer is not known yet.
-bool AsksAgain(const CallTry& call) {
+bool AsksAgain(const CallAttempt& call) {
   if (call.end == CallEnd::kComplete) return false;
   return call.outcome == ClaimedOutcome::kNotRun || call.outcome == ClaimedOutcome::kNone;
 }
@@ -43,7 +43,7 @@
   void Completion(size_t index, Duration due) {
     LiveCall call;
     call.kind = CallKind::kCompletion;
-    call.try_id = fmt::format("{}-{}", name_, index);
+    call.attempt_id = fmt::format("{}-{}", name_, index);
     call.model = run_.fleet().model;
     call.prompt = LivePrompt(index);
     call.max_tokens = static_cast<uint32_t>(run_.fleet().max_tokens);
@@ -60,7 +60,7 @@
     const std::string id = fmt::format("{}-{}", name_, index);
     call.path = traffic.path + "/" + id;
     if (traffic.kind != CallKind::kBooking) {
-      call.try_id = id;
+      call.attempt_id = id;
       Finish(PlaceCall(run_.caller(), run_.PickGateway(), call, run_.clock()), due);
       return;
     }
@@ -76,14 +76,14 @@
     std::thread twin;
     if (index % 8 == 0) {
       LiveCall second = call;
-      second.try_id = call.key + "-twin";
+      second.attempt_id = call.key + "-twin";
       twin = std::thread([this, second, due] {
         Finish(PlaceCall(run_.caller(), run_.PickGateway(), second, run_.clock()), due);
       });
     }
     for (int attempt = 0; attempt < kBookingTries; ++attempt) {
-      call.try_id = fmt::format("{}-try{}", call.key, attempt);
-      const CallTry record = PlaceCall(run_.caller(), run_.PickGateway(), call, run_.clock());
+      call.attempt_id = fmt::format("{}-try{}", call.key, attempt);
+      const CallAttempt record = PlaceCall(run_.caller(), run_.PickGateway(), call, run_.clock());
       const bool again = AsksAgain(record);
       Finish(record, due);
       if (!again || run_.stopping()) break;
@@ -92,7 +92,7 @@
     if (twin.joinable()) twin.join();
   }
 
-  void Finish(CallTry record, Duration due) {
+  void Finish(CallAttempt record, Duration due) {
     if (record.end == CallEnd::kComplete) latency_.Add(*record.ended - due);
     run_.Record([&](checks::History& history) { history.calls.push_back(std::move(record)); });
   }
--- a/bench/demo/trainer.cc
+++ b/bench/demo/trainer.cc
@@ -205,7 +205,7 @@
   }
   const Duration now = run_.clock().Now();
   run_.Record([&](checks::History& history) {
-    history.steps[open_.front().step_index].whole = now;
+    history.steps[open_.front().step_index].completed = now;
     history.demands[open_.front().demand_index].done = now;
   });
   ++report_.steps;
--- a/bench/demo/truth_reader.cc
+++ b/bench/demo/truth_reader.cc
@@ -25,7 +25,7 @@
       prompts[SeedOf(prompt.text).value] = prompt.text;
     }
   }
-  for (const checks::CallTry& call : history.calls) {
+  for (const checks::CallAttempt& call : history.calls) {
     if (!call.prompt.empty()) prompts[SeedOf(call.prompt).value] = call.prompt;
   }
   return prompts;
@@ -62,11 +62,11 @@
 }
 
 /// Tries of each once-only key.
-using TriesByKey = std::map<std::string, std::vector<const checks::CallTry*>>;
+using TriesByKey = std::map<std::string, std::vector<const checks::CallAttempt*>>;
 
 TriesByKey GroupTries(const checks::History& history) {
   TriesByKey tries;
-  for (const checks::CallTry& call : history.calls) {
+  for (const checks::CallAttempt& call : history.calls) {
     if (!call.key.empty()) tries[call.key].push_back(&call);
   }
   return tries;
@@ -77,10 +77,10 @@
 std::string TryThatRan(const TriesByKey& tries, const std::string& key) {
   const auto found = tries.find(key);
   if (found == tries.end()) return "";
-  for (const checks::CallTry* call : found->second) {
-    if (call->outcome != checks::ClaimedOutcome::kNotRun) return call->try_id;
+  for (const checks::CallAttempt* call : found->second) {
+    if (call->outcome != checks::ClaimedOutcome::kNotRun) return call->attempt_id;
   }
-  return found->second.front()->try_id;
+  return found->second.front()->attempt_id;
 }
 
 void AddExecutions(const json::object& page, const std::string& server, const TriesByKey& tries,
@@ -91,10 +91,10 @@
     const std::string key(entry.at("key").get_string());
     // A page's path ends with its try; a booking's with its key.
     const std::string last = path.substr(path.rfind('/') + 1);
-    const std::string try_id = key.empty() ? last : TryThatRan(tries, key);
+    const std::string attempt_id = key.empty() ? last : TryThatRan(tries, key);
     const auto count = entry.at("count").to_number<uint64_t>();
     for (uint64_t i = 0; i < count; ++i) {
-      history.executions.push_back({EngineName(server), try_id, key, Duration(0)});
+      history.executions.push_back({EngineName(server), attempt_id, key, Duration(0)});
     }
   }
 }
--- a/bench/load/live_call.cc
+++ b/bench/load/live_call.cc
@@ -10,9 +10,9 @@
 namespace {
 
 namespace json = boost::json;
+using checks::CallAttempt;
 using checks::CallEnd;
 using checks::CallKind;
-using checks::CallTry;
 using checks::ClaimedOutcome;
 
 constexpr int kFirstErrorStatus = 300;
@@ -32,7 +32,7 @@
   request.target = completion ? "/v1/completions" : call.path;
   request.body = completion ? CompletionBody(call) : call.body;
   if (!call.host.empty()) request.headers.push_back({"Host", call.host});
-  request.headers.push_back({"X-Request-Id", call.try_id});
+  request.headers.push_back({"X-Request-Id", call.attempt_id});
   if (!request.body.empty()) request.headers.push_back({"Content-Type", "application/json"});
   if (!call.key.empty()) request.headers.push_back({"Idempotency-Key", call.key});
   if (call.priority > 0) {
@@ -70,16 +70,16 @@
   const json::value page = json::parse(body, error);
   if (error || !page.is_object()) return false;
   const json::object& echo = page.get_object();
-  return Holds(echo, "path", call.path) && Holds(echo, "request", call.try_id) &&
+  return Holds(echo, "path", call.path) && Holds(echo, "request", call.attempt_id) &&
          Holds(echo, "body", call.body);
 }
 
-void ReadPlainAnswer(const LiveCall& call, const BlockingReply& reply, CallTry& record) {
+void ReadPlainAnswer(const LiveCall& call, const BlockingReply& reply, CallAttempt& record) {
   record.expected_body = kEcho;
   record.body = IsEchoOf(call, reply.body) ? kEcho : reply.body;
 }
 
-void ReadCompletion(const LiveCall& call, const BlockingReply& reply, CallTry& record) {
+void ReadCompletion(const LiveCall& call, const BlockingReply& reply, CallAttempt& record) {
   CompletionAnswer answer =
       call.stream ? ReadCompletionStream(reply.body) : ReadCompletionBody(reply.body);
   record.tokens = std::move(answer.tokens);
@@ -91,11 +91,11 @@
 
 }  // namespace
 
-CallTry PlaceCall(BlockingCaller& caller, const GatewayTarget& gateway, const LiveCall& call,
-                  const RunClock& clock) {
-  CallTry record;
+CallAttempt PlaceCall(BlockingCaller& caller, const GatewayTarget& gateway, const LiveCall& call,
+                      const RunClock& clock) {
+  CallAttempt record;
   record.kind = call.kind;
-  record.try_id = call.try_id;
+  record.attempt_id = call.attempt_id;
   record.key = call.key;
   record.gateway = NodeId(gateway.node);
   record.prompt = call.prompt;
--- a/bench/load/live_call.h
+++ b/bench/load/live_call.h
@@ -21,7 +21,7 @@
 struct LiveCall {
   checks::CallKind kind = checks::CallKind::kPage;
   /// Unique per try; sent as X-Request-Id.
-  std::string try_id;
+  std::string attempt_id;
   /// Host header; empty sends the gateway's address.
   std::string host;
   /// Path of a plain call.
@@ -40,8 +40,8 @@
 
 /// Sends `call` and waits for its end. For plain calls, `body` of the record equals `expected_body`
 /// exactly if the answer is the echo of this request.
-checks::CallTry PlaceCall(BlockingCaller& caller, const GatewayTarget& gateway,
-                          const LiveCall& call, const RunClock& clock);
+checks::CallAttempt PlaceCall(BlockingCaller& caller, const GatewayTarget& gateway,
+                              const LiveCall& call, const RunClock& clock);
 
 /// The text that the engine model generates.
 checks::TextOracle EngineOracle();
--- a/bench/load/load_command.cc
+++ b/bench/load/load_command.cc
@@ -21,9 +21,9 @@
 namespace {
 
 namespace po = boost::program_options;
+using checks::CallAttempt;
 using checks::CallEnd;
 using checks::CallKind;
-using checks::CallTry;
 
 constexpr int kBroken = 1;
 constexpr int kUsage = 2;
@@ -61,7 +61,7 @@
 LiveCall CallOf(const LoadOptions& options, const TraceCall& recorded, size_t index) {
   LiveCall call;
   call.kind = recorded.kind;
-  call.try_id = fmt::format("load-{}-{}", options.seed, index);
+  call.attempt_id = fmt::format("load-{}-{}", options.seed, index);
   call.host = recorded.host;
   call.path = recorded.path;
   call.priority = recorded.priority;
@@ -72,8 +72,8 @@
     call.max_tokens = recorded.max_tokens;
   }
   if (recorded.kind == CallKind::kBooking) {
-    call.key = call.try_id;
-    call.body = "{\"order\":\"" + call.try_id + "\"}";
+    call.key = call.attempt_id;
+    call.body = "{\"order\":\"" + call.attempt_id + "\"}";
   }
   return call;
 }
@@ -96,8 +96,8 @@
  private:
   void One(size_t index, Duration due) {
     const std::string& address = options_.gateways[index % options_.gateways.size()];
-    CallTry record = PlaceCall(client_, {address, address},
-                               CallOf(options_, options_.calls[index], index), clock_);
+    CallAttempt record = PlaceCall(client_, {address, address},
+                                   CallOf(options_, options_.calls[index], index), clock_);
     if (record.end == CallEnd::kComplete) latency_.Add(*record.ended - due);
     const std::lock_guard<std::mutex> lock(mutex_);
     history_.calls.push_back(std::move(record));
@@ -113,7 +113,7 @@
 
 bool LoadRun::Report() const {
   std::map<std::string, uint64_t> ends;
-  for (const CallTry& call : history_.calls) {
+  for (const CallAttempt& call : history_.calls) {
     static constexpr std::array<const char*, 5> kEndNames = {"complete", "refused", "cut",
                                                              "unanswered", "abandoned"};
     ++ends[kEndNames.at(static_cast<size_t>(call.end))];
@@ -130,7 +130,7 @@
              milliseconds(latency_.Largest())});
   fmt::print("{}", table.ToString());
   bool sound = ends["cut"] == 0;
-  for (const checks::CheckResult& check : {checks::CheckOwnWholeAnswer(history_, EngineOracle()),
+  for (const checks::CheckResult& check : {checks::CheckCompleteOwnAnswer(history_, EngineOracle()),
                                            checks::CheckOutcomeStated(history_)}) {
     fmt::print("{}: tried {}, broken {} {}\n", check.name, check.tried, check.broken,
                check.first_example);
--- a/simulator/checks/all_checks.cc
+++ b/simulator/checks/all_checks.cc
@@ -8,12 +8,12 @@
 std::vector<CheckResult> RunAllChecks(const History& history, const AgreedBounds& bounds,
                                       const TextOracle& oracle) {
   return {
-      CheckTrueVersions(history),
+      CheckClaimedVersions(history),
       CheckSampleText(history, oracle),
       CheckStaleness(history),
       CheckExactlyOnce(history),
-      CheckOwnWholeAnswer(history, oracle),
-      CheckNotRunTruth(history),
+      CheckCompleteOwnAnswer(history, oracle),
+      CheckNotRunClaims(history),
       CheckOutcomeStated(history),
       CheckAtMostOnce(history),
       CheckNoNewWorkToLeaving(history, bounds),
--- a/simulator/checks/call_checks.cc
+++ b/simulator/checks/call_checks.cc
@@ -12,13 +12,13 @@
 
 constexpr int kFirstErrorStatus = 400;
 
-std::string Describe(const CallTry& call) {
-  return fmt::format("try {} at {} sent {} ms: status {}", call.try_id, call.gateway.value(),
+std::string Describe(const CallAttempt& call) {
+  return fmt::format("try {} at {} sent {} ms: status {}", call.attempt_id, call.gateway.value(),
                      call.sent.count() / 1000, call.status);
 }
 
 /// A completion whose answer claims no versions may come from any that was ever published.
-std::optional<std::string> FindUnclaimedDifference(const History& history, const CallTry& call,
+std::optional<std::string> FindUnclaimedDifference(const History& history, const CallAttempt& call,
                                                    const TextOracle& oracle) {
   const uint32_t due = oracle.generation_length(call.prompt, call.max_tokens);
   if (call.tokens.size() != due) {
@@ -34,7 +34,7 @@
   return std::nullopt;
 }
 
-std::optional<std::string> FindCompletionFault(const History& history, const CallTry& call,
+std::optional<std::string> FindCompletionFault(const History& history, const CallAttempt& call,
                                                const TextOracle& oracle) {
   if (call.spans.empty()) return FindUnclaimedDifference(history, call, oracle);
   if (const auto fault = FindSpanFault(call.spans, static_cast<uint32_t>(call.tokens.size()))) {
@@ -45,9 +45,9 @@
 
 }  // namespace
 
-CheckResult CheckOwnWholeAnswer(const History& history, const TextOracle& oracle) {
+CheckResult CheckCompleteOwnAnswer(const History& history, const TextOracle& oracle) {
   CheckResult result{.name = "own-whole-answer"};
-  for (const CallTry& call : history.calls) {
+  for (const CallAttempt& call : history.calls) {
     if (call.end != CallEnd::kComplete) continue;
     ++result.tried;
     if (call.kind == CallKind::kCompletion) {
@@ -61,17 +61,18 @@
   return result;
 }
 
-CheckResult CheckNotRunTruth(const History& history) {
+CheckResult CheckNotRunClaims(const History& history) {
   CheckResult result{.name = "not-run-truth"};
   std::set<std::string> executed;
-  for (const BackendExecution& execution : history.executions) executed.insert(execution.try_id);
+  for (const BackendExecution& execution : history.executions)
+    executed.insert(execution.attempt_id);
   std::set<std::string> generated;
   for (const GeneratedTokens& tokens : history.generated) generated.insert(tokens.prompt);
-  for (const CallTry& call : history.calls) {
+  for (const CallAttempt& call : history.calls) {
     if (call.outcome != ClaimedOutcome::kNotRun) continue;
     ++result.tried;
-    const bool ran =
-        executed.contains(call.try_id) || (!call.prompt.empty() && generated.contains(call.prompt));
+    const bool ran = executed.contains(call.attempt_id) ||
+                     (!call.prompt.empty() && generated.contains(call.prompt));
     if (ran) result.Break("told not-run, yet it ran: " + Describe(call));
   }
   return result;
@@ -89,16 +90,16 @@
     }
     result.Break(fmt::format("key {} ran at {} ({} ms, try {}) and at {} ({} ms, try {})",
                              execution.key, earlier->second->backend.value(),
-                             earlier->second->at.count() / 1000, earlier->second->try_id,
+                             earlier->second->at.count() / 1000, earlier->second->attempt_id,
                              execution.backend.value(), execution.at.count() / 1000,
-                             execution.try_id));
+                             execution.attempt_id));
   }
   return result;
 }
 
 CheckResult CheckOutcomeStated(const History& history) {
   CheckResult result{.name = "outcome-stated"};
-  for (const CallTry& call : history.calls) {
+  for (const CallAttempt& call : history.calls) {
     if (call.end != CallEnd::kRefused || call.status < kFirstErrorStatus) continue;
     ++result.tried;
     if (call.outcome == ClaimedOutcome::kNone) {
--- a/simulator/checks/call_checks.h
+++ b/simulator/checks/call_checks.h
@@ -8,10 +8,10 @@
 namespace millstair::checks {
 
 /// A completed call holds the whole answer to its own request, and nothing of another.
-CheckResult CheckOwnWholeAnswer(const History& history, const TextOracle& oracle);
+CheckResult CheckCompleteOwnAnswer(const History& history, const TextOracle& oracle);
 
 /// A try that was told "not-run" left no trace at any back end or engine.
-CheckResult CheckNotRunTruth(const History& history);
+CheckResult CheckNotRunClaims(const History& history);
 
 /// No once-only key was executed twice, over all back ends.
 CheckResult CheckAtMostOnce(const History& history);
--- a/simulator/checks/fleet_checks.cc
+++ b/simulator/checks/fleet_checks.cc
@@ -15,29 +15,31 @@
 int64_t Milliseconds(RunTime time) { return time.count() / 1000; }
 
 /// Whether an unplanned fault was at work at any moment of [begin, end].
-bool Disturbed(const History& history, RunTime begin, RunTime end) {
+bool UnplannedFaultActive(const History& history, RunTime begin, RunTime end) {
   return std::any_of(history.faults.begin(), history.faults.end(), [&](const FaultWindow& fault) {
     return !fault.planned && fault.begin <= end && fault.end.value_or(kNever) >= begin;
   });
 }
 
-bool DuringPlannedStop(const History& history, const CallTry& call) {
+bool OverlapsPlannedStop(const History& history, const CallAttempt& call) {
   return std::any_of(history.faults.begin(), history.faults.end(), [&](const FaultWindow& fault) {
     return fault.planned && fault.begin <= call.ended.value_or(kNever) &&
            fault.end.value_or(kNever) >= call.sent;
   });
 }
 
-void CheckCallOverPlannedStop(const History& history, const CallTry& call, CheckResult& result) {
+void CheckCallOverPlannedStop(const History& history, const CallAttempt& call,
+                              CheckResult& result) {
   // Faults of the seconds before still show: time limits, elections, broken connections.
   constexpr Duration kAftermath = std::chrono::seconds(10);
   const RunTime ended = call.ended.value_or(history.end);
-  if (!DuringPlannedStop(history, call)) return;
-  if (Disturbed(history, call.sent - kAftermath, ended)) return;
+  if (!OverlapsPlannedStop(history, call)) return;
+  if (UnplannedFaultActive(history, call.sent - kAftermath, ended)) return;
   ++result.tried;
   if (call.end != CallEnd::kCut && call.end != CallEnd::kUnanswered) return;
-  result.Break(fmt::format("try {} at {} sent {} ms ended without its answer at {} ms", call.try_id,
-                           call.gateway.value(), Milliseconds(call.sent), Milliseconds(ended)));
+  result.Break(fmt::format("try {} at {} sent {} ms ended without its answer at {} ms",
+                           call.attempt_id, call.gateway.value(), Milliseconds(call.sent),
+                           Milliseconds(ended)));
 }
 
 /// Newest revision accepted at or before a time.
@@ -71,7 +73,7 @@
   Revision largest_ready;
 };
 
-void CheckSeen(const ConfigurationSeen& seen, NodeView& view, CheckResult& result) {
+void CheckRevisionsGrow(const ConfigurationSeen& seen, NodeView& view, CheckResult& result) {
   const std::string_view node = seen.node.value();
   if (seen.incarnation == view.incarnation && seen.revision < view.revision) {
     result.Break(fmt::format("{} went back from revision {} to {} at {} ms", node,
@@ -90,8 +92,8 @@
 void CheckInForce(const History& history, const AcceptedRevisions& accepted,
                   const ConfigurationSeen& seen, const AgreedBounds& bounds, CheckResult& result) {
   if (!seen.ready) return;
-  const bool disturbed = Disturbed(history, seen.at - bounds.in_force, seen.at);
-  const Duration bound = disturbed ? bounds.in_force : bounds.in_force_undisturbed;
+  const bool fault_active = UnplannedFaultActive(history, seen.at - bounds.in_force, seen.at);
+  const Duration bound = fault_active ? bounds.in_force : bounds.in_force_undisturbed;
   const Revision due = accepted.At(seen.at - bound);
   if (seen.revision >= due) return;
   result.Break(fmt::format(
@@ -125,11 +127,11 @@
 CheckResult CheckPlannedStops(const History& history) {
   CheckResult result{.name = "planned-stops-cut-nothing"};
   for (const FaultWindow& fault : history.faults) result.tried += fault.planned ? 1 : 0;
-  for (const CutByPlannedStop& cut : history.planned_cuts) {
+  for (const CallCutByPlannedStop& cut : history.planned_cuts) {
     result.Break(fmt::format("{} was open when {} ended at {} ms", cut.what, cut.node.value(),
                              Milliseconds(cut.at)));
   }
-  for (const CallTry& call : history.calls) CheckCallOverPlannedStop(history, call, result);
+  for (const CallAttempt& call : history.calls) CheckCallOverPlannedStop(history, call, result);
   return result;
 }
 
@@ -143,7 +145,7 @@
   std::map<NodeId, NodeView> views;
   for (const ConfigurationSeen* seen : in_order) {
     ++result.tried;
-    CheckSeen(*seen, views[seen->node], result);
+    CheckRevisionsGrow(*seen, views[seen->node], result);
     CheckInForce(history, accepted, *seen, bounds, result);
   }
   return result;
@@ -153,12 +155,12 @@
   CheckResult result{.name = "liveness"};
   const RunTime recovered = history.healed + bounds.recovery;
   for (const Demand& demand : history.demands) {
-    if (demand.asked > recovered) continue;
+    if (demand.requested > recovered) continue;
     ++result.tried;
-    if (demand.done && *demand.done <= std::max(recovered, demand.asked + bounds.recovery))
+    if (demand.done && *demand.done <= std::max(recovered, demand.requested + bounds.recovery))
       continue;
     result.Break(fmt::format("{} asked at {} ms is not done {} s after the faults were healed",
-                             demand.what, Milliseconds(demand.asked),
+                             demand.what, Milliseconds(demand.requested),
                              bounds.recovery.count() / 1'000'000));
   }
   for (const ConfigurationSeen& seen : history.configurations) {
@@ -171,7 +173,7 @@
   uint64_t sent = 0;
   uint64_t completed = 0;
   uint64_t completed_ever = 0;
-  for (const CallTry& call : history.calls) {
+  for (const CallAttempt& call : history.calls) {
     if (call.end == CallEnd::kComplete) ++completed_ever;
     if (call.end == CallEnd::kAbandoned || call.sent < recovered || !call.ended) continue;
     ++sent;
--- a/simulator/checks/history.h
+++ b/simulator/checks/history.h
@@ -84,7 +84,7 @@
   /// When the trainer was told that the step is taken.
   std::optional<RunTime> acknowledged;
   /// When the trainer held every sample of it.
-  std::optional<RunTime> whole;
+  std::optional<RunTime> completed;
 };
 
 /// One position of a stream, as a trainer received it.
@@ -131,10 +131,10 @@
 };
 
 /// One try of a request. Resends are tries of their own.
-struct CallTry {
+struct CallAttempt {
   CallKind kind = CallKind::kPage;
   /// Unique per try; back ends see it.
-  std::string try_id;
+  std::string attempt_id;
   /// Once-only key, shared by all tries of a booking; empty otherwise.
   std::string key;
   NodeId gateway;
@@ -159,7 +159,7 @@
 /// A plain back end began to execute a request.
 struct BackendExecution {
   EngineName backend;
-  std::string try_id;
+  std::string attempt_id;
   std::string key;
   RunTime at{0};
 };
@@ -183,7 +183,7 @@
   std::string what;
 };
 
-enum class LeavingSource : uint8_t { kOperator, kPlatformList, kOwnWord };
+enum class LeavingSource : uint8_t { kOperator, kPlatformList, kSelfReported };
 
 /// A back end is leaving, and the system could know it since `known`.
 struct BackendLeaving {
@@ -224,7 +224,7 @@
 };
 
 /// A planned stop ended its process while this try was still open there.
-struct CutByPlannedStop {
+struct CallCutByPlannedStop {
   NodeId node;
   std::string what;
   RunTime at{0};
@@ -233,7 +233,7 @@
 /// Something that was asked for, for the liveness check.
 struct Demand {
   std::string what;
-  RunTime asked{0};
+  RunTime requested{0};
   std::optional<RunTime> done;
 };
 
@@ -243,7 +243,7 @@
   std::vector<StepPut> steps;
   std::vector<CursorRead> reads;
   std::vector<VersionPublish> publishes;
-  std::vector<CallTry> calls;
+  std::vector<CallAttempt> calls;
   std::vector<BackendExecution> executions;
   std::vector<GeneratedTokens> generated;
   std::vector<BackendArrival> arrivals;
@@ -251,7 +251,7 @@
   std::vector<ConfigurationSeen> configurations;
   std::vector<RevisionAccepted> accepted;
   std::vector<FaultWindow> faults;
-  std::vector<CutByPlannedStop> planned_cuts;
+  std::vector<CallCutByPlannedStop> planned_cuts;
   std::vector<Demand> demands;
   /// Faults are healed from here on; the run ends at `end`.
   RunTime healed{0};
--- a/simulator/checks/linearizability.cc
+++ b/simulator/checks/linearizability.cc
@@ -14,7 +14,7 @@
 
 constexpr uint64_t kAbsent = 0;
 /// Version of a stored value that no answer ever named.
-constexpr uint64_t kUnnamed = std::numeric_limits<uint64_t>::max();
+constexpr uint64_t kUnknownVersion = std::numeric_limits<uint64_t>::max();
 constexpr RunTime kNever = RunTime::max();
 
 /// What is stored under one name.
@@ -38,7 +38,7 @@
         versions_(std::move(versions)),
         max_states_(max_states),
         done_(operations_.size(), false) {
-    for (const auto& [value, version] : versions_) named_.insert(version);
+    for (const auto& [value, version] : versions_) known_versions_.insert(version);
     for (size_t i = 0; i < operations_.size(); ++i) {
       if (operations_[i].action == ResourceAction::kPut) {
         writer_of_[operations_[i].value] = static_cast<int>(i);
@@ -53,7 +53,7 @@
     while (true) {
       if (AllReturnedAreDone()) return Verdict::kLinearizable;
       if (visited_.size() > max_states_) return Verdict::kUndecided;
-      if (TakeNext(path, state, next)) continue;
+      if (AdvanceToNext(path, state, next)) continue;
       if (path.empty()) return Verdict::kBroken;
       const Step& last = path.back();
       done_[last.operation] = false;
@@ -64,7 +64,7 @@
   }
 
   /// Furthest point the search came to, for the report.
-  const ResourceOperation& stuck() const { return operations_[stuck_]; }
+  const ResourceOperation& furthest() const { return operations_[furthest_]; }
 
  private:
   struct Step {
@@ -75,14 +75,14 @@
   bool AllReturnedAreDone() {
     for (size_t i = 0; i < operations_.size(); ++i) {
       if (done_[i] || !operations_[i].returned) continue;
-      stuck_ = std::max(stuck_, i);
+      furthest_ = std::max(furthest_, i);
       return false;
     }
     return true;
   }
 
   /// Extends the path by the first candidate at or after `next` that leads to a new state.
-  bool TakeNext(std::vector<Step>& path, Register& state, size_t& next) {
+  bool AdvanceToNext(std::vector<Step>& path, Register& state, size_t& next) {
     const RunTime limit = FirstReturn();
     for (size_t i = next; i < operations_.size(); ++i) {
       if (operations_[i].invoked > limit) break;
@@ -113,7 +113,7 @@
 
   uint64_t VersionOf(const std::string& value) const {
     const auto found = versions_.find(value);
-    return found == versions_.end() ? kUnnamed : found->second;
+    return found == versions_.end() ? kUnknownVersion : found->second;
   }
 
   /// Applies operation `index` to `state`; false if its answer disagrees.
@@ -138,18 +138,18 @@
 
   /// Whether `state` may hold `version`: a stored value whose version no answer named can have any
   /// version that belongs to no other value.
-  bool MayBe(uint64_t version, const Register& state) const {
-    if (state.version != kUnnamed) return state.version == version;
-    return version != kAbsent && !named_.contains(version);
+  bool CanHaveVersion(uint64_t version, const Register& state) const {
+    if (state.version != kUnknownVersion) return state.version == version;
+    return version != kAbsent && !known_versions_.contains(version);
   }
 
   bool ExpectationHolds(const ResourceOperation& operation, const Register& state) const {
-    return !operation.expected || MayBe(operation.expected->value(), state);
+    return !operation.expected || CanHaveVersion(operation.expected->value(), state);
   }
 
   bool ConflictAgrees(const ResourceOperation& operation, const Register& state) const {
     if (operation.expected && operation.expected->value() == state.version) return false;
-    return operation.version.value() == 0 || MayBe(operation.version.value(), state);
+    return operation.version.value() == 0 || CanHaveVersion(operation.version.value(), state);
   }
 
   bool PutAgrees(size_t index, Register& state) const {
@@ -159,7 +159,7 @@
     if (!ExpectationHolds(operation, state)) return false;
     state.version = VersionOf(operation.value);
     state.writer = static_cast<int>(index);
-    if (state.version == kUnnamed) return true;
+    if (state.version == kUnknownVersion) return true;
     if (state.version <= state.largest) return false;
     state.largest = state.version;
     return true;
@@ -177,11 +177,11 @@
   std::vector<ResourceOperation> operations_;
   std::map<std::string, uint64_t> versions_;
   std::map<std::string, int> writer_of_;
-  std::set<uint64_t> named_;
+  std::set<uint64_t> known_versions_;
   uint64_t max_states_;
   std::vector<bool> done_;
   std::set<std::pair<std::vector<bool>, Register>> visited_;
-  size_t stuck_ = 0;
+  size_t furthest_ = 0;
 };
 
 std::string Describe(const ResourceOperation& operation) {
@@ -237,8 +237,8 @@
   CheckRefusals(operations, versions, result);
   if (result.broken != broken_before) return;
   std::erase_if(operations, [](const ResourceOperation& operation) {
-    const bool silent_read = operation.action == ResourceAction::kRead && !operation.returned;
-    return operation.end == ResourceEnd::kRefused || silent_read;
+    const bool unanswered_read = operation.action == ResourceAction::kRead && !operation.returned;
+    return operation.end == ResourceEnd::kRefused || unanswered_read;
   });
   if (operations.empty()) return;
   std::stable_sort(operations.begin(), operations.end(),
@@ -247,7 +247,7 @@
   const Verdict verdict = search.Run();
   if (verdict == Verdict::kUndecided) ++result.undecided;
   if (verdict == Verdict::kBroken) {
-    result.Break("no order agrees with all answers; stuck at " + Describe(search.stuck()));
+    result.Break("no order agrees with all answers; stuck at " + Describe(search.furthest()));
   }
 }
 
--- a/simulator/checks/stream_checks.cc
+++ b/simulator/checks/stream_checks.cc
@@ -21,18 +21,19 @@
 /// What the trainer of one stream holds so far.
 class DeliveryLedger {
  public:
-  explicit DeliveryLedger(std::set<SampleId> asked) : asked_(std::move(asked)) {}
+  explicit DeliveryLedger(std::set<SampleId> requested) : requested_(std::move(requested)) {}
 
-  void Take(const CursorRead& read, CheckResult& result) {
+  void HandleRead(const CursorRead& read, CheckResult& result) {
     acknowledged_ = std::max(acknowledged_, read.after);
-    StreamOffset due = Next(read.after);
+    StreamOffset expected = Next(read.after);
     for (const ReceivedSample& sample : read.samples) {
       ++result.tried;
-      if (sample.offset != due) {
-        result.Break(fmt::format("offset {} was due: {}", due.value(), Describe(read, sample)));
+      if (sample.offset != expected) {
+        result.Break(
+            fmt::format("offset {} was due: {}", expected.value(), Describe(read, sample)));
       }
-      due = Next(sample.offset);
-      TakeOne(read, sample, result);
+      expected = Next(sample.offset);
+      HandleSample(read, sample, result);
     }
     const StreamOffset last = read.samples.empty() ? read.after : read.samples.back().offset;
     if (read.next != last) {
@@ -42,12 +43,12 @@
   }
 
  private:
-  void TakeOne(const CursorRead& read, const ReceivedSample& sample, CheckResult& result) {
-    if (!asked_.contains(sample.sample)) {
+  void HandleSample(const CursorRead& read, const ReceivedSample& sample, CheckResult& result) {
+    if (!requested_.contains(sample.sample)) {
       result.Break("nobody asked for it: " + Describe(read, sample));
     }
     const auto before = by_offset_.find(sample.offset);
-    if (before != by_offset_.end()) CompareWithBefore(before->second, read, sample, result);
+    if (before != by_offset_.end()) CompareWithEarlier(before->second, read, sample, result);
     by_offset_[sample.offset] = sample;
     if (sample.withdrawn) {
       Withdraw(sample);
@@ -56,8 +57,8 @@
     }
   }
 
-  static void CompareWithBefore(const ReceivedSample& before, const CursorRead& read,
-                                const ReceivedSample& now, CheckResult& result) {
+  static void CompareWithEarlier(const ReceivedSample& before, const CursorRead& read,
+                                 const ReceivedSample& now, CheckResult& result) {
     if (before.sample != now.sample) {
       result.Break(
           fmt::format("the offset held {} before: {}", before.sample.value(), Describe(read, now)));
@@ -81,7 +82,7 @@
                              state, Describe(read, sample)));
   }
 
-  std::set<SampleId> asked_;
+  std::set<SampleId> requested_;
   std::map<StreamOffset, ReceivedSample> by_offset_;
   std::map<SampleId, StreamOffset> offset_of_;
   StreamOffset acknowledged_;
@@ -165,14 +166,14 @@
 
 CheckResult CheckExactlyOnce(const History& history) {
   CheckResult result{.name = "exactly-once"};
-  std::map<StreamName, std::set<SampleId>> asked;
+  std::map<StreamName, std::set<SampleId>> requested;
   for (const StepPut& step : history.steps) {
-    for (const StepPut::Prompt& prompt : step.prompts) asked[step.stream].insert(prompt.sample);
+    for (const StepPut::Prompt& prompt : step.prompts) requested[step.stream].insert(prompt.sample);
   }
   std::map<StreamName, DeliveryLedger> ledgers;
   for (const CursorRead* read : ReadsInOrder(history)) {
-    const auto [ledger, added] = ledgers.try_emplace(read->stream, asked[read->stream]);
-    ledger->second.Take(*read, result);
+    const auto [ledger, added] = ledgers.try_emplace(read->stream, requested[read->stream]);
+    ledger->second.HandleRead(*read, result);
   }
   return result;
 }
@@ -195,7 +196,7 @@
   return result;
 }
 
-CheckResult CheckTrueVersions(const History& history) {
+CheckResult CheckClaimedVersions(const History& history) {
   CheckResult result{.name = "true-versions"};
   const GeneratedIndex generated(history.generated);
   const PromptIndex prompts = IndexPrompts(history);
--- a/simulator/checks/stream_checks.h
+++ b/simulator/checks/stream_checks.h
@@ -27,7 +27,7 @@
 
 /// Spans cover the sample without gap or overlap, and the engines truly generated those tokens of
 /// that prompt under those weights.
-CheckResult CheckTrueVersions(const History& history);
+CheckResult CheckClaimedVersions(const History& history);
 
 /// The text of a sample is the whole answer to its own prompt under the versions it names.
 CheckResult CheckSampleText(const History& history, const TextOracle& oracle);
--- a/simulator/clients/callers.cc
+++ b/simulator/clients/callers.cc
@@ -11,9 +11,9 @@
 namespace millstair::simulator {
 namespace {
 
+using checks::CallAttempt;
 using checks::CallEnd;
 using checks::CallKind;
-using checks::CallTry;
 
 /// Callers give up after this long.
 constexpr Duration kPatience = std::chrono::seconds(40);
@@ -66,7 +66,7 @@
   return comparable;
 }
 
-void TakeAnswer(CallTry& call, const WholeAnswer& answer, Duration now) {
+void TakeAnswer(CallAttempt& call, const WholeAnswer& answer, Duration now) {
   call.ended = now;
   call.first_byte = answer.first_byte;
   call.status = answer.status;
@@ -157,9 +157,9 @@
 }
 
 void Callers::SendCompletion(const std::string& prompt) {
-  CallTry call;
+  CallAttempt call;
   call.kind = CallKind::kCompletion;
-  call.try_id = NextTryId("completion");
+  call.attempt_id = NextTryId("completion");
   call.prompt = prompt;
   call.max_tokens =
       static_cast<uint32_t>(kSmallestMaxTokens + DrawBelow(random_, load_.completion_max_tokens));
@@ -167,7 +167,7 @@
   HttpRequest request{"POST", "/v1/completions", {}, ""};
   request.headers = {{"Host", "text.example"},
                      {"Content-Type", "application/json"},
-                     {"X-Request-Id", call.try_id}};
+                     {"X-Request-Id", call.attempt_id}};
   request.body =
       boost::json::serialize(boost::json::object{{"model", plan_.model.value()},
                                                  {"prompt", prompt},
@@ -177,35 +177,35 @@
 }
 
 void Callers::SendPlain(CallKind kind) {
-  CallTry call;
+  CallAttempt call;
   call.kind = kind;
-  call.try_id = NextTryId(Slug(kind));
+  call.attempt_id = NextTryId(Slug(kind));
   const std::string folder = kind == CallKind::kPage ? "/gallery/" : "/lookup/";
-  HttpRequest request{"GET", folder + call.try_id, {}, ""};
-  request.headers = {{"Host", "web.example"}, {"X-Request-Id", call.try_id}};
+  HttpRequest request{"GET", folder + call.attempt_id, {}, ""};
+  request.headers = {{"Host", "web.example"}, {"X-Request-Id", call.attempt_id}};
   call.expected_body = ExpectedBody(request);
   Send(std::move(call), DrawGateway(), std::move(request), nullptr);
 }
 
 void Callers::SendBooking(Booking booking, size_t gateway) {
-  CallTry call;
+  CallAttempt call;
   call.kind = CallKind::kBooking;
-  call.try_id = NextTryId("booking");
+  call.attempt_id = NextTryId("booking");
   call.key = "key-" + booking.id;
   HttpRequest request{"POST", "/bookings/" + booking.id, {}, "confirm " + booking.id};
   request.headers = {{"Host", "web.example"},
                      {"Content-Type", "text/plain"},
                      {"Idempotency-Key", call.key},
-                     {"X-Request-Id", call.try_id}};
+                     {"X-Request-Id", call.attempt_id}};
   call.expected_body = ExpectedBody(request);
   ++booking.tries;
   Send(std::move(call), gateway, std::move(request),
-       [this, booking, gateway](const CallTry& ended, const WholeAnswer& answer) {
+       [this, booking, gateway](const CallAttempt& ended, const WholeAnswer& answer) {
          BookingEnded(booking, gateway, ended, answer);
        });
 }
 
-void Callers::BookingEnded(const Booking& booking, size_t gateway, const CallTry& call,
+void Callers::BookingEnded(const Booking& booking, size_t gateway, const CallAttempt& call,
                            const WholeAnswer& answer) {
   constexpr int kConflict = 409;
   const bool settled = call.end == CallEnd::kComplete || answer.status == kConflict;
@@ -215,15 +215,15 @@
   });
 }
 
-void Callers::Send(CallTry call, size_t gateway, HttpRequest request,
-                   std::function<void(const CallTry&, const WholeAnswer&)> ended) {
+void Callers::Send(CallAttempt call, size_t gateway, HttpRequest request,
+                   std::function<void(const CallAttempt&, const WholeAnswer&)> ended) {
   call.sent = surroundings_.Now();
   const size_t index = surroundings_.history.calls.size();
   surroundings_.history.calls.push_back(std::move(call));
   Connect(index, gateway, plan_.gateways.size() - 1, std::move(request), std::move(ended));
   if (!DrawChance(random_, kGoAway)) return;
   surroundings_.scheduler.Schedule(kGoAwayAfter, [this, index] {
-    CallTry& recorded = surroundings_.history.calls[index];
+    CallAttempt& recorded = surroundings_.history.calls[index];
     if (recorded.ended) return;
     recorded.end = CallEnd::kAbandoned;
     recorded.ended = surroundings_.Now();
@@ -233,7 +233,7 @@
 }
 
 void Callers::Connect(size_t index, size_t gateway, size_t left, HttpRequest request,
-                      std::function<void(const CallTry&, const WholeAnswer&)> ended) {
+                      std::function<void(const CallAttempt&, const WholeAnswer&)> ended) {
   const NodePlan& target = plan_.gateways[gateway];
   surroundings_.history.calls[index].gateway = target.node;
   HttpRequest copy = request;
@@ -247,7 +247,7 @@
         }
         under_way_.erase(index);
         TakeAnswer(surroundings_.history.calls[index], answer, surroundings_.Now());
-        const CallTry recorded = surroundings_.history.calls[index];
+        const CallAttempt recorded = surroundings_.history.calls[index];
         if (ended) ended(recorded, answer);
       });
 }
--- a/simulator/clients/callers.h
+++ b/simulator/clients/callers.h
@@ -35,14 +35,14 @@
   void SendCompletion(const std::string& prompt);
   void SendPlain(checks::CallKind kind);
   void SendBooking(Booking booking, size_t gateway);
-  void BookingEnded(const Booking& booking, size_t gateway, const checks::CallTry& call,
+  void BookingEnded(const Booking& booking, size_t gateway, const checks::CallAttempt& call,
                     const WholeAnswer& answer);
   /// Sends `request` for `call` and records how it ended.
-  void Send(checks::CallTry call, size_t gateway, HttpRequest request,
-            std::function<void(const checks::CallTry&, const WholeAnswer&)> ended);
+  void Send(checks::CallAttempt call, size_t gateway, HttpRequest request,
+            std::function<void(const checks::CallAttempt&, const WholeAnswer&)> ended);
   /// Sends to `gateway`, and to the others in turn while no connection comes about.
   void Connect(size_t index, size_t gateway, size_t left, HttpRequest request,
-               std::function<void(const checks::CallTry&, const WholeAnswer&)> ended);
+               std::function<void(const checks::CallAttempt&, const WholeAnswer&)> ended);
   size_t DrawGateway();
   std::string NextTryId(std::string_view kind);
   std::string NextPrompt();
--- a/simulator/clients/completion_answer.cc
+++ b/simulator/clients/completion_answer.cc
@@ -22,7 +22,7 @@
   spans.push_back(span);
 }
 
-void ReadObject(std::string_view text, checks::CallTry& call) {
+void ReadObject(std::string_view text, checks::CallAttempt& call) {
   boost::json::error_code error;
   const boost::json::value value = boost::json::parse({text.data(), text.size()}, error);
   if (error || !value.is_object()) return;
@@ -44,7 +44,7 @@
 }
 
 /// Reads server-sent events; whether the end mark came.
-bool ReadEvents(std::string_view body, checks::CallTry& call) {
+bool ReadEvents(std::string_view body, checks::CallAttempt& call) {
   constexpr std::string_view kData = "data: ";
   bool done = false;
   size_t begin = 0;
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-void ReadCompletion(const WholeAnswer& answer, checks::CallTry& call) {
+void ReadCompletion(const WholeAnswer& answer, checks::CallAttempt& call) {
   const auto type = FindHeader(answer.headers, "Content-Type");
   if (!type || !type->starts_with("text/event-stream")) {
     ReadObject(answer.body, call);
--- a/simulator/clients/trainer.cc
+++ b/simulator/clients/trainer.cc
@@ -283,7 +283,7 @@
 void Trainer::StepWhole() {
   const Duration now = surroundings_.Now();
   Step& step = steps_.at(current_);
-  surroundings_.history.steps[step.put_record].whole = now;
+  surroundings_.history.steps[step.put_record].completed = now;
   surroundings_.history.demands[*step.demand].done = now;
   const Duration waited = now - waiting_since_;
   record_.waited += waited;
--- a/simulator/fleet/back_ends.cc
+++ b/simulator/fleet/back_ends.cc
@@ -13,7 +13,7 @@
 /// Ends what `backend` said itself about leaving.
 void TakeBackOwnWord(Surroundings& surroundings, const EngineName& backend) {
   for (checks::BackendLeaving& leaving : surroundings.history.leaving) {
-    const bool own = leaving.source == checks::LeavingSource::kOwnWord;
+    const bool own = leaving.source == checks::LeavingSource::kSelfReported;
     if (leaving.backend == backend && own && !leaving.until) leaving.until = surroundings.Now();
   }
 }
@@ -132,7 +132,7 @@
   if (down_reasons_ > 0) return;
   model_->Drain();
   surroundings_.history.leaving.push_back(
-      {plan_.name, checks::LeavingSource::kOwnWord, surroundings_.Now(), std::nullopt});
+      {plan_.name, checks::LeavingSource::kSelfReported, surroundings_.Now(), std::nullopt});
 }
 
 void EngineMachine::Undrain() {
@@ -169,15 +169,16 @@
     model_.Handle(std::move(request), std::move(writer));
     return;
   }
-  const std::string try_id = HeaderOf(request, "X-Request-Id");
+  const std::string attempt_id = HeaderOf(request, "X-Request-Id");
   const ExecutionKey key{request.method, request.target.substr(0, request.target.find('?')),
                          HeaderOf(request, "Idempotency-Key")};
-  surroundings_.history.arrivals.push_back({plan_.name, surroundings_.Now(), try_id});
+  surroundings_.history.arrivals.push_back({plan_.name, surroundings_.Now(), attempt_id});
   // The model executes on arrival or never.
   const uint64_t before = Executions(key);
   model_.Handle(std::move(request), std::move(writer));
   if (Executions(key) == before) return;
-  surroundings_.history.executions.push_back({plan_.name, try_id, key.key, surroundings_.Now()});
+  surroundings_.history.executions.push_back(
+      {plan_.name, attempt_id, key.key, surroundings_.Now()});
 }
 
 void ServerMachine::TakeDown() {
@@ -199,7 +200,7 @@
   if (down_reasons_ > 0) return;
   model_.Drain();
   surroundings_.history.leaving.push_back(
-      {plan_.name, checks::LeavingSource::kOwnWord, surroundings_.Now(), std::nullopt});
+      {plan_.name, checks::LeavingSource::kSelfReported, surroundings_.Now(), std::nullopt});
 }
 
 void ServerMachine::Undrain() {
--- a/simulator/fleet/fleet.cc
+++ b/simulator/fleet/fleet.cc
@@ -38,7 +38,7 @@
 void MeasureCalls(const checks::History& history, FleetMeasures& measures) {
   std::vector<double> latencies;
   std::vector<double> first;
-  for (const checks::CallTry& call : history.calls) {
+  for (const checks::CallAttempt& call : history.calls) {
     if (call.sent < kMeasuredFrom) continue;
     measures.answered += call.end == checks::CallEnd::kComplete ? 1 : 0;
     measures.cut += call.end == checks::CallEnd::kCut ? 1 : 0;
--- a/simulator/run/show_history.cc
+++ b/simulator/run/show_history.cc
@@ -33,12 +33,12 @@
                        Until(leaving.until), leaving.backend.value(),
                        static_cast<int>(leaving.source));
   }
-  for (const checks::CallTry& call : history.calls) {
+  for (const checks::CallAttempt& call : history.calls) {
     if (call.end == checks::CallEnd::kComplete) continue;
-    out << fmt::format("call {:.3f} to {} {} {} at {}: {} {} {}\n", Seconds(call.sent),
-                       Until(call.ended), kCallKinds[static_cast<size_t>(call.kind)], call.try_id,
-                       call.gateway.value(), kCallEnds[static_cast<size_t>(call.end)], call.status,
-                       call.body.substr(0, kShownBody));
+    out << fmt::format(
+        "call {:.3f} to {} {} {} at {}: {} {} {}\n", Seconds(call.sent), Until(call.ended),
+        kCallKinds[static_cast<size_t>(call.kind)], call.attempt_id, call.gateway.value(),
+        kCallEnds[static_cast<size_t>(call.end)], call.status, call.body.substr(0, kShownBody));
   }
   for (const checks::ResourceOperation& operation : history.resource_operations) {
     out << fmt::format(
@@ -56,7 +56,7 @@
   for (const checks::StepPut& step : history.steps) {
     out << fmt::format("step {} {} put {:.3f} taken {} whole {}\n", step.stream.value(),
                        step.step.value(), Seconds(step.sent), Until(step.acknowledged),
-                       Until(step.whole));
+                       Until(step.completed));
   }
   for (const checks::CursorRead& read : history.reads) {
     out << fmt::format("read {:.3f} to {:.3f} {} after {} next {} samples {}\n", Seconds(read.sent),
@@ -64,7 +64,7 @@
                        read.next.value(), read.samples.size());
   }
   for (const checks::Demand& demand : history.demands) {
-    out << fmt::format("demand {:.3f} done {} {}\n", Seconds(demand.asked), Until(demand.done),
+    out << fmt::format("demand {:.3f} done {} {}\n", Seconds(demand.requested), Until(demand.done),
                        demand.what);
   }
 }
--- a/test/bench/load_test.cc
+++ b/test/bench/load_test.cc
@@ -51,15 +51,15 @@
          Event(rest, SpanJson(1, length - 1), true) + (done ? "data: [DONE]\n\n" : "");
 }
 
-checks::CallTry Place(FixedCaller& caller, const LiveCall& call) {
+checks::CallAttempt Place(FixedCaller& caller, const LiveCall& call) {
   const RunClock clock;
   return PlaceCall(caller, {"g1", "127.0.0.1:1"}, call, clock);
 }
 
-checks::CheckResult CheckOne(const checks::CallTry& record) {
+checks::CheckResult CheckOne(const checks::CallAttempt& record) {
   checks::History history;
   history.calls.push_back(record);
-  return checks::CheckOwnWholeAnswer(history, EngineOracle());
+  return checks::CheckCompleteOwnAnswer(history, EngineOracle());
 }
 
 TEST_CASE("a whole stream is checked token by token") {
@@ -70,7 +70,7 @@
   call.max_tokens = 64;
   caller.reply.status = 200;
   caller.reply.body = StreamFor(call.prompt, 64, true);
-  const checks::CallTry record = Place(caller, call);
+  const checks::CallAttempt record = Place(caller, call);
   REQUIRE(record.end == CallEnd::kComplete);
   REQUIRE(record.spans.size() == 1);
   REQUIRE(CheckOne(record).broken == 0);
@@ -90,7 +90,7 @@
   FixedCaller caller;
   LiveCall call;
   call.kind = CallKind::kBooking;
-  call.try_id = "t1";
+  call.attempt_id = "t1";
   call.path = "/book/1";
   call.body = "b";
   call.key = "k1";
@@ -108,7 +108,7 @@
   call.path = "/p";
   caller.reply.status = 503;
   caller.reply.headers = {{"millstair-outcome", "not-run"}};
-  checks::CallTry record = Place(caller, call);
+  checks::CallAttempt record = Place(caller, call);
   REQUIRE(record.end == CallEnd::kRefused);
   REQUIRE(record.outcome == checks::ClaimedOutcome::kNotRun);
   caller.reply = BlockingReply{};
--- a/test/checks/call_checks_test.cc
+++ b/test/checks/call_checks_test.cc
@@ -12,16 +12,17 @@
           [](const std::string&, uint32_t max_tokens) { return max_tokens; }};
 }
 
-CallTry MakePage(const std::string& id, const std::string& body) {
-  CallTry call{.kind = CallKind::kPage, .try_id = id, .expected_body = "page " + id};
+CallAttempt MakePage(const std::string& id, const std::string& body) {
+  CallAttempt call{.kind = CallKind::kPage, .attempt_id = id, .expected_body = "page " + id};
   call.end = CallEnd::kComplete;
   call.status = 200;
   call.body = body;
   return call;
 }
 
-CallTry MakeCompletion(std::vector<std::string> tokens) {
-  CallTry call{.kind = CallKind::kCompletion, .try_id = "t", .prompt = "p", .max_tokens = 2};
+CallAttempt MakeCompletion(std::vector<std::string> tokens) {
+  CallAttempt call{
+      .kind = CallKind::kCompletion, .attempt_id = "t", .prompt = "p", .max_tokens = 2};
   call.end = CallEnd::kComplete;
   call.status = 200;
   call.tokens = std::move(tokens);
@@ -31,34 +32,34 @@
 TEST_CASE("an answer of another request is caught") {
   History history;
   history.calls = {MakePage("1", "page 1")};
-  REQUIRE(CheckOwnWholeAnswer(history, MakeOracle()).broken == 0);
+  REQUIRE(CheckCompleteOwnAnswer(history, MakeOracle()).broken == 0);
   history.calls.push_back(MakePage("2", "page 1"));
-  REQUIRE(CheckOwnWholeAnswer(history, MakeOracle()).broken == 1);
+  REQUIRE(CheckCompleteOwnAnswer(history, MakeOracle()).broken == 1);
 }
 
 TEST_CASE("a completion must be whole and of published weights") {
   History history;
   history.publishes = {{ModelName("m"), WeightVersion(4), WeightDigest("d")}};
   history.calls = {MakeCompletion({"p0v4", "p1v4"})};
-  REQUIRE(CheckOwnWholeAnswer(history, MakeOracle()).broken == 0);
+  REQUIRE(CheckCompleteOwnAnswer(history, MakeOracle()).broken == 0);
   history.calls = {MakeCompletion({"p0v4"}), MakeCompletion({"p0v4", "p1v5"})};
-  REQUIRE(CheckOwnWholeAnswer(history, MakeOracle()).broken == 2);
+  REQUIRE(CheckCompleteOwnAnswer(history, MakeOracle()).broken == 2);
 }
 
 TEST_CASE("not-run that ran is caught at plain back ends and engines") {
   History history;
-  CallTry call = MakePage("1", "");
+  CallAttempt call = MakePage("1", "");
   call.end = CallEnd::kRefused;
   call.status = 503;
   call.outcome = ClaimedOutcome::kNotRun;
   history.calls = {call};
-  REQUIRE(CheckNotRunTruth(history).broken == 0);
+  REQUIRE(CheckNotRunClaims(history).broken == 0);
   history.executions = {{EngineName("b"), "1", ""}};
-  REQUIRE(CheckNotRunTruth(history).broken == 1);
+  REQUIRE(CheckNotRunClaims(history).broken == 1);
   history.executions.clear();
   history.calls[0].prompt = "p";
   history.generated = {{EngineName("e"), Incarnation(1), "p", 0, 1}};
-  REQUIRE(CheckNotRunTruth(history).broken == 1);
+  REQUIRE(CheckNotRunClaims(history).broken == 1);
 }
 
 TEST_CASE("a key that ran twice is caught") {
@@ -73,7 +74,7 @@
 
 TEST_CASE("an error without an outcome is caught") {
   History history;
-  CallTry call = MakePage("1", "");
+  CallAttempt call = MakePage("1", "");
   call.end = CallEnd::kRefused;
   call.status = 503;
   call.outcome = ClaimedOutcome::kUnknown;
--- a/test/checks/fleet_checks_test.cc
+++ b/test/checks/fleet_checks_test.cc
@@ -10,8 +10,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-CallTry MakeCall(int sent, int ended, CallEnd end) {
-  CallTry call{.try_id = "t" + std::to_string(sent)};
+CallAttempt MakeCall(int sent, int ended, CallEnd end) {
+  CallAttempt call{.attempt_id = "t" + std::to_string(sent)};
   call.sent = seconds(sent);
   call.ended = seconds(ended);
   call.end = end;
--- a/test/checks/stream_checks_test.cc
+++ b/test/checks/stream_checks_test.cc
@@ -116,11 +116,11 @@
 TEST_CASE("claimed versions must be what the engine ran") {
   Fixture run;
   run.Read(0, {MakeSample(1, "a", 1), MakeSample(2, "b", 2)});
-  REQUIRE(CheckTrueVersions(run.history).broken == 0);
+  REQUIRE(CheckClaimedVersions(run.history).broken == 0);
   ReceivedSample wrong_digest = MakeSample(3, "c", 1);
   wrong_digest.spans[0].digest = WeightDigest("d2");
   run.Read(2, {wrong_digest});
-  REQUIRE(CheckTrueVersions(run.history).broken == 1);
+  REQUIRE(CheckClaimedVersions(run.history).broken == 1);
 }
 
 TEST_CASE("a gap in the spans is caught") {
@@ -129,7 +129,7 @@
   gap.spans[0].first_token = 1;
   gap.spans[0].token_count = 1;
   run.Read(0, {gap});
-  REQUIRE(CheckTrueVersions(run.history).broken == 1);
+  REQUIRE(CheckClaimedVersions(run.history).broken == 1);
 }
 
 TEST_CASE("the text of a sample must be its own and whole") {
