--- a/simulator/checks/all_checks.h
+++ b/simulator/checks/all_checks.h
@@ -1,4 +1,4 @@
-/// Runs every check over one history.
+/// Runs every check on one history.
 #pragma once
 
 #include <vector>
@@ -10,7 +10,7 @@
 
 namespace millstair::checks {
 
-/// Results in a fixed order, one per invariant.
+/// Returns one result per invariant, in a fixed order.
 std::vector<CheckResult> RunAllChecks(const History& history, const AgreedBounds& bounds,
                                       const TextOracle& oracle);
 
