--- a/simulator/checks/call_checks.cc
+++ b/simulator/checks/call_checks.cc
@@ -13,11 +13,11 @@
 constexpr int kFirstErrorStatus = 400;
 
 std::string Describe(const CallAttempt& call) {
-  return fmt::format("try {} at {} sent {} ms: status {}", call.attempt_id, call.gateway.value(),
-                     call.sent.count() / 1000, call.status);
+  return fmt::format("attempt {} at {} sent {} ms: status {}", call.attempt_id,
+                     call.gateway.value(), call.sent.count() / 1000, call.status);
 }
 
-/// A completion whose answer claims no versions may come from any that was ever published.
+/// A completion that reports no versions may come from any published version.
 std::optional<std::string> FindUnclaimedDifference(const History& history, const CallAttempt& call,
                                                    const TextOracle& oracle) {
   const uint32_t due = oracle.generation_length(call.prompt, call.max_tokens);
@@ -29,7 +29,9 @@
     for (const VersionPublish& publish : history.publishes) {
       known = known || call.tokens[i] == oracle.token_text(call.prompt, i, publish.version);
     }
-    if (!known) return fmt::format("token {} is '{}', of no version", i, call.tokens[i]);
+    if (!known)
+      return fmt::format("token {} is '{}', which no published version generates", i,
+                         call.tokens[i]);
   }
   return std::nullopt;
 }
@@ -73,7 +75,7 @@
     ++result.tried;
     const bool ran = executed.contains(call.attempt_id) ||
                      (!call.prompt.empty() && generated.contains(call.prompt));
-    if (ran) result.Break("told not-run, yet it ran: " + Describe(call));
+    if (ran) result.Break("reported as not-run, but it was executed: " + Describe(call));
   }
   return result;
 }
@@ -88,11 +90,11 @@
       ++result.tried;
       continue;
     }
-    result.Break(fmt::format("key {} ran at {} ({} ms, try {}) and at {} ({} ms, try {})",
-                             execution.key, earlier->second->backend.value(),
-                             earlier->second->at.count() / 1000, earlier->second->attempt_id,
-                             execution.backend.value(), execution.at.count() / 1000,
-                             execution.attempt_id));
+    result.Break(
+        fmt::format("key {} was executed at {} ({} ms, attempt {}) and at {} ({} ms, attempt {})",
+                    execution.key, earlier->second->backend.value(),
+                    earlier->second->at.count() / 1000, earlier->second->attempt_id,
+                    execution.backend.value(), execution.at.count() / 1000, execution.attempt_id));
   }
   return result;
 }
@@ -103,7 +105,7 @@
     if (call.end != CallEnd::kRefused || call.status < kFirstErrorStatus) continue;
     ++result.tried;
     if (call.outcome == ClaimedOutcome::kNone) {
-      result.Break("no outcome in the answer: " + Describe(call));
+      result.Break("error response without an outcome: " + Describe(call));
     }
   }
   return result;
