--- a/simulator/checks/call_checks.h
+++ b/simulator/checks/call_checks.h
@@ -1,4 +1,4 @@
-/// Checks of what callers were told against what back ends did.
+/// Checks the responses that callers received against the executions at back ends.
 #pragma once
 
 #include "simulator/checks/check_result.h"
@@ -7,16 +7,16 @@
 
 namespace millstair::checks {
 
-/// A completed call holds the whole answer to its own request, and nothing of another.
+/// A completed call received the complete response to its own request and nothing of another.
 CheckResult CheckCompleteOwnAnswer(const History& history, const TextOracle& oracle);
 
-/// A try that was told "not-run" left no trace at any back end or engine.
+/// An attempt reported as "not-run" was not executed by any back end or engine.
 CheckResult CheckNotRunClaims(const History& history);
 
-/// No once-only key was executed twice, over all back ends.
+/// No idempotency key was executed more than once over all back ends.
 CheckResult CheckAtMostOnce(const History& history);
 
-/// Every answer that the system itself made says what became of the request.
+/// Every error response states the outcome of the request.
 CheckResult CheckOutcomeStated(const History& history);
 
 }  // namespace millstair::checks
