--- a/simulator/checks/check_result.h
+++ b/simulator/checks/check_result.h
@@ -1,4 +1,4 @@
-/// Result of one check over one history.
+/// Result of a check of one history.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,12 @@
 
 struct CheckResult {
   std::string name;
-  /// Cases that could have broken the invariant.
+  /// Cases in which the invariant was evaluated.
   uint64_t tried = 0;
   uint64_t broken = 0;
-  /// Cases that the check gave up on; they count neither as held nor as broken.
+  /// Cases abandoned at the search limit; counted neither as held nor as broken.
   uint64_t undecided = 0;
-  /// Place and cause of the first breach; empty if there is none.
+  /// Location and cause of the first violation; empty if there is none.
   std::string first_example;
 
   void Break(std::string example) {
