--- a/simulator/checks/fleet_checks.cc
+++ b/simulator/checks/fleet_checks.cc
@@ -14,7 +14,7 @@
 
 int64_t Milliseconds(RunTime time) { return time.count() / 1000; }
 
-/// Whether an unplanned fault was at work at any moment of [begin, end].
+/// Whether an unplanned fault was active at any time in [begin, end].
 bool UnplannedFaultActive(const History& history, RunTime begin, RunTime end) {
   return std::any_of(history.faults.begin(), history.faults.end(), [&](const FaultWindow& fault) {
     return !fault.planned && fault.begin <= end && fault.end.value_or(kNever) >= begin;
@@ -30,19 +30,19 @@
 
 void CheckCallOverPlannedStop(const History& history, const CallAttempt& call,
                               CheckResult& result) {
-  // Faults of the seconds before still show: time limits, elections, broken connections.
+  // Timeouts, elections and broken connections outlast the fault that caused them.
   constexpr Duration kAftermath = std::chrono::seconds(10);
   const RunTime ended = call.ended.value_or(history.end);
   if (!OverlapsPlannedStop(history, call)) return;
   if (UnplannedFaultActive(history, call.sent - kAftermath, ended)) return;
   ++result.tried;
   if (call.end != CallEnd::kCut && call.end != CallEnd::kUnanswered) return;
-  result.Break(fmt::format("try {} at {} sent {} ms ended without its answer at {} ms",
+  result.Break(fmt::format("attempt {} at {} sent {} ms ended without a complete response at {} ms",
                            call.attempt_id, call.gateway.value(), Milliseconds(call.sent),
                            Milliseconds(ended)));
 }
 
-/// Newest revision accepted at or before a time.
+/// Finds the newest revision accepted at or before a given time.
 class AcceptedRevisions {
  public:
   explicit AcceptedRevisions(const std::vector<RevisionAccepted>& accepted) {
@@ -66,7 +66,7 @@
   std::map<RunTime, Revision> by_time_;
 };
 
-/// What one node showed so far.
+/// State that one node has shown so far.
 struct NodeView {
   Incarnation incarnation;
   Revision revision;
@@ -96,9 +96,10 @@
   const Duration bound = fault_active ? bounds.in_force : bounds.in_force_undisturbed;
   const Revision due = accepted.At(seen.at - bound);
   if (seen.revision >= due) return;
-  result.Break(fmt::format(
-      "{} gives out work at revision {} at {} ms; {} was accepted {} ms before", seen.node.value(),
-      seen.revision.value(), Milliseconds(seen.at), due.value(), Milliseconds(bound)));
+  result.Break(
+      fmt::format("{} assigns work at revision {} at {} ms; {} was accepted at least {} ms before",
+                  seen.node.value(), seen.revision.value(), Milliseconds(seen.at), due.value(),
+                  Milliseconds(bound)));
 }
 
 }  // namespace
@@ -116,8 +117,8 @@
     const RunTime until = leaving.until.value_or(kNever);
     for (const BackendArrival* arrival : arrivals[leaving.backend]) {
       if (arrival->at <= limit || arrival->at >= until) continue;
-      result.Break(fmt::format("{} at {} ms to {}, which leaves since {} ms", arrival->what,
-                               Milliseconds(arrival->at), leaving.backend.value(),
+      result.Break(fmt::format("{} at {} ms to {}, which has been leaving since {} ms",
+                               arrival->what, Milliseconds(arrival->at), leaving.backend.value(),
                                Milliseconds(leaving.known)));
     }
   }
@@ -159,9 +160,10 @@
     ++result.tried;
     if (demand.done && *demand.done <= std::max(recovered, demand.requested + bounds.recovery))
       continue;
-    result.Break(fmt::format("{} asked at {} ms is not done {} s after the faults were healed",
-                             demand.what, Milliseconds(demand.requested),
-                             bounds.recovery.count() / 1'000'000));
+    result.Break(fmt::format(
+        "{} requested at {} ms was not done within {} s after the request and the end of all "
+        "faults",
+        demand.what, Milliseconds(demand.requested), bounds.recovery.count() / 1'000'000));
   }
   for (const ConfigurationSeen& seen : history.configurations) {
     if (!seen.gateway || seen.at <= recovered) continue;
