--- a/simulator/checks/fleet_checks.h
+++ b/simulator/checks/fleet_checks.h
@@ -1,4 +1,4 @@
-/// Checks of back ends that leave, planned stops, configuration and liveness.
+/// Checks of leaving back ends, planned stops, configuration and liveness.
 #pragma once
 
 #include "simulator/checks/check_result.h"
@@ -6,35 +6,35 @@
 
 namespace millstair::checks {
 
-/// Bounds that the users agreed; all in true time.
+/// Bounds agreed with the users, in true time.
 struct AgreedBounds {
-  /// New work to a back end that operators drain or that said itself that it leaves.
+  /// Time until new work stops at a back end that operators drain or that reports itself leaving.
   Duration leaving = std::chrono::seconds(6);
-  /// The same for the platform's list, which is polled first.
+  /// The same for a back end marked in the platform's machine list, which has to be polled.
   Duration leaving_by_list = std::chrono::seconds(12);
-  /// An accepted configuration on all nodes that give out new work.
+  /// Time until all nodes that assign new work have applied an accepted configuration.
   Duration in_force = std::chrono::seconds(6);
-  /// The same on all reachable nodes while no fault is at work.
+  /// The same for all reachable nodes while no fault is active.
   Duration in_force_undisturbed = std::chrono::seconds(3);
-  /// Everything asked is done this long after the last fault was healed.
+  /// Time until pending demands are done after the last fault was healed.
   Duration recovery = std::chrono::seconds(30);
   /// Share of calls sent after recovery that must complete.
   double recovered_share = 0.95;
 };
 
-/// After the bound, nothing new arrives at a back end that leaves.
+/// No new work arrives at a leaving back end after the bound.
 CheckResult CheckNoNewWorkToLeaving(const History& history, const AgreedBounds& bounds);
 
-/// Planned stops cut nothing: no call was open when a drained process ended, and no call broke off
-/// or lost its answer while planned stops were all that happened.
+/// Planned stops interrupt no calls: no call was open when a drained process exited, and no call
+/// was cut or unanswered while planned stops were the only faults.
 CheckResult CheckPlannedStops(const History& history);
 
-/// Nodes never go back to a smaller revision, also over restarts (where a node that is ready
-/// counts); and a node that gives out new work holds everything accepted before the bound.
+/// A node's revision never decreases: within an incarnation at any time, across restarts while it
+/// is ready. A node that assigns new work has applied every revision accepted before the bound.
 CheckResult CheckConfiguration(const History& history, const AgreedBounds& bounds);
 
-/// Everything asked for is done in time once faults are healed, calls sent after recovery complete,
-/// each gateway that runs is ready from then on, and a run that completes no call at all fails.
+/// Once faults are healed and recovery is over, demands are done in time, calls complete and each
+/// running gateway is ready. A run in which no call completes at all is a violation.
 CheckResult CheckLiveness(const History& history, const AgreedBounds& bounds);
 
 }  // namespace millstair::checks
