--- a/simulator/checks/history.h
+++ b/simulator/checks/history.h
@@ -1,6 +1,6 @@
-/// What the parties outside the product saw during one run: callers, trainers, operators, back
-/// ends, engines and the platform. The checks judge a run by these records alone; they link no
-/// decision code of the product. All times are true time since the start of the run.
+/// Observations of one run by the parties outside the product: callers, trainers, operators, back
+/// ends, engines and the platform. The checks use these records alone and link no decision code of
+/// the product. All times are true time since the start of the run.
 #pragma once
 
 #include <cstdint>
@@ -13,10 +13,10 @@
 
 namespace millstair::checks {
 
-/// True time since the start of the run; no node's clock.
+/// True time since the start of the run, independent of the nodes' clocks.
 using RunTime = Duration;
 
-/// What `Millstair-Outcome` said.
+/// Outcome reported by the `Millstair-Outcome` header.
 enum class ClaimedOutcome : uint8_t { kNone, kRan, kNotRun, kUnknown };
 
 // --- operators ---------------------------------------------------------------------------------
@@ -25,43 +25,43 @@
 
 enum class ResourceEnd : uint8_t {
   kDone,       ///< changed, or read
-  kConflict,   ///< compare-and-set lost
+  kConflict,   ///< compare-and-set failed
   kMissing,    ///< nothing stored under the name
-  kRefused,    ///< told that it did not run
-  kUnanswered  ///< no answer, or an outcome told as unknown
+  kRefused,    ///< reported as not run
+  kUnanswered  ///< no reply, or a reply with outcome unknown
 };
 
-/// One operation on one resource; resends of it belong to the same record.
+/// One operation on one resource, including its resends.
 struct ResourceOperation {
   ClientId client;
   /// "Kind/name".
   std::string resource;
   ResourceAction action = ResourceAction::kRead;
-  /// Version that must be stored: 0 demands absence, none skips the test.
+  /// Version that must be stored: 0 requires absence, nullopt any state.
   std::optional<Revision> expected;
-  /// For kPut: what is written, unique over the run. For a read that found something: what it saw.
+  /// Value written (unique within the run) or read.
   std::string value;
-  /// At a conflict: the winner's value, if the answer named it.
+  /// On a conflict: the stored value, if the reply contained it.
   std::string found_value;
   /// First send.
   RunTime invoked{0};
-  /// Answer to any of the sends; none for kUnanswered.
+  /// Reply to any of the sends; nullopt for kUnanswered.
   std::optional<RunTime> returned;
   ResourceEnd end = ResourceEnd::kUnanswered;
-  /// Version made, read, or (at a conflict) found; 0 if the answer named none.
+  /// Version written, read, or found on a conflict; 0 if the reply contained none.
   Revision version;
 };
 
 // --- trainers ----------------------------------------------------------------------------------
 
-/// A stream as its owners agreed it.
+/// Configured properties of a stream.
 struct StreamTerms {
   StreamName stream;
   ModelName model;
   uint64_t staleness_bound = 0;
 };
 
-/// A span of tokens with the weights that are said to have produced it.
+/// A span of tokens with the weights reported to have produced it.
 struct ClaimedSpan {
   WeightVersion version;
   WeightDigest digest;
@@ -81,9 +81,9 @@
   };
   std::vector<Prompt> prompts;
   RunTime sent{0};
-  /// When the trainer was told that the step is taken.
+  /// When the trainer received the acknowledgement of the step.
   std::optional<RunTime> acknowledged;
-  /// When the trainer held every sample of it.
+  /// When the trainer had received every sample of the step.
   std::optional<RunTime> completed;
 };
 
@@ -100,7 +100,7 @@
   friend bool operator==(const ReceivedSample&, const ReceivedSample&) = default;
 };
 
-/// A read whose answer reached the trainer. Lost answers leave no record.
+/// A read whose response reached the trainer; other reads are not recorded.
 struct CursorRead {
   StreamName stream;
   StreamOffset after;
@@ -125,22 +125,22 @@
 enum class CallEnd : uint8_t {
   kComplete,    ///< ended regularly with a status of success
   kRefused,     ///< ended regularly with an error status
-  kCut,         ///< the answer began and broke off
-  kUnanswered,  ///< no answer at all
-  kAbandoned    ///< the caller went away of its own will
+  kCut,         ///< the response began but was incomplete
+  kUnanswered,  ///< no response
+  kAbandoned    ///< the caller disconnected by itself
 };
 
-/// One try of a request. Resends are tries of their own.
+/// One attempt of a request. Each resend is a separate attempt.
 struct CallAttempt {
   CallKind kind = CallKind::kPage;
-  /// Unique per try; back ends see it.
+  /// Unique per attempt; visible to back ends.
   std::string attempt_id;
-  /// Once-only key, shared by all tries of a booking; empty otherwise.
+  /// Idempotency key, shared by all attempts of a booking; empty otherwise.
   std::string key;
   NodeId gateway;
   std::string prompt;
   uint32_t max_tokens = 0;
-  /// Plain calls: the whole answer that is due to this request and no other.
+  /// Plain calls: the complete response body, unique to this request.
   std::string expected_body;
   RunTime sent{0};
   std::optional<RunTime> first_byte;
@@ -148,7 +148,7 @@
   CallEnd end = CallEnd::kUnanswered;
   int status = 0;
   ClaimedOutcome outcome = ClaimedOutcome::kNone;
-  /// Completions: tokens received, and the versions claimed for them if any were.
+  /// Completions: tokens received, and the versions reported for them, if any.
   std::vector<std::string> tokens;
   std::vector<ClaimedSpan> spans;
   std::string body;
@@ -156,7 +156,7 @@
 
 // --- back ends and engines ---------------------------------------------------------------------
 
-/// A plain back end began to execute a request.
+/// Start of the execution of a request by a plain back end.
 struct BackendExecution {
   EngineName backend;
   std::string attempt_id;
@@ -164,7 +164,7 @@
   RunTime at{0};
 };
 
-/// An engine generated tokens of `prompt`, in truth under these weights.
+/// Tokens that an engine generated for `prompt`, with the weights that it actually used.
 struct GeneratedTokens {
   EngineName engine;
   Incarnation incarnation;
@@ -175,46 +175,46 @@
   WeightDigest digest;
 };
 
-/// Work or a request arrived at a back end, whether it took it or not.
+/// Arrival of a request or order at a back end, accepted or not.
 struct BackendArrival {
   EngineName backend;
   RunTime at{0};
-  /// What arrived, for the report.
+  /// Description for the report.
   std::string what;
 };
 
 enum class LeavingSource : uint8_t { kOperator, kPlatformList, kSelfReported };
 
-/// A back end is leaving, and the system could know it since `known`.
+/// A leaving back end; the system can know of it from `known` on.
 struct BackendLeaving {
   EngineName backend;
   LeavingSource source = LeavingSource::kOperator;
   RunTime known{0};
-  /// When it was taken back or replaced; none while it still holds.
+  /// When it was revoked or replaced; nullopt while it is in effect.
   std::optional<RunTime> until;
 };
 
 // --- nodes and faults --------------------------------------------------------------------------
 
-/// What a node showed of its configuration (its readiness and metrics pages), sampled regularly
-/// and at each change.
+/// State of a node's configuration according to its readiness and metrics pages, sampled
+/// regularly and at each change.
 struct ConfigurationSeen {
   NodeId node;
   Incarnation incarnation;
   RunTime at{0};
   Revision revision;
-  /// The node gives out new work.
+  /// The node assigns new work.
   bool ready = false;
   bool gateway = false;
 };
 
-/// A configuration change that the operator was told is accepted.
+/// A configuration change whose acceptance was reported to the operator.
 struct RevisionAccepted {
   Revision revision;
   RunTime at{0};
 };
 
-/// A fault or a planned stop, from its begin until it was healed.
+/// A fault or a planned stop, from its start until it is healed.
 struct FaultWindow {
   std::string kind;
   bool planned = false;
@@ -223,14 +223,14 @@
   std::optional<RunTime> end;
 };
 
-/// A planned stop ended its process while this try was still open there.
+/// An attempt that was still open when a planned stop ended the process of its node.
 struct CallCutByPlannedStop {
   NodeId node;
   std::string what;
   RunTime at{0};
 };
 
-/// Something that was asked for, for the liveness check.
+/// An action that the system was requested to complete, for the liveness check.
 struct Demand {
   std::string what;
   RunTime requested{0};
