--- a/simulator/checks/linearizability.cc
+++ b/simulator/checks/linearizability.cc
@@ -13,23 +13,23 @@
 namespace {
 
 constexpr uint64_t kAbsent = 0;
-/// Version of a stored value that no answer ever named.
+/// Version of a stored value that no reply reported.
 constexpr uint64_t kUnknownVersion = std::numeric_limits<uint64_t>::max();
 constexpr RunTime kNever = RunTime::max();
 
-/// What is stored under one name.
+/// State of one resource.
 struct Register {
   uint64_t version = kAbsent;
   /// Index of the operation that wrote it; -1 if nothing is stored.
   int writer = -1;
-  /// Largest version that was ever stored; versions only grow.
+  /// Largest version stored so far; versions increase strictly.
   uint64_t largest = 0;
   auto operator<=>(const Register&) const = default;  // NOLINT
 };
 
 enum class Verdict { kLinearizable, kBroken, kUndecided };
 
-/// Search over one resource's operations.
+/// Searches for a linearization of the operations on one resource.
 class Search {
  public:
   Search(std::vector<ResourceOperation> operations, std::map<std::string, uint64_t> versions,
@@ -63,7 +63,7 @@
     }
   }
 
-  /// Furthest point the search came to, for the report.
+  /// Last operation, in order of sending, that the search could not pass; for the report.
   const ResourceOperation& furthest() const { return operations_[furthest_]; }
 
  private:
@@ -81,7 +81,7 @@
     return true;
   }
 
-  /// Extends the path by the first candidate at or after `next` that leads to a new state.
+  /// Extends the path by the first candidate at or after `next` that leads to an unvisited state.
   bool AdvanceToNext(std::vector<Step>& path, Register& state, size_t& next) {
     const RunTime limit = FirstReturn();
     for (size_t i = next; i < operations_.size(); ++i) {
@@ -101,7 +101,7 @@
     return false;
   }
 
-  /// An operation can only come next if it was sent before the first pending answer.
+  /// Earliest reply of a pending operation; only operations sent before it can come next.
   RunTime FirstReturn() const {
     RunTime first = kNever;
     for (size_t i = 0; i < operations_.size(); ++i) {
@@ -116,7 +116,7 @@
     return found == versions_.end() ? kUnknownVersion : found->second;
   }
 
-  /// Applies operation `index` to `state`; false if its answer disagrees.
+  /// Applies operation `index` to `state`; false if its reply contradicts `state`.
   bool Effect(size_t index, Register& state) const {
     const ResourceOperation& operation = operations_[index];
     switch (operation.action) {
@@ -136,8 +136,8 @@
     return writer != writer_of_.end() && state.writer == writer->second;
   }
 
-  /// Whether `state` may hold `version`: a stored value whose version no answer named can have any
-  /// version that belongs to no other value.
+  /// Whether `state` can have `version`. A stored value whose version no reply reported can have
+  /// any version that belongs to no other value.
   bool CanHaveVersion(uint64_t version, const Register& state) const {
     if (state.version != kUnknownVersion) return state.version == version;
     return version != kAbsent && !known_versions_.contains(version);
@@ -193,7 +193,7 @@
                      kEnds[static_cast<size_t>(operation.end)], operation.version.value());
 }
 
-/// The value whose version the answer names; empty if it names none.
+/// The value whose version the reply reports; empty if it reports none.
 const std::string& NamedValue(const ResourceOperation& operation) {
   static const std::string kNone;
   if (operation.end == ResourceEnd::kConflict) return operation.found_value;
@@ -201,7 +201,7 @@
   return names && operation.action != ResourceAction::kDelete ? operation.value : kNone;
 }
 
-/// Version of each value, as answers named it. Breaks the result where they disagree.
+/// Version of each value as reported by replies. Contradictory versions are violations.
 std::map<std::string, uint64_t> NamedVersions(const std::vector<ResourceOperation>& operations,
                                               CheckResult& result) {
   std::map<std::string, uint64_t> versions;
@@ -224,7 +224,7 @@
         operation.end == ResourceEnd::kRefused || operation.end == ResourceEnd::kConflict;
     if (operation.action != ResourceAction::kPut || !refused) continue;
     if (versions.contains(operation.value)) {
-      result.Break("told as not done, yet it was stored: " + Describe(operation));
+      result.Break("reported as not applied, but the value was stored: " + Describe(operation));
     }
   }
 }
@@ -247,7 +247,8 @@
   const Verdict verdict = search.Run();
   if (verdict == Verdict::kUndecided) ++result.undecided;
   if (verdict == Verdict::kBroken) {
-    result.Break("no order agrees with all answers; stuck at " + Describe(search.furthest()));
+    result.Break("no order is consistent with all replies; the search failed at " +
+                 Describe(search.furthest()));
   }
 }
 
