--- a/simulator/checks/linearizability.h
+++ b/simulator/checks/linearizability.h
@@ -1,9 +1,9 @@
 /// Linearizability of operations on resources.
 ///
-/// Each resource is a register with compare-and-set that stores a value and its version. The
-/// search is Wing and Gong's with Lowe's memory of visited states: it looks for an order of the
-/// operations that agrees with real time and with every answer. Operations whose outcome is
-/// unknown may take effect at any moment after they were sent, or never.
+/// Each resource is modelled as a compare-and-set register that stores a value and its version.
+/// The Wing-Gong search, with Lowe's cache of visited states, looks for an order of the operations
+/// that is consistent with real time and with every reply. Operations whose outcome is unknown may
+/// take effect at any time after they were sent, or never.
 #pragma once
 
 #include <vector>
@@ -14,12 +14,12 @@
 namespace millstair::checks {
 
 struct LinearizabilityLimits {
-  /// States visited per resource before the check gives up ("undecided").
+  /// States visited per resource before the result is undecided.
   uint64_t max_states = 2'000'000;
 };
 
-/// One case per resource. A value that shows up under two versions (a resend that took effect
-/// twice) and a value of a refused change that shows up at all are breaches by themselves.
+/// One case per resource. Two further violations are detected without a search: a value stored
+/// under two versions (a resend that took effect twice) and a stored value of a refused change.
 CheckResult CheckLinearizability(const std::vector<ResourceOperation>& operations,
                                  const LinearizabilityLimits& limits = {});
 
