--- a/simulator/checks/token_text.h
+++ b/simulator/checks/token_text.h
@@ -1,4 +1,4 @@
-/// Compares received tokens with what an honest engine generates.
+/// Compares received tokens with the output of a correct engine.
 #pragma once
 
 #include <optional>
@@ -10,17 +10,17 @@
 
 namespace millstair::checks {
 
-/// Splits text into tokens (words).
+/// Splits text into tokens at spaces.
 std::vector<std::string> SplitTokens(const std::string& text);
 
-/// First difference between `tokens` and the generation for `prompt` under the versions that
-/// `spans` claim; none if they agree and the generation is whole.
+/// First difference between `tokens` and the expected output for `prompt` under the versions that
+/// `spans` report; nullopt if the tokens are correct and complete.
 std::optional<std::string> FindDifference(const TextOracle& oracle, const std::string& prompt,
                                           uint32_t max_tokens,
                                           const std::vector<std::string>& tokens,
                                           const std::vector<ClaimedSpan>& spans);
 
-/// First fault in the order of `spans` over `token_count` tokens; none if they cover all once.
+/// First gap, overlap or empty span; nullopt if `spans` cover `token_count` tokens exactly once.
 std::optional<std::string> FindSpanFault(const std::vector<ClaimedSpan>& spans,
                                          uint32_t token_count);
 
