--- a/test/checks/call_checks_test.cc
+++ b/test/checks/call_checks_test.cc
@@ -29,7 +29,7 @@
   return call;
 }
 
-TEST_CASE("an answer of another request is caught") {
+TEST_CASE("the response to another request is detected") {
   History history;
   history.calls = {MakePage("1", "page 1")};
   REQUIRE(CheckCompleteOwnAnswer(history, MakeOracle()).broken == 0);
@@ -37,7 +37,7 @@
   REQUIRE(CheckCompleteOwnAnswer(history, MakeOracle()).broken == 1);
 }
 
-TEST_CASE("a completion must be whole and of published weights") {
+TEST_CASE("a completion must be complete and from published weights") {
   History history;
   history.publishes = {{ModelName("m"), WeightVersion(4), WeightDigest("d")}};
   history.calls = {MakeCompletion({"p0v4", "p1v4"})};
@@ -46,7 +46,7 @@
   REQUIRE(CheckCompleteOwnAnswer(history, MakeOracle()).broken == 2);
 }
 
-TEST_CASE("not-run that ran is caught at plain back ends and engines") {
+TEST_CASE("an execution reported as not-run is detected at plain back ends and engines") {
   History history;
   CallAttempt call = MakePage("1", "");
   call.end = CallEnd::kRefused;
@@ -62,7 +62,7 @@
   REQUIRE(CheckNotRunClaims(history).broken == 1);
 }
 
-TEST_CASE("a key that ran twice is caught") {
+TEST_CASE("a key executed twice is detected") {
   History history;
   history.executions = {{EngineName("a"), "1", "k1"}, {EngineName("a"), "2", "k2"}};
   REQUIRE(CheckAtMostOnce(history).broken == 0);
@@ -72,7 +72,7 @@
   REQUIRE(result.tried == 2);
 }
 
-TEST_CASE("an error without an outcome is caught") {
+TEST_CASE("an error without an outcome is detected") {
   History history;
   CallAttempt call = MakePage("1", "");
   call.end = CallEnd::kRefused;
