--- a/test/checks/fleet_checks_test.cc
+++ b/test/checks/fleet_checks_test.cc
@@ -18,7 +18,7 @@
   return call;
 }
 
-TEST_CASE("new work to a leaving back end is caught after the bound") {
+TEST_CASE("new work to a leaving back end is detected after the bound") {
   History history;
   const AgreedBounds bounds;
   history.leaving = {{EngineName("b"), LeavingSource::kOperator, seconds(10), seconds(40)}};
@@ -32,7 +32,7 @@
   REQUIRE(CheckNoNewWorkToLeaving(history, bounds).broken == 0);
 }
 
-TEST_CASE("a call cut while only planned stops happen is caught") {
+TEST_CASE("a call cut while only planned stops happen is detected") {
   History history;
   history.faults = {{"planned-stop", true, NodeId("g"), seconds(20), seconds(30)}};
   history.calls = {MakeCall(22, 24, CallEnd::kComplete), MakeCall(5, 7, CallEnd::kCut)};
@@ -49,7 +49,7 @@
   return {NodeId("g"), Incarnation(incarnation), seconds(at), Revision(revision), ready};
 }
 
-TEST_CASE("a node that goes back is caught, also over a restart") {
+TEST_CASE("a decreasing revision is detected, also across a restart") {
   History history;
   const AgreedBounds bounds;
   history.configurations = {MakeSeen(1, 1, 5, true), MakeSeen(2, 1, 7, true),
@@ -61,7 +61,7 @@
   REQUIRE(CheckConfiguration(history, bounds).broken == 1);
 }
 
-TEST_CASE("work given out under an old configuration is caught") {
+TEST_CASE("work assigned under an outdated configuration is detected") {
   History history;
   const AgreedBounds bounds;
   history.accepted = {{Revision(9), seconds(10)}};
@@ -75,7 +75,7 @@
   REQUIRE(CheckConfiguration(history, bounds).broken == 1);
 }
 
-TEST_CASE("what is not done after recovery, and a run that refuses all, are caught") {
+TEST_CASE("overdue demands and runs without a completed call are detected") {
   History history;
   const AgreedBounds bounds;
   history.healed = seconds(60);
@@ -92,7 +92,7 @@
   REQUIRE(CheckLiveness(history, bounds).broken == 1);
 }
 
-TEST_CASE("every check has a name of its own") {
+TEST_CASE("names of checks are unique") {
   const std::vector<CheckResult> results = RunAllChecks({}, {}, {});
   for (size_t i = 0; i < results.size(); ++i) {
     for (size_t j = 0; j < i; ++j) REQUIRE(results[i].name != results[j].name);
