--- a/test/checks/linearizability_test.cc
+++ b/test/checks/linearizability_test.cc
@@ -44,7 +44,7 @@
   REQUIRE(result.tried == 1);
 }
 
-TEST_CASE("two winners at the same version are caught") {
+TEST_CASE("two winners at the same version are detected") {
   Builder history;
   history.Put("a", 0, 0, 10, ResourceEnd::kDone, 5);
   history.Put("b", 5, 20, 40, ResourceEnd::kDone, 7);
@@ -52,7 +52,7 @@
   REQUIRE(CheckLinearizability(history.operations).broken == 1);
 }
 
-TEST_CASE("a stale read is caught") {
+TEST_CASE("a stale read is detected") {
   Builder history;
   history.Put("a", 0, 0, 10, ResourceEnd::kDone, 5);
   history.Put("b", 5, 20, 30, ResourceEnd::kDone, 7);
@@ -72,14 +72,14 @@
   REQUIRE(CheckLinearizability(history.operations).broken == 1);
 }
 
-TEST_CASE("a resend that took effect twice is caught") {
+TEST_CASE("a resend that took effect twice is detected") {
   Builder history;
   history.Put("a", 0, 0, 10, ResourceEnd::kDone, 5);
   history.Read("a", 6, 20, 30);
   REQUIRE(CheckLinearizability(history.operations).broken == 1);
 }
 
-TEST_CASE("a refused change that shows up is caught") {
+TEST_CASE("a refused change that took effect is detected") {
   Builder history;
   history.Put("a", 0, 0, 10, ResourceEnd::kDone, 5);
   history.Put("b", 5, 20, 30, ResourceEnd::kRefused);
@@ -87,7 +87,7 @@
   REQUIRE(CheckLinearizability(history.operations).broken == 1);
 }
 
-TEST_CASE("a search beyond its limit is undecided, not held") {
+TEST_CASE("a search that reaches its limit is undecided") {
   Builder history;
   for (int i = 0; i < 12; ++i) {
     history.Put("v" + std::to_string(i), 0, 0, 0, ResourceEnd::kUnanswered);
