--- a/test/checks/stream_checks_test.cc
+++ b/test/checks/stream_checks_test.cc
@@ -62,7 +62,7 @@
   }
 };
 
-TEST_CASE("samples, re-reads and a replaced withdrawal are exactly once") {
+TEST_CASE("repeated reads and a replaced withdrawal count as exactly-once delivery") {
   Fixture run;
   run.Read(0, {MakeSample(1, "a", 1), MakeSample(2, "b", 1)});
   run.Read(0, {MakeWithdrawal(1, "a"), MakeSample(2, "b", 1), MakeSample(3, "a", 2)});
@@ -72,28 +72,28 @@
   REQUIRE(result.tried == 6);
 }
 
-TEST_CASE("a sample delivered twice is caught") {
+TEST_CASE("a sample delivered twice is detected") {
   Fixture run;
   run.Read(0, {MakeSample(1, "a", 1)});
   run.Read(1, {MakeSample(2, "a", 2)});
   REQUIRE(CheckExactlyOnce(run.history).broken == 1);
 }
 
-TEST_CASE("other content at the same offset is caught") {
+TEST_CASE("changed content at the same offset is detected") {
   Fixture run;
   run.Read(0, {MakeSample(1, "a", 1)});
   run.Read(0, {MakeSample(1, "a", 2)});
   REQUIRE(CheckExactlyOnce(run.history).broken == 1);
 }
 
-TEST_CASE("a withdrawn sample that comes back at its offset is caught") {
+TEST_CASE("a withdrawn sample that reappears at its offset is detected") {
   Fixture run;
   run.Read(0, {MakeWithdrawal(1, "a")});
   run.Read(0, {MakeSample(1, "a", 1)});
   REQUIRE(CheckExactlyOnce(run.history).broken == 1);
 }
 
-TEST_CASE("a skipped offset and an unasked sample are caught") {
+TEST_CASE("a skipped offset and an unrequested sample are detected") {
   Fixture run;
   run.Read(0, {MakeSample(2, "a", 1)});
   run.Read(2, {MakeSample(3, "z", 1)});
@@ -113,7 +113,7 @@
   REQUIRE(result.tried == 2);
 }
 
-TEST_CASE("claimed versions must be what the engine ran") {
+TEST_CASE("reported versions must match those that the engine used") {
   Fixture run;
   run.Read(0, {MakeSample(1, "a", 1), MakeSample(2, "b", 2)});
   REQUIRE(CheckClaimedVersions(run.history).broken == 0);
@@ -123,7 +123,7 @@
   REQUIRE(CheckClaimedVersions(run.history).broken == 1);
 }
 
-TEST_CASE("a gap in the spans is caught") {
+TEST_CASE("a gap in the spans is detected") {
   Fixture run;
   ReceivedSample gap = MakeSample(1, "a", 1);
   gap.spans[0].first_token = 1;
@@ -132,7 +132,7 @@
   REQUIRE(CheckClaimedVersions(run.history).broken == 1);
 }
 
-TEST_CASE("the text of a sample must be its own and whole") {
+TEST_CASE("the text of a sample must be complete and match its own prompt") {
   Fixture run;
   run.Read(0, {MakeSample(1, "a", 1)});
   REQUIRE(CheckSampleText(run.history, MakeOracle()).broken == 0);
