--- a/simulator/clients/callers.cc
+++ b/simulator/clients/callers.cc
@@ -96,14 +96,14 @@
 
 }  // namespace
 
-Callers::Callers(Surroundings& surroundings, const DeploymentPlan& plan, const LiveLoad& load,
+Callers::Callers(RunContext& context, const DeploymentPlan& plan, const LiveLoad& load,
                  PromptRegistry& prompts)
-    : surroundings_(surroundings),
+    : context_(context),
       plan_(plan),
       load_(load),
       prompts_(prompts),
-      random_(surroundings.DrawSeed()),
-      client_(surroundings, surroundings.network.AddHost("callers", plan.latencies.clients)) {}
+      random_(context.DrawSeed()),
+      client_(context, context.network.AddHost("callers", plan.latencies.clients)) {}
 
 void Callers::Start(Duration until) {
   until_ = until;
@@ -116,8 +116,8 @@
 void Callers::ScheduleNext(CallKind kind, double rate) {
   if (rate <= 0) return;
   const double wait = -std::log(1.0 - DrawUnit(random_)) / rate;
-  surroundings_.scheduler.Schedule(FromSeconds(wait), [this, kind, rate] {
-    if (surroundings_.Now() >= until_) return;
+  context_.scheduler.Schedule(FromSeconds(wait), [this, kind, rate] {
+    if (context_.Now() >= until_) return;
     Arrive(kind);
     ScheduleNext(kind, rate);
   });
@@ -210,23 +210,23 @@
   constexpr int kConflict = 409;
   const bool settled = call.end == CallEnd::kComplete || answer.status == kConflict;
   if (settled || booking.tries >= kBookingTries) return;
-  surroundings_.scheduler.Schedule(kResendAfter, [this, booking, gateway] {
+  context_.scheduler.Schedule(kResendAfter, [this, booking, gateway] {
     SendBooking(booking, (gateway + 1) % plan_.gateways.size());
   });
 }
 
 void Callers::Send(CallAttempt call, size_t gateway, HttpRequest request,
                    std::function<void(const CallAttempt&, const WholeAnswer&)> ended) {
-  call.sent = surroundings_.Now();
-  const size_t index = surroundings_.history.calls.size();
-  surroundings_.history.calls.push_back(std::move(call));
+  call.sent = context_.Now();
+  const size_t index = context_.history.calls.size();
+  context_.history.calls.push_back(std::move(call));
   Connect(index, gateway, plan_.gateways.size() - 1, std::move(request), std::move(ended));
   if (!DrawChance(random_, kGoAway)) return;
-  surroundings_.scheduler.Schedule(kGoAwayAfter, [this, index] {
-    CallAttempt& recorded = surroundings_.history.calls[index];
+  context_.scheduler.Schedule(kGoAwayAfter, [this, index] {
+    CallAttempt& recorded = context_.history.calls[index];
     if (recorded.ended) return;
     recorded.end = CallEnd::kAbandoned;
-    recorded.ended = surroundings_.Now();
+    recorded.ended = context_.Now();
     client_.Drop(under_way_[index]);
     under_way_.erase(index);
   });
@@ -235,7 +235,7 @@
 void Callers::Connect(size_t index, size_t gateway, size_t left, HttpRequest request,
                       std::function<void(const CallAttempt&, const WholeAnswer&)> ended) {
   const NodePlan& target = plan_.gateways[gateway];
-  surroundings_.history.calls[index].gateway = target.node;
+  context_.history.calls[index].gateway = target.node;
   HttpRequest copy = request;
   under_way_[index] = client_.Send(
       target.http_address, std::move(copy), kPatience,
@@ -246,8 +246,8 @@
           return;
         }
         under_way_.erase(index);
-        TakeAnswer(surroundings_.history.calls[index], answer, surroundings_.Now());
-        const CallAttempt recorded = surroundings_.history.calls[index];
+        TakeAnswer(context_.history.calls[index], answer, context_.Now());
+        const CallAttempt recorded = context_.history.calls[index];
         if (ended) ended(recorded, answer);
       });
 }
--- a/simulator/clients/callers.h
+++ b/simulator/clients/callers.h
@@ -11,13 +11,13 @@
 #include "simulator/fleet/back_ends.h"
 #include "simulator/fleet/deployment.h"
 #include "simulator/fleet/fleet.h"
-#include "simulator/fleet/surroundings.h"
+#include "simulator/fleet/run_context.h"
 
 namespace millstair::simulator {
 
 class Callers {
  public:
-  Callers(Surroundings& surroundings, const DeploymentPlan& plan, const LiveLoad& load,
+  Callers(RunContext& context, const DeploymentPlan& plan, const LiveLoad& load,
           PromptRegistry& prompts);
 
   /// Calls arrive until `until`.
@@ -47,7 +47,7 @@
   std::string NextTryId(std::string_view kind);
   std::string NextPrompt();
 
-  Surroundings& surroundings_;
+  RunContext& context_;
   const DeploymentPlan& plan_;
   LiveLoad load_;
   PromptRegistry& prompts_;
--- a/simulator/clients/operator_client.cc
+++ b/simulator/clients/operator_client.cc
@@ -73,14 +73,12 @@
 
 }  // namespace
 
-OperatorClient::OperatorClient(Surroundings& surroundings, const DeploymentPlan& plan,
-                               std::string name)
-    : surroundings_(surroundings),
+OperatorClient::OperatorClient(RunContext& context, const DeploymentPlan& plan, std::string name)
+    : context_(context),
       plan_(plan),
       name_(std::move(name)),
-      random_(surroundings.DrawSeed()),
-      client_(surroundings,
-              surroundings.network.AddHost("operator-" + name_, plan.latencies.clients)) {}
+      random_(context.DrawSeed()),
+      client_(context, context.network.AddHost("operator-" + name_, plan.latencies.clients)) {}
 
 const std::string& OperatorClient::DrawControl() {
   return plan_.controls[DrawBelow(random_, plan_.controls.size())].http_address;
@@ -103,7 +101,7 @@
                    then();
                    return;
                  }
-                 surroundings_.scheduler.Schedule(kRetry, [this, then] { OpenSession(then); });
+                 context_.scheduler.Schedule(kRetry, [this, then] { OpenSession(then); });
                });
 }
 
@@ -114,7 +112,7 @@
   }
   change.session = session_;
   change.sequence = next_sequence_++;
-  change.first_sent = surroundings_.Now();
+  change.first_sent = context_.Now();
   Send(std::move(change));
 }
 
@@ -140,15 +138,15 @@
     change.done(&answer);
     return;
   }
-  if (expired || surroundings_.Now() - change.first_sent > kGiveUp) {
+  if (expired || context_.Now() - change.first_sent > kGiveUp) {
     change.done(first_refused ? &answer : nullptr);
     return;
   }
-  surroundings_.scheduler.Schedule(kRetry, [this, change = std::move(change)] { Send(change); });
+  context_.scheduler.Schedule(kRetry, [this, change = std::move(change)] { Send(change); });
 }
 
 void OperatorClient::Accepted(Revision revision) {
-  surroundings_.history.accepted.push_back({revision, surroundings_.Now()});
+  context_.history.accepted.push_back({revision, context_.Now()});
 }
 
 void OperatorClient::Apply(const std::vector<Resource>& resources, std::function<void()> done) {
@@ -159,8 +157,8 @@
   }
   Change change{.method = "POST", .target = "/v1/apply"};
   change.body = boost::json::serialize(boost::json::object{{"items", std::move(items)}});
-  const size_t demand = surroundings_.history.demands.size();
-  surroundings_.history.demands.push_back({"apply", surroundings_.Now(), std::nullopt});
+  const size_t demand = context_.history.demands.size();
+  context_.history.demands.push_back({"apply", context_.Now(), std::nullopt});
   change.done = [this, demand, done = std::move(done)](const WholeAnswer* answer) {
     if (answer == nullptr || !Accepts(*answer)) return;
     boost::json::error_code error;
@@ -168,7 +166,7 @@
     if (!error && value.is_object()) {
       Accepted(Revision(NumberIn(value.as_object(), "revision")));
     }
-    surroundings_.history.demands[demand].done = surroundings_.Now();
+    context_.history.demands[demand].done = context_.Now();
     done();
   };
   Begin(std::move(change));
@@ -179,9 +177,8 @@
       .method = "PUT",
       .target = fmt::format("/v1/resources/{}/{}", KindName(resource.kind()), resource.name),
       .body = ToJson(resource)};
-  const size_t demand = surroundings_.history.demands.size();
-  surroundings_.history.demands.push_back(
-      {"change of " + resource.name, surroundings_.Now(), std::nullopt});
+  const size_t demand = context_.history.demands.size();
+  context_.history.demands.push_back({"change of " + resource.name, context_.Now(), std::nullopt});
   SendPut(std::move(change), demand, std::move(done));
 }
 
@@ -194,7 +191,7 @@
       return;
     }
     if (!Accepts(*answer)) return;
-    surroundings_.history.demands[demand].done = surroundings_.Now();
+    context_.history.demands[demand].done = context_.Now();
     const Revision revision = VersionIn(answer->headers);
     Accepted(revision);
     done(revision);
@@ -211,8 +208,8 @@
 
 void OperatorClient::NextNote() {
   const Duration wait = DrawDuration(random_, interval_ / 2, interval_ + interval_ / 2);
-  surroundings_.scheduler.Schedule(wait, [this] {
-    if (surroundings_.Now() >= until_) return;
+  context_.scheduler.Schedule(wait, [this] {
+    if (context_.Now() >= until_) return;
     NextNote();
     const auto note = static_cast<uint32_t>(DrawBelow(random_, notes_));
     if (DrawChance(random_, kReadShare)) {
@@ -240,15 +237,15 @@
   operation.action = action;
   operation.expected = expected;
   operation.value = std::move(value);
-  operation.invoked = surroundings_.Now();
-  surroundings_.history.resource_operations.push_back(std::move(operation));
-  return surroundings_.history.resource_operations.size() - 1;
+  operation.invoked = context_.Now();
+  context_.history.resource_operations.push_back(std::move(operation));
+  return context_.history.resource_operations.size() - 1;
 }
 
 void OperatorClient::RecordEnd(size_t index, const WholeAnswer* answer) {
-  checks::ResourceOperation& record = surroundings_.history.resource_operations[index];
+  checks::ResourceOperation& record = context_.history.resource_operations[index];
   if (answer == nullptr || answer->end != AnswerEnd::kWhole) return;
-  record.returned = surroundings_.Now();
+  record.returned = context_.Now();
   record.version = VersionIn(answer->headers);
   if (Accepts(*answer)) {
     record.end = ResourceEnd::kDone;
@@ -270,8 +267,7 @@
   client_.Send(DrawControl(), {"GET", "/v1/resources/TrafficGroup/" + NoteName(note), {}, ""},
                kPatience, [this, record, note](const WholeAnswer& answer) {
                  RecordEnd(record, &answer);
-                 checks::ResourceOperation& read =
-                     surroundings_.history.resource_operations[record];
+                 checks::ResourceOperation& read = context_.history.resource_operations[record];
                  if (read.end == ResourceEnd::kMissing) seen_[note] = Revision();
                  if (read.end != ResourceEnd::kDone) return;
                  boost::json::error_code error;
@@ -293,7 +289,7 @@
   }
   change.done = [this, record, note](const WholeAnswer* answer) {
     RecordEnd(record, answer);
-    const checks::ResourceOperation& put = surroundings_.history.resource_operations[record];
+    const checks::ResourceOperation& put = context_.history.resource_operations[record];
     const bool told = put.end == ResourceEnd::kDone || put.end == ResourceEnd::kConflict;
     if (told) seen_[note] = put.version;
   };
@@ -307,7 +303,7 @@
   change.headers.push_back({"If-Match", fmt::format("\"{}\"", expected.value())});
   change.done = [this, record, note](const WholeAnswer* answer) {
     RecordEnd(record, answer);
-    const checks::ResourceOperation& removed = surroundings_.history.resource_operations[record];
+    const checks::ResourceOperation& removed = context_.history.resource_operations[record];
     if (removed.end == ResourceEnd::kDone || removed.end == ResourceEnd::kMissing) {
       seen_[note] = Revision();
     } else if (removed.end == ResourceEnd::kConflict) {
--- a/simulator/clients/operator_client.h
+++ b/simulator/clients/operator_client.h
@@ -11,14 +11,14 @@
 #include "resources/resource.h"
 #include "simulator/clients/request_client.h"
 #include "simulator/fleet/deployment.h"
-#include "simulator/fleet/surroundings.h"
+#include "simulator/fleet/run_context.h"
 
 namespace millstair::simulator {
 
 class OperatorClient {
  public:
   /// `name` must differ between operators; it makes their values unique.
-  OperatorClient(Surroundings& surroundings, const DeploymentPlan& plan, std::string name);
+  OperatorClient(RunContext& context, const DeploymentPlan& plan, std::string name);
 
   /// Applies `resources` all at once, without compare-and-set; `done` follows acceptance.
   void Apply(const std::vector<Resource>& resources, std::function<void()> done);
@@ -64,7 +64,7 @@
   void Accepted(Revision revision);
   const std::string& DrawControl();
 
-  Surroundings& surroundings_;
+  RunContext& context_;
   const DeploymentPlan& plan_;
   std::string name_;
   RandomEngine random_;
--- a/simulator/clients/request_client.cc
+++ b/simulator/clients/request_client.cc
@@ -6,12 +6,12 @@
 
 struct RequestClient::Call : HttpCallObserver {
   Call(RequestClient& owner, Id id, Done done) : owner(owner), id(id), done(std::move(done)) {}
-  ~Call() override { owner.surroundings_.scheduler.Cancel(timer); }
+  ~Call() override { owner.context_.scheduler.Cancel(timer); }
 
   void OnHead(const HttpResponseHead& head) override {
     answer.status = head.status;
     answer.headers = head.headers;
-    answer.first_byte = owner.surroundings_.Now();
+    answer.first_byte = owner.context_.Now();
   }
   void OnBody(std::string bytes) override { answer.body += bytes; }
   void OnFinished() override {
@@ -42,8 +42,7 @@
   return checks::ClaimedOutcome::kUnknown;
 }
 
-RequestClient::RequestClient(Surroundings& surroundings, HostId host)
-    : surroundings_(surroundings), host_(host) {}
+RequestClient::RequestClient(RunContext& context, HostId host) : context_(context), host_(host) {}
 RequestClient::~RequestClient() { DropAll(); }
 
 RequestClient::Id RequestClient::Send(const std::string& address, HttpRequest request,
@@ -51,14 +50,14 @@
   const Id id = next_++;
   Call& call =
       *calls_.emplace(id, std::make_unique<Call>(*this, id, std::move(done))).first->second;
-  call.timer = surroundings_.scheduler.Schedule(time_limit, [this, id] {
+  call.timer = context_.scheduler.Schedule(time_limit, [this, id] {
     const auto found = calls_.find(id);
     if (found == calls_.end()) return;
     WholeAnswer answer = std::move(found->second->answer);
     answer.end = answer.status == 0 ? AnswerEnd::kNone : AnswerEnd::kCut;
     End(id, std::move(answer));
   });
-  call.handle = surroundings_.http.Start(host_, address, std::move(request), call);
+  call.handle = context_.http.Start(host_, address, std::move(request), call);
   return id;
 }
 
@@ -76,7 +75,7 @@
   const auto call = calls_.extract(id);
   if (call.empty()) return;
   if (answer_loss_ > 0 && answer.end == AnswerEnd::kWhole &&
-      DrawChance(surroundings_.scheduler.Random(), answer_loss_)) {
+      DrawChance(context_.scheduler.Random(), answer_loss_)) {
     answer = WholeAnswer();
   }
   call.mapped()->done(answer);
--- a/simulator/clients/request_client.h
+++ b/simulator/clients/request_client.h
@@ -9,7 +9,7 @@
 #include <optional>
 #include <string>
 
-#include "simulator/fleet/surroundings.h"
+#include "simulator/fleet/run_context.h"
 
 namespace millstair::simulator {
 
@@ -37,7 +37,7 @@
   /// Handle of a request under way; 0 is none.
   using Id = uint64_t;
 
-  RequestClient(Surroundings& surroundings, HostId host);
+  RequestClient(RunContext& context, HostId host);
   ~RequestClient();
   RequestClient(const RequestClient&) = delete;
   RequestClient& operator=(const RequestClient&) = delete;
@@ -55,7 +55,7 @@
 
   void End(Id id, WholeAnswer answer);
 
-  Surroundings& surroundings_;
+  RunContext& context_;
   HostId host_;
   Id next_ = 1;
   double answer_loss_ = 0;
--- a/simulator/clients/trainer.cc
+++ b/simulator/clients/trainer.cc
@@ -42,24 +42,23 @@
 
 }  // namespace
 
-Trainer::Trainer(Surroundings& surroundings, Platform& platform, const DeploymentPlan& plan,
+Trainer::Trainer(RunContext& context, Platform& platform, const DeploymentPlan& plan,
                  const StreamPlan& stream, const TrainerLoad& load, PromptRegistry& prompts)
-    : surroundings_(surroundings),
+    : context_(context),
       platform_(platform),
       plan_(plan),
       stream_(stream),
       load_(load),
       prompts_(prompts),
-      random_(surroundings.DrawSeed()),
-      client_(surroundings,
-              surroundings.network.AddHost("trainer-" + stream.name.value(), plan.zones[0])) {
-  surroundings_.history.streams.push_back({stream.name, stream.model, stream.staleness_bound});
+      random_(context.DrawSeed()),
+      client_(context, context.network.AddHost("trainer-" + stream.name.value(), plan.zones[0])) {
+  context_.history.streams.push_back({stream.name, stream.model, stream.staleness_bound});
 }
 
 void Trainer::Start(Duration until) {
   until_ = until;
   running_ = true;
-  waiting_since_ = surroundings_.Now();
+  waiting_since_ = context_.Now();
   if (stream_.publishes) {
     Publish(WeightVersion(1));
     return;
@@ -95,7 +94,7 @@
 }
 
 void Trainer::After(Duration delay, std::function<void()> action) {
-  surroundings_.scheduler.Schedule(delay, [this, life = life_, action = std::move(action)] {
+  context_.scheduler.Schedule(delay, [this, life = life_, action = std::move(action)] {
     if (life == life_ && running_) action();
   });
 }
@@ -107,13 +106,13 @@
 void Trainer::Publish(WeightVersion version) {
   const WeightDigest digest = DigestOf(stream_.model, version);
   platform_.store().Put(LocationOf(stream_.model, version), digest, plan_.version_bytes);
-  surroundings_.history.publishes.push_back(
-      {stream_.model, version, digest, surroundings_.Now(), std::nullopt});
-  surroundings_.history.demands.push_back(
-      {fmt::format("publishing version {}", version.value()), surroundings_.Now(), std::nullopt});
+  context_.history.publishes.push_back(
+      {stream_.model, version, digest, context_.Now(), std::nullopt});
+  context_.history.demands.push_back(
+      {fmt::format("publishing version {}", version.value()), context_.Now(), std::nullopt});
   publishing_ = version;
-  publish_record_ = surroundings_.history.publishes.size() - 1;
-  publish_demand_ = surroundings_.history.demands.size() - 1;
+  publish_record_ = context_.history.publishes.size() - 1;
+  publish_demand_ = context_.history.demands.size() - 1;
   SendPublish();
 }
 
@@ -131,9 +130,9 @@
       After(kRetry, [this] { SendPublish(); });
       return;
     }
-    const Duration now = surroundings_.Now();
-    surroundings_.history.publishes[publish_record_].acknowledged = now;
-    surroundings_.history.demands[publish_demand_].done = now;
+    const Duration now = context_.Now();
+    context_.history.publishes[publish_record_].acknowledged = now;
+    context_.history.demands[publish_demand_].done = now;
     published_ = publishing_;
     WaitForStep();
   });
@@ -147,7 +146,7 @@
   checks::StepPut put;
   put.stream = stream_.name;
   put.step = StepId(fmt::format("step-{}", number));
-  put.sent = surroundings_.Now();
+  put.sent = context_.Now();
   Step& step = steps_[number];
   for (uint32_t i = 0; i < load_.prompts_per_step; ++i) {
     const uint32_t prefix = i / std::max(load_.prompts_per_prefix, 1U);
@@ -161,15 +160,15 @@
     step.missing.insert(sample);
     put.prompts.push_back({sample, std::move(text), load_.max_tokens});
   }
-  step.put_record = surroundings_.history.steps.size();
-  surroundings_.history.steps.push_back(std::move(put));
+  step.put_record = context_.history.steps.size();
+  context_.history.steps.push_back(std::move(put));
   SendStep(number);
 }
 
 void Trainer::SendStep(uint64_t number) {
   const auto found = steps_.find(number);
   if (found == steps_.end()) return;
-  const checks::StepPut& put = surroundings_.history.steps[found->second.put_record];
+  const checks::StepPut& put = context_.history.steps[found->second.put_record];
   boost::json::array prompts;
   for (const checks::StepPut::Prompt& prompt : put.prompts) {
     prompts.push_back(
@@ -189,20 +188,20 @@
                    return;
                  }
                  step->second.acknowledged = true;
-                 checks::StepPut& record = surroundings_.history.steps[step->second.put_record];
-                 if (!record.acknowledged) record.acknowledged = surroundings_.Now();
+                 checks::StepPut& record = context_.history.steps[step->second.put_record];
+                 if (!record.acknowledged) record.acknowledged = context_.Now();
                });
 }
 
 void Trainer::WaitForStep() {
-  if (surroundings_.Now() >= until_) return;
+  if (context_.Now() >= until_) return;
   PutStepsAhead();
   Step& step = steps_.at(current_);
   if (!step.demand) {
-    waiting_since_ = surroundings_.Now();
-    step.demand = surroundings_.history.demands.size();
-    surroundings_.history.demands.push_back(
-        {fmt::format("step {} of {}", current_, stream_.name.value()), surroundings_.Now(),
+    waiting_since_ = context_.Now();
+    step.demand = context_.history.demands.size();
+    context_.history.demands.push_back(
+        {fmt::format("step {} of {}", current_, stream_.name.value()), context_.Now(),
          std::nullopt});
   }
   if (step.missing.empty()) {
@@ -221,7 +220,7 @@
       ""};
   client_.Send(
       DrawGateway(), std::move(request), kPatience,
-      [this, sent = surroundings_.Now()](const WholeAnswer& answer) { TakeAnswer(answer, sent); });
+      [this, sent = context_.Now()](const WholeAnswer& answer) { TakeAnswer(answer, sent); });
 }
 
 void Trainer::TakeAnswer(const WholeAnswer& answer, Duration sent) {
@@ -245,14 +244,14 @@
 
 void Trainer::TakeSamples(const boost::json::object& answer, Duration sent) {
   checks::CursorRead read{stream_.name, cursor_, StreamOffset(NumberIn(answer, "next")),
-                          {},           sent,    surroundings_.Now()};
+                          {},           sent,    context_.Now()};
   const boost::json::value* samples = answer.if_contains("samples");
   if (samples != nullptr && samples->is_array()) {
     for (const boost::json::value& sample : samples->as_array()) {
       if (sample.is_object()) read.samples.push_back(ReadSample(sample.as_object()));
     }
   }
-  surroundings_.history.reads.push_back(read);
+  context_.history.reads.push_back(read);
   // An answer lost between receipt and use is read again at the same cursor.
   if (DrawChance(random_, kReadAgain)) return;
   for (const checks::ReceivedSample& sample : read.samples) TakeSample(sample);
@@ -272,7 +271,7 @@
   if (step != steps_.end()) step->second.missing.erase(sample.sample);
   if (!seen_.insert(sample.sample).second) return;
   WeightVersion newest;
-  for (const checks::VersionPublish& publish : surroundings_.history.publishes) {
+  for (const checks::VersionPublish& publish : context_.history.publishes) {
     if (publish.acknowledged) newest = std::max(newest, publish.version);
   }
   WeightVersion oldest = newest;
@@ -281,13 +280,13 @@
 }
 
 void Trainer::StepWhole() {
-  const Duration now = surroundings_.Now();
+  const Duration now = context_.Now();
   Step& step = steps_.at(current_);
-  surroundings_.history.steps[step.put_record].completed = now;
-  surroundings_.history.demands[*step.demand].done = now;
+  context_.history.steps[step.put_record].completed = now;
+  context_.history.demands[*step.demand].done = now;
   const Duration waited = now - waiting_since_;
   record_.waited += waited;
-  ++record_.steps_whole;
+  ++record_.steps_completed;
   record_.steps_in_time += waited <= load_.in_time ? 1 : 0;
   record_.worked += load_.training_time;
   training_ = true;
--- a/simulator/clients/trainer.h
+++ b/simulator/clients/trainer.h
@@ -14,7 +14,7 @@
 #include "simulator/fleet/back_ends.h"
 #include "simulator/fleet/deployment.h"
 #include "simulator/fleet/fleet.h"
-#include "simulator/fleet/surroundings.h"
+#include "simulator/fleet/run_context.h"
 
 namespace millstair::simulator {
 
@@ -22,7 +22,7 @@
 struct TrainerRecord {
   Duration waited{0};
   Duration worked{0};
-  uint64_t steps_whole = 0;
+  uint64_t steps_completed = 0;
   uint64_t steps_in_time = 0;
   uint64_t withdrawn = 0;
   /// One per sample, at its first hand-on.
@@ -31,7 +31,7 @@
 
 class Trainer {
  public:
-  Trainer(Surroundings& surroundings, Platform& platform, const DeploymentPlan& plan,
+  Trainer(RunContext& context, Platform& platform, const DeploymentPlan& plan,
           const StreamPlan& stream, const TrainerLoad& load, PromptRegistry& prompts);
 
   /// Begins no new step after `until`.
@@ -67,7 +67,7 @@
   void After(Duration delay, std::function<void()> action);
   const std::string& DrawGateway();
 
-  Surroundings& surroundings_;
+  RunContext& context_;
   Platform& platform_;
   const DeploymentPlan& plan_;
   StreamPlan stream_;
--- a/simulator/faults/fault_actions.h
+++ b/simulator/faults/fault_actions.h
@@ -20,7 +20,7 @@
   /// Takes the fault back; runs once, at `until`.
   std::function<void()> heal;
   /// Counts the fault as brought about; for actions that have to wait for their moment.
-  std::function<void()> tried;
+  std::function<void()> on_applied;
 
   template <class Container>
   auto& Pick(Container& container) {
--- a/simulator/faults/fault_driver.cc
+++ b/simulator/faults/fault_driver.cc
@@ -7,25 +7,25 @@
 namespace {
 
 /// How the history shows a fault.
-enum class Shown : uint8_t {
-  kDisturbance,  ///< an unplanned fault
-  kPlanned,      ///< a planned stop of a back end
-  kByAction,     ///< the action records windows of its own
+enum class HistoryRecord : uint8_t {
+  kUnplanned,  ///< an unplanned fault
+  kPlanned,    ///< a planned stop of a back end
+  kByAction,   ///< the action records windows of its own
 };
 
 struct ActionEntry {
   FaultKind kind;
   FaultAction action;
-  Shown shown = Shown::kDisturbance;
+  HistoryRecord record = HistoryRecord::kUnplanned;
   /// The action says itself when it came about.
-  bool counts_itself = false;
+  bool reports_applied = false;
 };
 
 constexpr std::array<ActionEntry, static_cast<size_t>(FaultKind::kCount)> kActions{{
     {FaultKind::kControlCrash, CrashControl},
     {FaultKind::kControlCrashInSync, CrashControlInSync},
-    {FaultKind::kLostDisk, LoseDisk, Shown::kDisturbance, true},
-    {FaultKind::kSecondLoss, LoseTwoDisks, Shown::kDisturbance, true},
+    {FaultKind::kLostDisk, LoseDisk, HistoryRecord::kUnplanned, true},
+    {FaultKind::kSecondLoss, LoseTwoDisks, HistoryRecord::kUnplanned, true},
     {FaultKind::kControlIsolated, IsolateControl},
     {FaultKind::kGatewayCrash, CrashGateway},
     {FaultKind::kGatewayIsolated, IsolateGateway},
@@ -41,9 +41,9 @@
     {FaultKind::kEngineCrash, CrashEngine},
     {FaultKind::kSwapFailure, FailSwaps},
     {FaultKind::kCacheEvents, DisturbCacheEvents},
-    {FaultKind::kEngineDrain, DrainEngine, Shown::kPlanned},
+    {FaultKind::kEngineDrain, DrainEngine, HistoryRecord::kPlanned},
     {FaultKind::kMachineLeaves, MachineLeaves},
-    {FaultKind::kOperatorDrain, OperatorDrain, Shown::kPlanned},
+    {FaultKind::kOperatorDrain, OperatorDrain, HistoryRecord::kPlanned},
     {FaultKind::kServerCrash, CrashServer},
     {FaultKind::kCutAnswers, CutAnswers},
     {FaultKind::kStoreOutage, StoreOutage},
@@ -51,7 +51,7 @@
     {FaultKind::kOperatorRace, RaceOperators},
     {FaultKind::kLostAnswers, LoseAnswers},
     {FaultKind::kLongRestart, RestartLong},
-    {FaultKind::kRollingRestart, RestartAll, Shown::kByAction},
+    {FaultKind::kRollingRestart, RestartAll, HistoryRecord::kByAction},
     {FaultKind::kTrainerRestart, RestartTrainer},
     {FaultKind::kPowerLoss, LosePower},
     {FaultKind::kClockStep, StepClocks},
@@ -78,19 +78,19 @@
   const auto count = [this, name] { ++tried_[name]; };
   checks::History& history = world_.history();
   const size_t window = history.faults.size();
-  if (entry.shown != Shown::kByAction) {
+  if (entry.record != HistoryRecord::kByAction) {
     history.faults.push_back({.kind = name,
-                              .planned = entry.shown == Shown::kPlanned,
+                              .planned = entry.record == HistoryRecord::kPlanned,
                               .begin = world_.scheduler().Now()});
   }
   FaultContext& context = contexts_.emplace_back(
       FaultContext{world_, RandomEngine(fault.seed), fault.begin + fault.length});
-  context.tried = count;
-  if (!entry.counts_itself) count();
+  context.on_applied = count;
+  if (!entry.reports_applied) count();
   world_.scheduler().Schedule(fault.length, [this, &context, &entry, window] {
     context.healed = true;
     if (context.heal) std::exchange(context.heal, nullptr)();
-    if (entry.shown == Shown::kByAction) return;
+    if (entry.record == HistoryRecord::kByAction) return;
     world_.history().faults[window].end = world_.scheduler().Now();
   });
   entry.action(context);
--- a/simulator/faults/fault_plan.cc
+++ b/simulator/faults/fault_plan.cc
@@ -14,16 +14,16 @@
 namespace {
 
 /// Time that the check of liveness needs behind the last fault.
-constexpr Duration kQuietEnd = std::chrono::seconds(45);
-constexpr Duration kShortest = std::chrono::seconds(1);
-constexpr uint64_t kSmallestMix = 3;
-constexpr uint64_t kMixSpread = 5;
+constexpr Duration kRecoveryTime = std::chrono::seconds(45);
+constexpr Duration kMinWindow = std::chrono::seconds(1);
+constexpr uint64_t kMinDefaultFaults = 3;
+constexpr uint64_t kDefaultFaultCountRange = 5;
 
 struct FaultDescription {
   FaultKind kind;
   std::string_view name;
-  Duration shortest;
-  Duration longest;
+  Duration min_length;
+  Duration max_length;
 };
 
 using std::chrono::milliseconds;
@@ -80,11 +80,11 @@
 
 PlannedFault DrawFault(uint64_t seed, Duration length, FaultKind kind, uint64_t instance) {
   RandomEngine random(Mix(seed ^ Mix(static_cast<uint64_t>(kind) * 64 + instance + 1)));
-  const Duration window = std::max(FaultsHealedBy(length) - kFaultsFrom, kShortest);
+  const Duration window = std::max(FaultsHealedBy(length) - kFaultsFrom, kMinWindow);
   const FaultDescription& description = Describe(kind);
   PlannedFault fault{.kind = kind};
-  fault.length = DrawDuration(random, std::min(description.shortest, window),
-                              std::min(description.longest, window));
+  fault.length = DrawDuration(random, std::min(description.min_length, window),
+                              std::min(description.max_length, window));
   fault.begin = kFaultsFrom + DrawDuration(random, Duration(0), window - fault.length);
   fault.seed = random();
   return fault;
@@ -101,7 +101,7 @@
   return absl::InvalidArgumentError(fmt::format("no fault is named '{}'", name));
 }
 
-Duration FaultsHealedBy(Duration length) { return std::max(length - kQuietEnd, kFaultsFrom); }
+Duration FaultsHealedBy(Duration length) { return std::max(length - kRecoveryTime, kFaultsFrom); }
 
 FaultPlan DrawFaults(uint64_t seed, Duration length, const std::vector<FaultKind>& kinds) {
   FaultPlan plan;
@@ -114,7 +114,7 @@
 
 FaultPlan DrawDefaultFaults(uint64_t seed, Duration length) {
   RandomEngine random(Mix(seed));
-  const uint64_t count = kSmallestMix + DrawBelow(random, kMixSpread);
+  const uint64_t count = kMinDefaultFaults + DrawBelow(random, kDefaultFaultCountRange);
   std::vector<FaultKind> kinds;
   for (uint64_t i = 0; i < count; ++i) {
     kinds.push_back(
@@ -136,7 +136,7 @@
 namespace {
 
 /// Reads "name@begin+length/seed".
-absl::StatusOr<PlannedFault> ParseWholeFault(std::string_view text) {
+absl::StatusOr<PlannedFault> ParseFullFault(std::string_view text) {
   const size_t at = text.find('@');
   const absl::StatusOr<FaultKind> kind = ParseFault(text.substr(0, at));
   if (!kind.ok()) return kind.status();
@@ -166,7 +166,7 @@
     const std::string_view item = list.substr(begin, end - begin);
     begin = end + 1;
     if (item.find('@') != std::string_view::npos) {
-      const absl::StatusOr<PlannedFault> fault = ParseWholeFault(item);
+      const absl::StatusOr<PlannedFault> fault = ParseFullFault(item);
       if (!fault.ok()) return fault.status();
       plan.push_back(*fault);
       continue;
--- a/simulator/faults/network_faults.cc
+++ b/simulator/faults/network_faults.cc
@@ -17,7 +17,7 @@
 }
 
 /// Both directions between `host` and all of `others`.
-std::vector<Link> Around(HostId host, const std::vector<HostId>& others) {
+std::vector<Link> LinksAround(HostId host, const std::vector<HostId>& others) {
   std::vector<Link> links;
   for (const HostId other : others) {
     if (other == host) continue;
@@ -56,13 +56,13 @@
 void IsolateControl(FaultContext& fault) {
   // Clients still reach it: it must not answer from what it held.
   const HostId host = fault.Pick(fault.world.controls()).host();
-  CutUntilHealed(fault, Around(host, fault.world.FleetHosts()));
+  CutUntilHealed(fault, LinksAround(host, fault.world.FleetHosts()));
 }
 
 void IsolateGateway(FaultContext& fault) {
   std::vector<HostId> controls;
   for (auto& control : fault.world.controls()) controls.push_back(control->host());
-  CutUntilHealed(fault, Around(fault.Pick(fault.world.gateways()).host(), controls));
+  CutUntilHealed(fault, LinksAround(fault.Pick(fault.world.gateways()).host(), controls));
 }
 
 void CutOneWay(FaultContext& fault) {
--- a/simulator/faults/node_faults.cc
+++ b/simulator/faults/node_faults.cc
@@ -15,14 +15,14 @@
 
 constexpr Duration kSyncMin = std::chrono::microseconds(200);
 constexpr Duration kSyncMax = std::chrono::microseconds(800);
-constexpr Duration kPoll = milliseconds(500);
+constexpr Duration kReplicationPollInterval = milliseconds(500);
 /// A planned restart keeps the process down for this long.
 constexpr Duration kRestartPause = milliseconds(800);
 /// Between the restarts of two nodes.
 constexpr Duration kBetweenRestarts = milliseconds(1500);
 /// Users see the time of day jump by 2 to 8 s.
-constexpr Duration kSmallestStep = seconds(1);
-constexpr Duration kLargestStep = seconds(8);
+constexpr Duration kMinClockStep = seconds(1);
+constexpr Duration kMaxClockStep = seconds(8);
 constexpr int kChangesWhileDown = 500;
 constexpr int kWriters = 4;
 
@@ -65,7 +65,7 @@
     return;
   }
   fault.world.scheduler().Schedule(
-      kPoll, [&fault, lose = std::move(lose)] { WhenReplicated(fault, lose); });
+      kReplicationPollInterval, [&fault, lose = std::move(lose)] { WhenReplicated(fault, lose); });
 }
 
 }  // namespace
@@ -110,7 +110,7 @@
   WhenReplicated(fault, [&fault] {
     ControlMachine& machine = PickVoter(fault);
     LoseDiskOf(machine);
-    fault.tried();
+    fault.on_applied();
     fault.heal = [&machine] { machine.BringUp(); };
   });
 }
@@ -125,7 +125,7 @@
       WhenReplicated(fault, [&fault] {
         ControlMachine& second = PickVoter(fault);
         LoseDiskOf(second);
-        fault.tried();
+        fault.on_applied();
         fault.heal = [&second] { second.BringUp(); };
       });
     });
@@ -144,9 +144,9 @@
 }
 
 void DriftClocks(FaultContext& fault) {
-  constexpr double kLargestDrift = 0.02;
+  constexpr double kMaxDrift = 0.02;
   World& world = fault.world;
-  const auto draw = [&fault] { return 1.0 + kLargestDrift * (2 * DrawUnit(fault.random) - 1); };
+  const auto draw = [&fault] { return 1.0 + kMaxDrift * (2 * DrawUnit(fault.random) - 1); };
   for (auto& control : world.controls()) control->SetClockRate(draw());
   for (auto& gateway : world.gateways()) gateway->SetClockRate(draw());
   fault.heal = [&world] {
@@ -158,16 +158,16 @@
 namespace {
 
 /// Sets the time of day of `machine` to `first`, starts it again, and a moment later once more with
-/// `second`: its later life may begin earlier by its own clock.
+/// `second`: its later uptime may begin earlier by its own clock.
 template <class Machine>
 void RestartAcrossStep(FaultContext& fault, Machine& machine, Duration first, Duration second) {
-  const Duration life = DrawDuration(fault.random, milliseconds(100), seconds(2));
-  machine.SetTimeOfDay(first);
+  const Duration uptime = DrawDuration(fault.random, milliseconds(100), seconds(2));
+  machine.SetWallClockOffset(first);
   machine.TakeDown();
   machine.BringUp();
-  fault.world.scheduler().Schedule(life, [&fault, &machine, second] {
+  fault.world.scheduler().Schedule(uptime, [&fault, &machine, second] {
     if (fault.healed) return;
-    machine.SetTimeOfDay(second);
+    machine.SetWallClockOffset(second);
     machine.TakeDown();
     machine.BringUp();
   });
@@ -175,9 +175,9 @@
 
 template <class Machine>
 void StepClockOf(FaultContext& fault, Machine& machine) {
-  const Duration step = DrawDuration(fault.random, kSmallestStep, kLargestStep);
+  const Duration step = DrawDuration(fault.random, kMinClockStep, kMaxClockStep);
   if (DrawChance(fault.random, 0.5)) {
-    machine.SetTimeOfDay(DrawChance(fault.random, 0.5) ? step : -step);
+    machine.SetWallClockOffset(DrawChance(fault.random, 0.5) ? step : -step);
   } else if (DrawChance(fault.random, 0.5)) {
     RestartAcrossStep(fault, machine, step, Duration(0));
   } else {
@@ -194,8 +194,8 @@
   StepClockOf(fault, control);
   StepClockOf(fault, gateway);
   fault.heal = [&control, &gateway] {
-    control.SetTimeOfDay(Duration(0));
-    gateway.SetTimeOfDay(Duration(0));
+    control.SetWallClockOffset(Duration(0));
+    gateway.SetWallClockOffset(Duration(0));
   };
 }
 
--- a/simulator/fleet/back_ends.cc
+++ b/simulator/fleet/back_ends.cc
@@ -11,10 +11,11 @@
 constexpr uint64_t kIncarnationsPerEngine = 100000;
 
 /// Ends what `backend` said itself about leaving.
-void TakeBackOwnWord(Surroundings& surroundings, const EngineName& backend) {
-  for (checks::BackendLeaving& leaving : surroundings.history.leaving) {
-    const bool own = leaving.source == checks::LeavingSource::kSelfReported;
-    if (leaving.backend == backend && own && !leaving.until) leaving.until = surroundings.Now();
+void RevokeSelfReportedLeaving(RunContext& context, const EngineName& backend) {
+  for (checks::BackendLeaving& leaving : context.history.leaving) {
+    const bool self_reported = leaving.source == checks::LeavingSource::kSelfReported;
+    if (leaving.backend == backend && self_reported && !leaving.until)
+      leaving.until = context.Now();
   }
 }
 
@@ -42,24 +43,24 @@
 
 }  // namespace
 
-Platform::Platform(Surroundings& surroundings, const DeploymentPlan& plan)
-    : surroundings_(surroundings),
+Platform::Platform(RunContext& context, const DeploymentPlan& plan)
+    : context_(context),
       scorer_address_(plan.scorer),
-      environment_(surroundings.scheduler, surroundings.DrawSeed()),
-      store_host_(surroundings.network.AddHost("weight-store", plan.zones[0])),
+      environment_(context.scheduler, context.DrawSeed()),
+      store_host_(context.network.AddHost("weight-store", plan.zones[0])),
       store_(environment_, {.bytes_per_second = plan.store_bytes_per_second,
                             .burst_bytes = plan.store_bytes_per_second,
                             .version_bytes = plan.version_bytes}),
       scorer_(environment_, {}),
       list_(environment_, ListOptions()) {
-  surroundings.http.AddAddress(plan.weight_store, store_host_);
-  surroundings.http.Listen(plan.weight_store, store_);
-  const HostId scorer_host = surroundings.network.AddHost("scorer", plan.zones[0]);
-  surroundings.http.AddAddress(plan.scorer, scorer_host);
-  surroundings.http.Listen(plan.scorer, scorer_);
-  const HostId list_host = surroundings.network.AddHost("machine-list", plan.zones[0]);
-  surroundings.http.AddAddress(plan.machine_list, list_host);
-  surroundings.http.Listen(plan.machine_list, list_);
+  context.http.AddAddress(plan.weight_store, store_host_);
+  context.http.Listen(plan.weight_store, store_);
+  const HostId scorer_host = context.network.AddHost("scorer", plan.zones[0]);
+  context.http.AddAddress(plan.scorer, scorer_host);
+  context.http.Listen(plan.scorer, scorer_);
+  const HostId list_host = context.network.AddHost("machine-list", plan.zones[0]);
+  context.http.AddAddress(plan.machine_list, list_host);
+  context.http.Listen(plan.machine_list, list_);
   for (const std::vector<BackendPlan>* backends : {&plan.engines, &plan.servers}) {
     for (const BackendPlan& backend : *backends) list_.Add({backend.machine_address});
   }
@@ -67,30 +68,30 @@
 
 void Platform::SetScorerDown(bool down) {
   if (down) {
-    surroundings_.http.StopListening(scorer_address_);
+    context_.http.StopListening(scorer_address_);
   } else {
-    surroundings_.http.Listen(scorer_address_, scorer_);
+    context_.http.Listen(scorer_address_, scorer_);
   }
 }
 
-EngineMachine::EngineMachine(Surroundings& surroundings, Platform& platform,
-                             const DeploymentPlan& plan, size_t index, const FleetOptions& options,
+EngineMachine::EngineMachine(RunContext& context, Platform& platform, const DeploymentPlan& plan,
+                             size_t index, const FleetOptions& options,
                              const EngineDisturbance& disturbance)
-    : surroundings_(surroundings),
+    : context_(context),
       plan_(plan.engines[index]),
-      host_(surroundings.network.AddHost(plan_.name.value(), plan_.zone)),
-      environment_(surroundings.scheduler, surroundings.DrawSeed()),
+      host_(context.network.AddHost(plan_.name.value(), plan_.zone)),
+      environment_(context.scheduler, context.DrawSeed()),
       model_(std::make_unique<EngineModel>(
           environment_, EngineOptions(plan, index, options, disturbance), Links(platform))) {
-  surroundings_.http.AddAddress(plan_.address, host_);
-  surroundings_.engines.Add(plan_.address, *model_);
+  context_.http.AddAddress(plan_.address, host_);
+  context_.engines.Add(plan_.address, *model_);
 }
 
 EngineModelLinks EngineMachine::Links(Platform& platform) {
   EngineModelLinks links;
   links.fetch_weights = [this, &platform](const std::string& location,
                                           std::function<void(absl::StatusOr<WeightDigest>)> done) {
-    if (!surroundings_.network.OpenBothWays(host_, platform.store_host())) {
+    if (!context_.network.OpenBothWays(host_, platform.store_host())) {
       environment_.Schedule(kConnectTimeout, [done = std::move(done)] {
         done(absl::UnavailableError("the weight store can't be reached"));
       });
@@ -100,9 +101,9 @@
   };
   links.fetch_kv = [this](const std::string& address, const std::vector<BlockHash>& blocks,
                           std::function<void(absl::StatusOr<KvExport>)> done) {
-    EngineModel* other = surroundings_.engines.Find(address);
-    const Duration there_and_back = std::chrono::milliseconds(2);
-    environment_.Schedule(there_and_back, [other, blocks, done = std::move(done)] {
+    EngineModel* other = context_.engines.Find(address);
+    const Duration round_trip = std::chrono::milliseconds(2);
+    environment_.Schedule(round_trip, [other, blocks, done = std::move(done)] {
       if (other == nullptr) {
         done(absl::UnavailableError("no such engine"));
         return;
@@ -117,27 +118,27 @@
   if (down_reasons_++ > 0) return;
   model_->Crash();
   // The next life does not know that this one was leaving.
-  TakeBackOwnWord(surroundings_, plan_.name);
-  surroundings_.engines.Refresh(plan_.address);
+  RevokeSelfReportedLeaving(context_, plan_.name);
+  context_.engines.Refresh(plan_.address);
 }
 
 void EngineMachine::BringUp() {
   if (--down_reasons_ > 0) return;
   model_->Restart();
-  surroundings_.engines.Refresh(plan_.address);
+  context_.engines.Refresh(plan_.address);
 }
 
 void EngineMachine::Drain() {
   // A process that is down says nothing, and its next life would not know of it.
   if (down_reasons_ > 0) return;
   model_->Drain();
-  surroundings_.history.leaving.push_back(
-      {plan_.name, checks::LeavingSource::kSelfReported, surroundings_.Now(), std::nullopt});
+  context_.history.leaving.push_back(
+      {plan_.name, checks::LeavingSource::kSelfReported, context_.Now(), std::nullopt});
 }
 
 void EngineMachine::Undrain() {
   model_->Undrain();
-  TakeBackOwnWord(surroundings_, plan_.name);
+  RevokeSelfReportedLeaving(context_, plan_.name);
 }
 
 namespace {
@@ -148,14 +149,14 @@
 
 }  // namespace
 
-ServerMachine::ServerMachine(Surroundings& surroundings, const DeploymentPlan& plan, size_t index)
-    : surroundings_(surroundings),
+ServerMachine::ServerMachine(RunContext& context, const DeploymentPlan& plan, size_t index)
+    : context_(context),
       plan_(plan.servers[index]),
-      host_(surroundings.network.AddHost(plan_.name.value(), plan_.zone)),
-      environment_(surroundings.scheduler, surroundings.DrawSeed()),
+      host_(context.network.AddHost(plan_.name.value(), plan_.zone)),
+      environment_(context.scheduler, context.DrawSeed()),
       model_(environment_, {.name = plan_.name.value()}) {
-  surroundings_.http.AddAddress(plan_.address, host_);
-  surroundings_.http.Listen(plan_.address, *this);
+  context_.http.AddAddress(plan_.address, host_);
+  context_.http.Listen(plan_.address, *this);
 }
 
 uint64_t ServerMachine::Executions(const ExecutionKey& key) const {
@@ -172,40 +173,39 @@
   const std::string attempt_id = HeaderOf(request, "X-Request-Id");
   const ExecutionKey key{request.method, request.target.substr(0, request.target.find('?')),
                          HeaderOf(request, "Idempotency-Key")};
-  surroundings_.history.arrivals.push_back({plan_.name, surroundings_.Now(), attempt_id});
+  context_.history.arrivals.push_back({plan_.name, context_.Now(), attempt_id});
   // The model executes on arrival or never.
   const uint64_t before = Executions(key);
   model_.Handle(std::move(request), std::move(writer));
   if (Executions(key) == before) return;
-  surroundings_.history.executions.push_back(
-      {plan_.name, attempt_id, key.key, surroundings_.Now()});
+  context_.history.executions.push_back({plan_.name, attempt_id, key.key, context_.Now()});
 }
 
 void ServerMachine::TakeDown() {
   if (down_reasons_++ > 0) return;
-  surroundings_.http.StopListening(plan_.address);
+  context_.http.StopListening(plan_.address);
   model_.Crash();
-  TakeBackOwnWord(surroundings_, plan_.name);
-  surroundings_.http.ResetConnections(host_);
+  RevokeSelfReportedLeaving(context_, plan_.name);
+  context_.http.ResetConnections(host_);
 }
 
 void ServerMachine::BringUp() {
   if (--down_reasons_ > 0) return;
   model_.Restart();
-  surroundings_.http.Listen(plan_.address, *this);
+  context_.http.Listen(plan_.address, *this);
 }
 
 void ServerMachine::Drain() {
   // A process that is down says nothing, and its next life would not know of it.
   if (down_reasons_ > 0) return;
   model_.Drain();
-  surroundings_.history.leaving.push_back(
-      {plan_.name, checks::LeavingSource::kSelfReported, surroundings_.Now(), std::nullopt});
+  context_.history.leaving.push_back(
+      {plan_.name, checks::LeavingSource::kSelfReported, context_.Now(), std::nullopt});
 }
 
 void ServerMachine::Undrain() {
   model_.Undrain();
-  TakeBackOwnWord(surroundings_, plan_.name);
+  RevokeSelfReportedLeaving(context_, plan_.name);
 }
 
 void ServerMachine::SetCutAnswers(double share) {
--- a/simulator/fleet/back_ends.h
+++ b/simulator/fleet/back_ends.h
@@ -10,14 +10,14 @@
 #include "emulator/model/engine_model.h"
 #include "emulator/model/platform_models.h"
 #include "simulator/fleet/deployment.h"
-#include "simulator/fleet/surroundings.h"
+#include "simulator/fleet/run_context.h"
 
 namespace millstair::simulator {
 
 /// Weight store, scorer and the platform's machine list, each on a host of its own.
 class Platform {
  public:
-  Platform(Surroundings& surroundings, const DeploymentPlan& plan);
+  Platform(RunContext& context, const DeploymentPlan& plan);
 
   WeightStoreModel& store() { return store_; }
   MachineListModel& list() { return list_; }
@@ -27,7 +27,7 @@
   uint64_t scored() const { return scorer_.scored(); }
 
  private:
-  Surroundings& surroundings_;
+  RunContext& context_;
   std::string scorer_address_;
   VirtualEnvironment environment_;
   HostId store_host_;
@@ -45,8 +45,8 @@
 
 class EngineMachine {
  public:
-  EngineMachine(Surroundings& surroundings, Platform& platform, const DeploymentPlan& plan,
-                size_t index, const FleetOptions& options, const EngineDisturbance& disturbance);
+  EngineMachine(RunContext& context, Platform& platform, const DeploymentPlan& plan, size_t index,
+                const FleetOptions& options, const EngineDisturbance& disturbance);
 
   EngineModel& model() { return *model_; }
   const BackendPlan& plan() const { return plan_; }
@@ -62,7 +62,7 @@
  private:
   EngineModelLinks Links(Platform& platform);
 
-  Surroundings& surroundings_;
+  RunContext& context_;
   BackendPlan plan_;
   HostId host_;
   VirtualEnvironment environment_;
@@ -72,7 +72,7 @@
 
 class ServerMachine : public RequestHandler {
  public:
-  ServerMachine(Surroundings& surroundings, const DeploymentPlan& plan, size_t index);
+  ServerMachine(RunContext& context, const DeploymentPlan& plan, size_t index);
 
   void Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) override;
 
@@ -88,7 +88,7 @@
  private:
   uint64_t Executions(const ExecutionKey& key) const;
 
-  Surroundings& surroundings_;
+  RunContext& context_;
   BackendPlan plan_;
   HostId host_;
   VirtualEnvironment environment_;
--- a/simulator/fleet/control_machine.cc
+++ b/simulator/fleet/control_machine.cc
@@ -16,9 +16,9 @@
 
 }  // namespace
 
-ControlMachine::ControlMachine(Surroundings& surroundings, const DeploymentPlan& plan, size_t index,
+ControlMachine::ControlMachine(RunContext& context, const DeploymentPlan& plan, size_t index,
                                const FleetOptions& options)
-    : surroundings_(surroundings),
+    : context_(context),
       deployment_(plan),
       plan_(plan.controls[index]),
       faults_(options.product_faults ? options.product_faults
@@ -26,12 +26,12 @@
       tail_handling_(options.tail_handling),
       snapshot_after_entries_(options.snapshot_after_entries.value_or(
           kSnapshotAfter[options.seed % kSnapshotAfter.size()])),
-      host_(surroundings.network.AddHost(plan_.node.value(), plan_.zone)),
-      boot_environment_(surroundings.scheduler, surroundings.DrawSeed()),
-      disk_(boot_environment_, surroundings.DrawSeed()) {
-  surroundings_.http.AddAddress(plan_.http_address, host_);
-  surroundings_.peers.AddNode(plan_.node, plan_.peer_address, host_);
-  if (plan_.founder) {
+      host_(context.network.AddHost(plan_.node.value(), plan_.zone)),
+      boot_environment_(context.scheduler, context.DrawSeed()),
+      disk_(boot_environment_, context.DrawSeed()) {
+  context_.http.AddAddress(plan_.http_address, host_);
+  context_.peers.AddNode(plan_.node, plan_.peer_address, host_);
+  if (plan_.initial_member) {
     (void)InitializeFounder(disk_, plan.cluster_id, plan_.node, plan_.peer_address);
   }
 }
@@ -56,15 +56,15 @@
   const Incarnation stopping = incarnation_;
   node_->Drain([this, stopping, pause, done = std::move(done)]() mutable {
     if (node_ != nullptr && incarnation_ == stopping) {
-      surroundings_.http.StopAccepting(plan_.http_address);
+      context_.http.StopAccepting(plan_.http_address);
     }
-    surroundings_.scheduler.Schedule(kExitTime, [this, stopping, pause, done = std::move(done)] {
+    context_.scheduler.Schedule(kExitTime, [this, stopping, pause, done = std::move(done)] {
       // A fault may have ended the process before it was drained.
       if (node_ != nullptr && incarnation_ == stopping) {
         TakeDown();
-        surroundings_.scheduler.Schedule(pause, [this] { BringUp(); });
+        context_.scheduler.Schedule(pause, [this] { BringUp(); });
       }
-      surroundings_.scheduler.Schedule(pause, done);
+      context_.scheduler.Schedule(pause, done);
     });
   });
 }
@@ -74,9 +74,9 @@
   if (environment_) environment_->SetRate(rate);
 }
 
-void ControlMachine::SetTimeOfDay(Duration ahead) {
-  if (environment_) environment_->JumpWallClock(ahead - time_of_day_ahead_);
-  time_of_day_ahead_ = ahead;
+void ControlMachine::SetWallClockOffset(Duration offset) {
+  if (environment_) environment_->JumpWallClock(offset - wall_clock_offset_);
+  wall_clock_offset_ = offset;
 }
 
 void ControlMachine::Suspend() {
@@ -99,7 +99,7 @@
   options.cluster_id = deployment_.cluster_id;
   for (const NodePlan& control : deployment_.controls) {
     options.control_nodes.push_back({control.node, control.peer_address, control.zone});
-    if (!control.founder) continue;
+    if (!control.initial_member) continue;
     options.initial_members.push_back({FounderReplicaId(deployment_.cluster_id, control.node),
                                        control.node, control.peer_address, true});
   }
@@ -111,14 +111,14 @@
 }
 
 void ControlMachine::StartProcess() {
-  incarnation_ = surroundings_.NewIncarnation(time_of_day_ahead_);
+  incarnation_ = context_.NewIncarnation(wall_clock_offset_);
   environment_ = std::make_unique<VirtualEnvironment>(
-      surroundings_.scheduler, surroundings_.DrawSeed(),
-      VirtualClockOptions{.rate = clock_rate_, .wall_error = time_of_day_ahead_});
+      context_.scheduler, context_.DrawSeed(),
+      VirtualClockOptions{.rate = clock_rate_, .wall_error = wall_clock_offset_});
   if (suspended_) environment_->Suspend();
   disk_.Attach(*environment_);
-  transport_ = surroundings_.peers.MakeTransport(plan_.node);
-  platform_ = std::make_unique<FabricHttpCaller>(surroundings_.http, host_);
+  transport_ = context_.peers.MakeTransport(plan_.node);
+  platform_ = std::make_unique<FabricHttpCaller>(context_.http, host_);
   StreamLeaderOptions stream;
   stream.tail_handling = tail_handling_;
   node_ = MakeControlNode(*environment_, *transport_, disk_, *platform_,
@@ -127,17 +127,17 @@
   node_->AddLeaderTask(MakeWeightDuty(*environment_, [node = node_.get()](ClusterCommand command) {
     node->Propose(std::move(command), [](const absl::StatusOr<ClusterResult>&) {});
   }));
-  surroundings_.peers.SetReceiver(plan_.node, node_.get());
-  surroundings_.http.Listen(plan_.http_address, *node_);
+  context_.peers.SetReceiver(plan_.node, node_.get());
+  context_.http.Listen(plan_.http_address, *node_);
   (void)node_->Start();
 }
 
 void ControlMachine::KillProcess() {
   if (node_ == nullptr) return;
   environment_->Kill();
-  surroundings_.peers.SetReceiver(plan_.node, nullptr);
-  surroundings_.http.StopListening(plan_.http_address);
-  surroundings_.http.ResetConnections(host_);
+  context_.peers.SetReceiver(plan_.node, nullptr);
+  context_.http.StopListening(plan_.http_address);
+  context_.http.ResetConnections(host_);
   node_.reset();
   transport_.reset();
   platform_.reset();
--- a/simulator/fleet/control_machine.h
+++ b/simulator/fleet/control_machine.h
@@ -8,14 +8,14 @@
 #include "common/virtual_environment.h"
 #include "simulator/fleet/deployment.h"
 #include "simulator/fleet/product_faults.h"
-#include "simulator/fleet/surroundings.h"
+#include "simulator/fleet/run_context.h"
 #include "storage/memory_file_system.h"
 
 namespace millstair::simulator {
 
 class ControlMachine {
  public:
-  ControlMachine(Surroundings& surroundings, const DeploymentPlan& plan, size_t index,
+  ControlMachine(RunContext& context, const DeploymentPlan& plan, size_t index,
                  const FleetOptions& options);
   ~ControlMachine();
 
@@ -37,7 +37,7 @@
   Incarnation incarnation() const { return incarnation_; }
   void SetClockRate(double rate);
   /// The time of day is off by so much, also in the lives to come.
-  void SetTimeOfDay(Duration ahead);
+  void SetWallClockOffset(Duration offset);
   /// The process stands still, its clocks go on. What reaches it meanwhile is for the caller to
   /// hold.
   void Suspend();
@@ -48,7 +48,7 @@
   void KillProcess();
   ControlNodeOptions Options() const;
 
-  Surroundings& surroundings_;
+  RunContext& context_;
   const DeploymentPlan& deployment_;
   NodePlan plan_;
   std::shared_ptr<const ProductFaults> faults_;
@@ -60,7 +60,7 @@
   MemoryFileSystem disk_;
   Incarnation incarnation_;
   double clock_rate_ = 1.0;
-  Duration time_of_day_ahead_{0};
+  Duration wall_clock_offset_{0};
   bool suspended_ = false;
   int down_reasons_ = 1;
   std::unique_ptr<VirtualEnvironment> environment_;
--- a/simulator/fleet/deployment.cc
+++ b/simulator/fleet/deployment.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /// What differs between the two.
-struct Shape {
+struct DeploymentShape {
   std::string cluster_id;
   std::vector<std::string> zones;
   Duration between_zones;
@@ -18,7 +18,7 @@
   double idle_time_weight;
 };
 
-Shape ShapeOf(DeploymentName deployment) {
+DeploymentShape ShapeOf(DeploymentName deployment) {
   if (deployment == DeploymentName::kAssociation) {
     return {"association",
             {"dar-kariakoo", "dar-msasani", "dar-kurasini"},
@@ -44,7 +44,7 @@
 constexpr uint64_t kStoreBytesPerSecond = 400'000'000;
 constexpr uint64_t kVersionBytes = 50'000'000;
 
-std::vector<NodePlan> PlanNodes(const Shape& shape, const std::string& role, size_t count,
+std::vector<NodePlan> PlanNodes(const DeploymentShape& shape, const std::string& role, size_t count,
                                 int subnet) {
   std::vector<NodePlan> nodes;
   for (size_t i = 0; i < count; ++i) {
@@ -56,8 +56,8 @@
   return nodes;
 }
 
-std::vector<BackendPlan> PlanBackends(const Shape& shape, const std::string& role, size_t count,
-                                      int subnet) {
+std::vector<BackendPlan> PlanBackends(const DeploymentShape& shape, const std::string& role,
+                                      size_t count, int subnet) {
   std::vector<BackendPlan> backends;
   for (size_t i = 0; i < count; ++i) {
     const size_t zone = i % shape.zones.size();
@@ -125,7 +125,7 @@
 }
 
 DeploymentPlan PlanDeployment(const FleetOptions& options) {
-  const Shape shape = ShapeOf(options.deployment);
+  const DeploymentShape shape = ShapeOf(options.deployment);
   DeploymentPlan plan;
   plan.cluster_id = shape.cluster_id;
   plan.latencies.between_zones = shape.between_zones;
--- a/simulator/fleet/deployment.h
+++ b/simulator/fleet/deployment.h
@@ -20,7 +20,7 @@
   std::string peer_address;
   std::string http_address;
   /// Member of the cluster from the first start; else a warm learner. Control nodes only.
-  bool founder = false;
+  bool initial_member = false;
 };
 
 /// A machine with one back end.
--- a/simulator/fleet/fleet.cc
+++ b/simulator/fleet/fleet.cc
@@ -12,9 +12,9 @@
 namespace {
 
 /// Measures leave out the start-up.
-constexpr Duration kMeasuredFrom = std::chrono::seconds(10);
+constexpr Duration kMeasurementStart = std::chrono::seconds(10);
 
-checks::TextOracle HonestEngine() {
+checks::TextOracle MakeTextOracle() {
   checks::TextOracle oracle;
   oracle.token_text = [](const std::string& prompt, uint32_t token, WeightVersion version) {
     return TokenText(prompt, token, version);
@@ -39,7 +39,7 @@
   std::vector<double> latencies;
   std::vector<double> first;
   for (const checks::CallAttempt& call : history.calls) {
-    if (call.sent < kMeasuredFrom) continue;
+    if (call.sent < kMeasurementStart) continue;
     measures.answered += call.end == checks::CallEnd::kComplete ? 1 : 0;
     measures.cut += call.end == checks::CallEnd::kCut ? 1 : 0;
     measures.unanswered += call.end == checks::CallEnd::kUnanswered ? 1 : 0;
@@ -65,7 +65,7 @@
     const TrainerRecord& record = trainer->record();
     waited += record.waited;
     worked += record.worked;
-    measures.steps_whole += record.steps_whole;
+    measures.steps_completed += record.steps_completed;
     in_time += record.steps_in_time;
     measures.samples_withdrawn += record.withdrawn;
     for (const uint64_t age : record.staleness) staleness.push_back(static_cast<double>(age));
@@ -74,9 +74,9 @@
   if (waited + worked > Duration(0)) {
     measures.trainer_idle_share = ToSeconds(waited) / ToSeconds(waited + worked);
   }
-  if (measures.steps_whole > 0) {
+  if (measures.steps_completed > 0) {
     measures.steps_in_time_share =
-        static_cast<double>(in_time) / static_cast<double>(measures.steps_whole);
+        static_cast<double>(in_time) / static_cast<double>(measures.steps_completed);
   }
   double sum = 0;
   for (const double age : staleness) sum += age;
@@ -115,7 +115,7 @@
           {"live_first_token_p50_ms", measures.live_first_token_p50_ms},
           {"live_first_token_p99_ms", measures.live_first_token_p99_ms},
           {"steps_in_time_share", measures.steps_in_time_share},
-          {"steps_whole", measures.steps_whole},
+          {"steps_whole", measures.steps_completed},
           {"samples_received", measures.samples_received},
           {"samples_withdrawn", measures.samples_withdrawn},
           {"prefix_hit_rate", measures.prefix_hit_rate},
@@ -147,7 +147,7 @@
   result.deployment = options.deployment;
   result.seed = options.seed;
   if (options.check_history) {
-    result.checks = checks::RunAllChecks(world.history(), {}, HonestEngine());
+    result.checks = checks::RunAllChecks(world.history(), {}, MakeTextOracle());
   }
   result.measures = Measure(world);
   result.faults_tried = faults.tried();
--- a/simulator/fleet/fleet.h
+++ b/simulator/fleet/fleet.h
@@ -105,7 +105,7 @@
   double live_first_token_p50_ms = 0;
   double live_first_token_p99_ms = 0;
   double steps_in_time_share = 0;
-  uint64_t steps_whole = 0;
+  uint64_t steps_completed = 0;
   uint64_t samples_received = 0;
   uint64_t samples_withdrawn = 0;
   /// Prefix blocks found in the engines' caches over all looked up.
--- a/simulator/fleet/gateway_machine.cc
+++ b/simulator/fleet/gateway_machine.cc
@@ -12,15 +12,15 @@
 
 }  // namespace
 
-GatewayMachine::GatewayMachine(Surroundings& surroundings, const DeploymentPlan& plan, size_t index,
+GatewayMachine::GatewayMachine(RunContext& context, const DeploymentPlan& plan, size_t index,
                                const FleetOptions& options)
-    : surroundings_(surroundings),
+    : context_(context),
       deployment_(plan),
       options_(options),
       plan_(plan.gateways[index]),
-      host_(surroundings.network.AddHost(plan_.node.value(), plan_.zone)) {
-  surroundings_.http.AddAddress(plan_.http_address, host_);
-  surroundings_.peers.AddNode(plan_.node, plan_.peer_address, host_);
+      host_(context.network.AddHost(plan_.node.value(), plan_.zone)) {
+  context_.http.AddAddress(plan_.http_address, host_);
+  context_.peers.AddNode(plan_.node, plan_.peer_address, host_);
 }
 
 GatewayMachine::~GatewayMachine() { KillProcess(); }
@@ -41,20 +41,20 @@
   const Incarnation stopping = incarnation_;
   node_->Drain([this, stopping, pause, done = std::move(done)]() mutable {
     if (node_ != nullptr && incarnation_ == stopping) {
-      surroundings_.http.StopAccepting(plan_.http_address);
+      context_.http.StopAccepting(plan_.http_address);
     }
-    surroundings_.scheduler.Schedule(kExitTime, [this, stopping, pause, done = std::move(done)] {
+    context_.scheduler.Schedule(kExitTime, [this, stopping, pause, done = std::move(done)] {
       // A fault may have ended the process before it was drained.
       if (node_ != nullptr && incarnation_ == stopping) {
-        const size_t open = surroundings_.http.OpenAnswers(host_);
+        const size_t open = context_.http.OpenAnswers(host_);
         if (open > 0) {
-          surroundings_.history.planned_cuts.push_back(
-              {plan_.node, fmt::format("{} answers", open), surroundings_.Now()});
+          context_.history.planned_cuts.push_back(
+              {plan_.node, fmt::format("{} answers", open), context_.Now()});
         }
         TakeDown();
-        surroundings_.scheduler.Schedule(pause, [this] { BringUp(); });
+        context_.scheduler.Schedule(pause, [this] { BringUp(); });
       }
-      surroundings_.scheduler.Schedule(pause, done);
+      context_.scheduler.Schedule(pause, done);
     });
   });
 }
@@ -64,9 +64,9 @@
   if (environment_) environment_->SetRate(rate);
 }
 
-void GatewayMachine::SetTimeOfDay(Duration ahead) {
-  if (environment_) environment_->JumpWallClock(ahead - time_of_day_ahead_);
-  time_of_day_ahead_ = ahead;
+void GatewayMachine::SetWallClockOffset(Duration offset) {
+  if (environment_) environment_->JumpWallClock(offset - wall_clock_offset_);
+  wall_clock_offset_ = offset;
 }
 
 void GatewayMachine::Suspend() {
@@ -99,26 +99,26 @@
 }
 
 void GatewayMachine::StartProcess() {
-  incarnation_ = surroundings_.NewIncarnation(time_of_day_ahead_);
+  incarnation_ = context_.NewIncarnation(wall_clock_offset_);
   environment_ = std::make_unique<VirtualEnvironment>(
-      surroundings_.scheduler, surroundings_.DrawSeed(),
-      VirtualClockOptions{.rate = clock_rate_, .wall_error = time_of_day_ahead_});
+      context_.scheduler, context_.DrawSeed(),
+      VirtualClockOptions{.rate = clock_rate_, .wall_error = wall_clock_offset_});
   if (suspended_) environment_->Suspend();
-  transport_ = surroundings_.peers.MakeTransport(plan_.node);
-  http_ = std::make_unique<FabricHttpCaller>(surroundings_.http, host_);
-  engines_ = std::make_unique<FabricEngineClient>(surroundings_.engines, host_);
+  transport_ = context_.peers.MakeTransport(plan_.node);
+  http_ = std::make_unique<FabricHttpCaller>(context_.http, host_);
+  engines_ = std::make_unique<FabricEngineClient>(context_.engines, host_);
   node_ = MakeGatewayNode(*environment_, *transport_, *engines_, *http_, Options());
-  surroundings_.peers.SetReceiver(plan_.node, node_.get());
-  surroundings_.http.Listen(plan_.http_address, *node_);
+  context_.peers.SetReceiver(plan_.node, node_.get());
+  context_.http.Listen(plan_.http_address, *node_);
   node_->Start();
 }
 
 void GatewayMachine::KillProcess() {
   if (node_ == nullptr) return;
   environment_->Kill();
-  surroundings_.peers.SetReceiver(plan_.node, nullptr);
-  surroundings_.http.StopListening(plan_.http_address);
-  surroundings_.http.ResetConnections(host_);
+  context_.peers.SetReceiver(plan_.node, nullptr);
+  context_.http.StopListening(plan_.http_address);
+  context_.http.ResetConnections(host_);
   node_.reset();
   transport_.reset();
   http_.reset();
--- a/simulator/fleet/gateway_machine.h
+++ b/simulator/fleet/gateway_machine.h
@@ -8,13 +8,13 @@
 #include "gateway/gateway_node.h"
 #include "simulator/fleet/deployment.h"
 #include "simulator/fleet/product_faults.h"
-#include "simulator/fleet/surroundings.h"
+#include "simulator/fleet/run_context.h"
 
 namespace millstair::simulator {
 
 class GatewayMachine {
  public:
-  GatewayMachine(Surroundings& surroundings, const DeploymentPlan& plan, size_t index,
+  GatewayMachine(RunContext& context, const DeploymentPlan& plan, size_t index,
                  const FleetOptions& options);
   ~GatewayMachine();
 
@@ -33,7 +33,7 @@
   Incarnation incarnation() const { return incarnation_; }
   void SetClockRate(double rate);
   /// The time of day is off by so much, also in the lives to come.
-  void SetTimeOfDay(Duration ahead);
+  void SetWallClockOffset(Duration offset);
   /// The process stands still, its clocks go on. What reaches it meanwhile is for the caller to
   /// hold.
   void Suspend();
@@ -44,14 +44,14 @@
   void KillProcess();
   GatewayNodeOptions Options() const;
 
-  Surroundings& surroundings_;
+  RunContext& context_;
   const DeploymentPlan& deployment_;
   const FleetOptions& options_;
   NodePlan plan_;
   HostId host_;
   Incarnation incarnation_;
   double clock_rate_ = 1.0;
-  Duration time_of_day_ahead_{0};
+  Duration wall_clock_offset_{0};
   bool suspended_ = false;
   int down_reasons_ = 1;
   std::unique_ptr<VirtualEnvironment> environment_;
--- a/simulator/fleet/surroundings.h
+++ b/simulator/fleet/run_context.h
@@ -15,7 +15,7 @@
 namespace millstair::simulator {
 
 /// Outlives all parties.
-struct Surroundings {
+struct RunContext {
   VirtualScheduler& scheduler;
   Network& network;
   HttpFabric& http;
@@ -26,8 +26,8 @@
   Duration Now() const { return scheduler.Now(); }
   /// For a process that starts now on a machine whose time of day is off: the time of day, as the
   /// product numbers lives. Runs begin an hour into it, so that it may be set back.
-  Incarnation NewIncarnation(Duration ahead) const {
-    const Duration time_of_day = std::chrono::hours(1) + Now() + ahead;
+  Incarnation NewIncarnation(Duration offset) const {
+    const Duration time_of_day = std::chrono::hours(1) + Now() + offset;
     return Incarnation(static_cast<uint64_t>(time_of_day.count()));
   }
   /// A seed for a part of the run.
--- a/simulator/fleet/world.cc
+++ b/simulator/fleet/world.cc
@@ -11,21 +11,21 @@
 
 constexpr Duration kSampleInterval = std::chrono::milliseconds(100);
 /// Also without a change a sample is kept this often.
-constexpr Duration kSampleKept = std::chrono::milliseconds(500);
+constexpr Duration kMaxRecordInterval = std::chrono::milliseconds(500);
 /// Load ends before the run does, so that what was asked can be answered.
-constexpr Duration kLoadEndsBefore = std::chrono::seconds(4);
+constexpr Duration kLoadEndMargin = std::chrono::seconds(4);
 /// Trainers begin no step that can't be done before the end.
-constexpr Duration kTrainersEndBefore = std::chrono::seconds(8);
+constexpr Duration kTrainerEndMargin = std::chrono::seconds(8);
 constexpr size_t kVoters = 3;
 
-bool Plans(const FaultPlan& plan, FaultKind kind) {
+bool ContainsKind(const FaultPlan& plan, FaultKind kind) {
   return std::any_of(plan.begin(), plan.end(),
                      [kind](const PlannedFault& fault) { return fault.kind == kind; });
 }
 
 EngineDisturbance DisturbanceOf(const FaultPlan& plan) {
   EngineDisturbance disturbance;
-  if (Plans(plan, FaultKind::kCacheEvents)) {
+  if (ContainsKind(plan, FaultKind::kCacheEvents)) {
     disturbance.cache_event_loss = 0.1;
     disturbance.cache_event_delay = std::chrono::seconds(2);
   }
@@ -34,7 +34,7 @@
 
 /// Voters of a group as one replica sees them.
 struct VoterCount {
-  size_t sound = 0;
+  size_t healthy = 0;
   size_t lost = 0;
   /// The replica itself is a voter.
   bool self = false;
@@ -44,7 +44,7 @@
   VoterCount count;
   for (const GroupMember& member : group.Members()) {
     if (!member.voter) continue;
-    ++(disks.contains(member.replica) ? count.sound : count.lost);
+    ++(disks.contains(member.replica) ? count.healthy : count.lost);
     count.self = count.self || member.replica == own;
   }
   return count;
@@ -69,7 +69,7 @@
                    (kind == EngineArrival::kOrder ? "order " : "generation ") + what});
             }
           }),
-      surroundings_{scheduler_, network_, http_, peers_, engine_fabric_, history_},
+      context_{scheduler_, network_, http_, peers_, engine_fabric_, history_},
       initial_resources_(InitialResources(plan_, options)) {
   BuildMachines();
   BuildClients();
@@ -86,33 +86,33 @@
 }
 
 void World::BuildMachines() {
-  platform_ = std::make_unique<Platform>(surroundings_, plan_);
+  platform_ = std::make_unique<Platform>(context_, plan_);
   const EngineDisturbance disturbance = DisturbanceOf(options_.faults);
   for (size_t i = 0; i < plan_.engines.size(); ++i) {
-    engines_.push_back(std::make_unique<EngineMachine>(surroundings_, *platform_, plan_, i,
-                                                       options_, disturbance));
+    engines_.push_back(
+        std::make_unique<EngineMachine>(context_, *platform_, plan_, i, options_, disturbance));
   }
   for (size_t i = 0; i < plan_.servers.size(); ++i) {
-    servers_.push_back(std::make_unique<ServerMachine>(surroundings_, plan_, i));
+    servers_.push_back(std::make_unique<ServerMachine>(context_, plan_, i));
   }
   for (size_t i = 0; i < plan_.controls.size(); ++i) {
-    controls_.push_back(std::make_unique<ControlMachine>(surroundings_, plan_, i, options_));
+    controls_.push_back(std::make_unique<ControlMachine>(context_, plan_, i, options_));
   }
   for (size_t i = 0; i < plan_.gateways.size(); ++i) {
-    gateways_.push_back(std::make_unique<GatewayMachine>(surroundings_, plan_, i, options_));
+    gateways_.push_back(std::make_unique<GatewayMachine>(context_, plan_, i, options_));
   }
 }
 
 void World::BuildClients() {
-  callers_ = std::make_unique<Callers>(surroundings_, plan_, options_.live, prompts_);
+  callers_ = std::make_unique<Callers>(context_, plan_, options_.live, prompts_);
   if (options_.rollouts) {
     for (const StreamPlan& stream : plan_.streams) {
-      trainers_.push_back(std::make_unique<Trainer>(surroundings_, *platform_, plan_, stream,
+      trainers_.push_back(std::make_unique<Trainer>(context_, *platform_, plan_, stream,
                                                     options_.trainer, prompts_));
     }
   }
   for (const char* name : {"amina", "baraka"}) {
-    operators_.push_back(std::make_unique<OperatorClient>(surroundings_, plan_, name));
+    operators_.push_back(std::make_unique<OperatorClient>(context_, plan_, name));
   }
 }
 
@@ -124,18 +124,18 @@
 }
 
 void World::BeginLoad() {
-  callers_->Start(options_.length - kLoadEndsBefore);
-  for (auto& trainer : trainers_) trainer->Start(options_.length - kTrainersEndBefore);
+  callers_->Start(options_.length - kLoadEndMargin);
+  for (auto& trainer : trainers_) trainer->Start(options_.length - kTrainerEndMargin);
   for (auto& one : operators_) {
-    one->StartNotes(options_.note_interval, kNotes, options_.length - kLoadEndsBefore);
+    one->StartNotes(options_.note_interval, kNotes, options_.length - kLoadEndMargin);
   }
 }
 
-void World::RecordSeen(checks::ConfigurationSeen seen) {
+void World::RecordConfiguration(checks::ConfigurationSeen seen) {
   seen.at = scheduler_.Now();
   checks::ConfigurationSeen& last = last_seen_[seen.node];
   const bool same = last.incarnation == seen.incarnation && last.revision == seen.revision &&
-                    last.ready == seen.ready && seen.at - last.at < kSampleKept;
+                    last.ready == seen.ready && seen.at - last.at < kMaxRecordInterval;
   if (same) return;
   last = seen;
   history_.configurations.push_back(seen);
@@ -146,19 +146,19 @@
   for (const auto& control : controls_) {
     if (!control->running()) continue;
     const Revision revision = control->node()->configuration().revision;
-    RecordSeen({.node = control->plan().node,
-                .incarnation = control->incarnation(),
-                .revision = revision});
+    RecordConfiguration({.node = control->plan().node,
+                         .incarnation = control->incarnation(),
+                         .revision = revision});
     smallest = std::min(smallest, revision);
   }
   for (const auto& gateway : gateways_) {
     if (!gateway->running()) continue;
     const Revision revision = gateway->node()->configuration().revision;
-    RecordSeen({.node = gateway->plan().node,
-                .incarnation = gateway->incarnation(),
-                .revision = revision,
-                .ready = gateway->node()->Ready(),
-                .gateway = true});
+    RecordConfiguration({.node = gateway->plan().node,
+                         .incarnation = gateway->incarnation(),
+                         .revision = revision,
+                         .ready = gateway->node()->Ready(),
+                         .gateway = true});
     smallest = std::min(smallest, revision);
   }
   MeasureInForce(smallest);
@@ -166,11 +166,11 @@
 }
 
 void World::MeasureInForce(Revision smallest) {
-  while (awaited_from_ < history_.accepted.size()) {
-    const checks::RevisionAccepted& accepted = history_.accepted[awaited_from_];
+  while (first_awaited_ < history_.accepted.size()) {
+    const checks::RevisionAccepted& accepted = history_.accepted[first_awaited_];
     if (accepted.revision > smallest) return;
     in_force_times_.push_back(scheduler_.Now() - accepted.at);
-    ++awaited_from_;
+    ++first_awaited_;
   }
 }
 
@@ -211,8 +211,8 @@
       // A lost voter that is still a member counts against the quorum. A leader's word alone is not
       // enough: the change that removed it may not be committed yet.
       if (count.self && count.lost > 0) return false;
-      const bool sound_leader = group->IsLeader() && count.sound >= kVoters;
-      led[group->id()] = led[group->id()] || sound_leader;
+      const bool healthy_leader = group->IsLeader() && count.healthy >= kVoters;
+      led[group->id()] = led[group->id()] || healthy_leader;
     }
   }
   return !led.empty() &&
--- a/simulator/fleet/world.h
+++ b/simulator/fleet/world.h
@@ -14,7 +14,7 @@
 #include "simulator/fleet/deployment.h"
 #include "simulator/fleet/fleet.h"
 #include "simulator/fleet/gateway_machine.h"
-#include "simulator/fleet/surroundings.h"
+#include "simulator/fleet/run_context.h"
 
 namespace millstair::simulator {
 
@@ -37,7 +37,7 @@
   VirtualScheduler& scheduler() { return scheduler_; }
   Network& network() { return network_; }
   checks::History& history() { return history_; }
-  Surroundings& surroundings() { return surroundings_; }
+  RunContext& context() { return context_; }
   Platform& platform() { return *platform_; }
   std::vector<std::unique_ptr<ControlMachine>>& controls() { return controls_; }
   std::vector<std::unique_ptr<GatewayMachine>>& gateways() { return gateways_; }
@@ -72,7 +72,7 @@
   void BuildClients();
   void BeginLoad();
   void Sample();
-  void RecordSeen(checks::ConfigurationSeen seen);
+  void RecordConfiguration(checks::ConfigurationSeen seen);
   void MeasureInForce(Revision smallest);
 
   FleetOptions options_;
@@ -83,7 +83,7 @@
   PeerFabric peers_;
   checks::History history_;
   EngineFabric engine_fabric_;
-  Surroundings surroundings_;
+  RunContext context_;
   PromptRegistry prompts_;
   std::unique_ptr<Platform> platform_;
   std::vector<std::unique_ptr<EngineMachine>> engines_;
@@ -95,7 +95,7 @@
   std::vector<std::unique_ptr<OperatorClient>> operators_;
   std::vector<Resource> initial_resources_;
   std::map<NodeId, checks::ConfigurationSeen> last_seen_;
-  size_t awaited_from_ = 0;
+  size_t first_awaited_ = 0;
   std::vector<Duration> in_force_times_;
 };
 
--- a/simulator/run/trace.cc
+++ b/simulator/run/trace.cc
@@ -41,7 +41,7 @@
   if (!keys.ok()) return keys;
   if (node["faults"]) outcome.faults = node["faults"].as<std::map<std::string, uint64_t>>();
   if (node["tried"]) outcome.tried = node["tried"].as<std::map<std::string, uint64_t>>();
-  if (node["steps_whole"]) outcome.steps_whole = node["steps_whole"].as<uint64_t>();
+  if (node["steps_whole"]) outcome.steps_completed = node["steps_whole"].as<uint64_t>();
   if (node["answered"]) outcome.answered = node["answered"].as<uint64_t>();
   if (node["cut"]) outcome.cut = node["cut"].as<uint64_t>();
   if (node["in_force_max_ms"]) outcome.in_force_max_ms = node["in_force_max_ms"].as<double>();
@@ -95,7 +95,7 @@
     const auto found = result.faults_tried.find(name);
     at_least("fault " + name, due, found == result.faults_tried.end() ? 0 : found->second);
   }
-  at_least("whole steps", stated.steps_whole, result.measures.steps_whole);
+  at_least("whole steps", stated.steps_completed, result.measures.steps_completed);
   at_least("answered calls", stated.answered, result.measures.answered);
   if (result.measures.cut > stated.cut) {
     differences.push_back(
--- a/simulator/run/trace.h
+++ b/simulator/run/trace.h
@@ -18,7 +18,7 @@
   std::map<std::string, uint64_t> faults;
   /// Cases that a check must at least have tried, by its name.
   std::map<std::string, uint64_t> tried;
-  uint64_t steps_whole = 0;
+  uint64_t steps_completed = 0;
   uint64_t answered = 0;
   /// Largest allowed.
   uint64_t cut = UINT64_MAX;
--- a/test/simulator/fleet_test.cc
+++ b/test/simulator/fleet_test.cc
@@ -45,7 +45,7 @@
     INFO(ToJsonLine(result));
     CHECK_FALSE(result.Broken());
     for (const checks::CheckResult& check : result.checks) CHECK(check.undecided == 0);
-    CHECK(result.measures.steps_whole >= 4);
+    CHECK(result.measures.steps_completed >= 4);
     CHECK(result.measures.answered > 400);
     CHECK(result.measures.cut == 0);
     CHECK(result.measures.unanswered == 0);
--- a/test/simulator/trace_test.cc
+++ b/test/simulator/trace_test.cc
@@ -43,10 +43,10 @@
 TEST_CASE("An outcome that differs is told", "[simulator]") {
   FleetResult result;
   result.checks.push_back({.name = "staleness", .tried = 3, .broken = 1, .first_example = "old"});
-  result.measures.steps_whole = 2;
+  result.measures.steps_completed = 2;
   result.measures.cut = 1;
   const StatedOutcome stated{
-      .faults = {{"delay", 1}}, .tried = {{"staleness", 4}}, .steps_whole = 3, .cut = 0};
+      .faults = {{"delay", 1}}, .tried = {{"staleness", 4}}, .steps_completed = 3, .cut = 0};
   CHECK(CompareOutcome(stated, result) ==
         std::vector<std::string>{
             "staleness broken: old", "cases of staleness: 3 instead of at least 4",
