--- a/simulator/faults/fault_plan.cc
+++ b/simulator/faults/fault_plan.cc
@@ -13,7 +13,7 @@
 namespace millstair::simulator {
 namespace {
 
-/// Time that the check of liveness needs behind the last fault.
+/// Time that the liveness check needs after the last fault.
 constexpr Duration kRecoveryTime = std::chrono::seconds(45);
 constexpr Duration kMinWindow = std::chrono::seconds(1);
 constexpr uint64_t kMinDefaultFaults = 3;
@@ -70,7 +70,7 @@
   return kDescriptions[static_cast<size_t>(kind)];
 }
 
-/// Spreads a seed so that neighbours differ in all bits (splitmix64).
+/// splitmix64: decorrelates adjacent seeds.
 uint64_t Mix(uint64_t value) {
   value += 0x9e3779b97f4a7c15ULL;
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -98,7 +98,7 @@
   for (const FaultDescription& description : kDescriptions) {
     if (description.name == name) return description.kind;
   }
-  return absl::InvalidArgumentError(fmt::format("no fault is named '{}'", name));
+  return absl::InvalidArgumentError(fmt::format("unknown fault '{}'", name));
 }
 
 Duration FaultsHealedBy(Duration length) { return std::max(length - kRecoveryTime, kFaultsFrom); }
@@ -120,10 +120,10 @@
     kinds.push_back(
         static_cast<FaultKind>(DrawBelow(random, static_cast<uint64_t>(FaultKind::kCount))));
   }
-  // The same twice.
+  // Repeats one kind.
   kinds.push_back(kinds[DrawBelow(random, kinds.size())]);
   FaultPlan plan = DrawFaults(seed, length, kinds);
-  // Two at once: the second begins with the first, unless it would not be healed in time.
+  // The second fault begins together with the first, unless it would not be healed in time.
   if (plan[0].begin + plan[1].length <= FaultsHealedBy(length)) plan[1].begin = plan[0].begin;
   return plan;
 }
@@ -135,7 +135,7 @@
 
 namespace {
 
-/// Reads "name@begin+length/seed".
+/// Parses "name@begin+length/seed".
 absl::StatusOr<PlannedFault> ParseFullFault(std::string_view text) {
   const size_t at = text.find('@');
   const absl::StatusOr<FaultKind> kind = ParseFault(text.substr(0, at));
