--- a/simulator/faults/backend_faults.cc
+++ b/simulator/faults/backend_faults.cc
@@ -13,13 +13,13 @@
 
 constexpr Duration kStopPause = milliseconds(500);
 
-/// Records that a back end leaves, seen from outside; its index in the history.
+/// Records in the history that a back end is leaving; returns the index of the record.
 size_t RecordLeaving(World& world, const EngineName& backend, checks::LeavingSource source) {
   world.history().leaving.push_back({backend, source, world.scheduler().Now(), std::nullopt});
   return world.history().leaving.size() - 1;
 }
 
-/// Ends all that `source` said of `backend`.
+/// Ends all leaving states that `source` reported for `backend`.
 void EndLeaving(World& world, const EngineName& backend, checks::LeavingSource source) {
   for (checks::BackendLeaving& leaving : world.history().leaving) {
     const bool same = leaving.source == source && leaving.backend == backend;
@@ -27,7 +27,7 @@
   }
 }
 
-/// A back end that drained stops for a moment and starts anew.
+/// Restarts a drained engine after a short pause.
 void RestartDrained(World& world, EngineMachine& engine) {
   engine.TakeDown();
   world.scheduler().Schedule(kStopPause, [&engine] {
@@ -60,7 +60,7 @@
   EngineMachine& engine = fault.Pick(world.engines());
   engine.Drain();
   fault.heal = [&world, &engine] {
-    // The planned stop of an engine: it ends once nothing runs on it.
+    // An engine that is idle after draining undergoes a planned restart.
     if (engine.model().running() && engine.model().Idle()) {
       RestartDrained(world, engine);
     } else {
@@ -83,10 +83,10 @@
     }
   });
   fault.heal = [&world, &engine, address] {
-    // Also ends what another fault of this kind said of the same machine.
+    // Also ends records of other faults of this kind for the same machine.
     EndLeaving(world, engine.plan().name, checks::LeavingSource::kPlatformList);
     world.platform().list().SetState(address, MachineState::kLive);
-    // The machine was taken and another came in its place.
+    // A new machine replaces the removed one.
     engine.TakeDown();
     engine.BringUp();
   };
@@ -104,7 +104,7 @@
   client.Put(drained, [&fault, &world, &client, name, restored](Revision) {
     RecordLeaving(world, name, checks::LeavingSource::kOperator);
     const auto restore = [&world, &client, name, restored] {
-      // The resource holds one wish: this also ends what another fault of this kind asked for.
+      // The resource has a single drain flag, so this also ends other faults of this kind.
       EndLeaving(world, name, checks::LeavingSource::kOperator);
       client.Put(restored, [](Revision) {});
     };
