--- a/simulator/faults/client_faults.cc
+++ b/simulator/faults/client_faults.cc
@@ -1,4 +1,4 @@
-/// Faults of clients: races, lost answers, restarts.
+/// Faults of clients: races, lost responses, restarts.
 #include <algorithm>
 
 #include "common/random.h"
@@ -10,7 +10,7 @@
   fault.Repeat(std::chrono::milliseconds(700), [&fault] {
     auto& operators = fault.world.operators();
     const auto note = static_cast<uint32_t>(DrawBelow(fault.random, kNotes));
-    // Both hold the same version and change the same note at once.
+    // Both operators change the same note at once, expecting the same version.
     const Revision seen = std::max(operators[0]->LastSeen(note), operators[1]->LastSeen(note));
     for (auto& one : operators) one->ChangeNote(note, seen);
   });
