--- a/simulator/faults/fault_actions.h
+++ b/simulator/faults/fault_actions.h
@@ -1,5 +1,5 @@
-/// What each kind of fault does to a fleet. An action brings its fault about and leaves behind how
-/// it is healed.
+/// Actions that apply each kind of fault to a fleet. An action applies its fault and sets
+/// `FaultContext::heal` to undo it.
 #pragma once
 
 #include <functional>
@@ -10,16 +10,16 @@
 
 namespace millstair::simulator {
 
-/// One fault at work. Lives until the end of the run.
+/// State of one active fault. Lives until the end of the run.
 struct FaultContext {
   World& world;
   RandomEngine random;
   /// True time at which it is healed.
   Duration until{0};
   bool healed = false;
-  /// Takes the fault back; runs once, at `until`.
+  /// Undoes the fault; runs once, at `until`.
   std::function<void()> heal;
-  /// Counts the fault as brought about; for actions that have to wait for their moment.
+  /// Counts the fault as applied; called by actions that wait for a precondition.
   std::function<void()> on_applied;
 
   template <class Container>
@@ -32,7 +32,7 @@
 
 using FaultAction = void (*)(FaultContext&);
 
-// Machines of the system.
+// Control machines and gateways.
 void CrashControl(FaultContext& fault);
 void CrashControlInSync(FaultContext& fault);
 void LosePower(FaultContext& fault);
@@ -67,7 +67,7 @@
 void CutAnswers(FaultContext& fault);
 void StoreOutage(FaultContext& fault);
 void ScorerFailure(FaultContext& fault);
-/// Engines have it from their start; see EngineDisturbance.
+/// No action: in effect from the start of the engines; see EngineDisturbance.
 void DisturbCacheEvents(FaultContext& fault);
 
 // Clients.
