--- a/simulator/faults/fault_driver.cc
+++ b/simulator/faults/fault_driver.cc
@@ -6,18 +6,18 @@
 namespace millstair::simulator {
 namespace {
 
-/// How the history shows a fault.
+/// How a fault is recorded in the history.
 enum class HistoryRecord : uint8_t {
   kUnplanned,  ///< an unplanned fault
   kPlanned,    ///< a planned stop of a back end
-  kByAction,   ///< the action records windows of its own
+  kByAction,   ///< the action records its own windows
 };
 
 struct ActionEntry {
   FaultKind kind;
   FaultAction action;
   HistoryRecord record = HistoryRecord::kUnplanned;
-  /// The action says itself when it came about.
+  /// The action calls `on_applied` itself.
   bool reports_applied = false;
 };
 
