--- a/simulator/faults/fault_driver.h
+++ b/simulator/faults/fault_driver.h
@@ -1,4 +1,4 @@
-/// Brings the planned faults of a run about, and heals them.
+/// Applies the planned faults of a run and heals them.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,13 @@
 
 class FaultDriver {
  public:
-  /// `world` must outlive it; both must live until the run has ended.
+  /// `world` must outlive the driver; both must live until the end of the run.
   explicit FaultDriver(World& world) : world_(world) {}
   FaultDriver(const FaultDriver&) = delete;
   FaultDriver& operator=(const FaultDriver&) = delete;
 
   void Start();
-  /// Faults that came about, by name.
+  /// Number of faults applied, by name.
   const std::map<std::string, uint64_t>& tried() const { return tried_; }
 
  private:
