--- a/simulator/faults/fault_plan.h
+++ b/simulator/faults/fault_plan.h
@@ -1,5 +1,5 @@
-/// Which faults a run brings about, and when. A plan is drawn from a seed; each fault's time and
-/// target come from a seed of its own, so that leaving one out does not change the others.
+/// Plan of the faults of a run, drawn from a seed. The time and target of each fault come from a
+/// separate seed, so that removing one fault does not change the others.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +13,14 @@
 namespace millstair::simulator {
 
 enum class FaultKind : uint8_t {
-  kControlCrash,        ///< a control process dies and starts again
+  kControlCrash,        ///< a control process crashes and restarts
   kControlCrashInSync,  ///< the same between a write and its sync; unsynced bytes are lost or torn
-  kLostDisk,            ///< a control machine dies and comes back with an empty disk
+  kLostDisk,            ///< a control machine crashes and restarts with an empty disk
   kSecondLoss,          ///< a disk is lost, and right after the repair a second one
-  kControlIsolated,     ///< a control machine is cut off silently for long
+  kControlIsolated,     ///< a control machine is isolated for long
   kGatewayCrash,
-  kGatewayIsolated,  ///< a gateway is cut off from all control machines
-  kCutOneWay,        ///< one direction between two nodes
+  kGatewayIsolated,  ///< a gateway is isolated from all control machines
+  kCutOneWay,        ///< one direction between two nodes, or all that a node sends
   kCutBothWays,
   kZoneCut,
   kDelay,
@@ -31,26 +31,26 @@
   kClockDrift,
   kEngineCrash,
   kSwapFailure,    ///< weight swaps fail on some shards
-  kCacheEvents,    ///< cache events late and missing
-  kEngineDrain,    ///< an engine says itself that it leaves
-  kMachineLeaves,  ///< the platform takes a machine out; its list tells so late
+  kCacheEvents,    ///< cache events are delayed and lost
+  kEngineDrain,    ///< an engine or plain back end reports that it is leaving
+  kMachineLeaves,  ///< the platform removes a machine; its list shows this late
   kOperatorDrain,
-  kServerCrash,  ///< a plain back end dies
-  kCutAnswers,   ///< plain back ends execute and cut the answer
+  kServerCrash,  ///< a plain back end crashes and restarts
+  kCutAnswers,   ///< plain back ends execute requests but cut the response
   kStoreOutage,
   kScorerFailure,
   kOperatorRace,    ///< two operators change one resource from equal versions
-  kLostAnswers,     ///< answers to operators and trainers are lost; they resend
-  kLongRestart,     ///< a node is down while hundreds of changes go by
+  kLostAnswers,     ///< responses to operators and trainers are lost; they resend
+  kLongRestart,     ///< a node is down during hundreds of changes
   kRollingRestart,  ///< planned restart of every node in turn
-  kTrainerRestart,  ///< a trainer dies in a step and goes on from its cursor
-  kPowerLoss,       ///< every control process dies at once, with writes that are not synced
-  kClockStep,       ///< the time of day of two machines jumps; some start before and after it
-  kSuspension,      ///< a machine is suspended and wakes
+  kTrainerRestart,  ///< a trainer crashes in a step and resumes at its cursor
+  kPowerLoss,       ///< all control processes crash at once, with unsynced writes
+  kClockStep,       ///< the wall clocks of two machines jump, in part across restarts
+  kSuspension,      ///< a machine is suspended and resumed
   kCount,
 };
 
-/// Name as used on the command line, for example "control-crash".
+/// Name on the command line, for example "control-crash".
 std::string_view FaultName(FaultKind kind);
 absl::StatusOr<FaultKind> ParseFault(std::string_view name);
 
@@ -67,21 +67,21 @@
 
 using FaultPlan = std::vector<PlannedFault>;
 
-/// Faults begin after the start-up.
+/// Start of the first fault, after the start-up.
 inline constexpr Duration kFaultsFrom = std::chrono::seconds(12);
-/// When the last fault of a run of `length` is healed.
+/// Time by which all faults of a run of `length` are healed.
 Duration FaultsHealedBy(Duration length);
 
 /// The default mix for `seed`: several faults, two of them at once and one of them twice.
 FaultPlan DrawDefaultFaults(uint64_t seed, Duration length);
-/// One fault of each of `kinds`, in order; a kind may stand in the list several times.
+/// One fault for each entry of `kinds`, in order; kinds may be repeated.
 FaultPlan DrawFaults(uint64_t seed, Duration length, const std::vector<FaultKind>& kinds);
 
-/// Comma-separated faults, "default" for the default mix, or "none". A fault is a name, whose time
-/// and target are drawn, or all of it as `FormatFault` writes it.
+/// Parses comma-separated faults, "default" for the default mix, or "none". A fault is either a
+/// name, with time and target drawn from the seed, or complete in the format of `FormatFault`.
 absl::StatusOr<FaultPlan> ParseFaultList(std::string_view list, uint64_t seed, Duration length);
 
-/// "name@begin+length/seed", times in microseconds; `ParseFaultList` reads it back.
+/// "name@begin+length/seed", times in microseconds; accepted by `ParseFaultList`.
 std::string FormatFault(const PlannedFault& fault);
 
 }  // namespace millstair::simulator
