--- a/simulator/faults/network_faults.cc
+++ b/simulator/faults/network_faults.cc
@@ -16,7 +16,7 @@
   fault.heal = [&network, links = std::move(links)] { network.Uncut(links); };
 }
 
-/// Both directions between `host` and all of `others`.
+/// Links in both directions between `host` and each of `others`.
 std::vector<Link> LinksAround(HostId host, const std::vector<HostId>& others) {
   std::vector<Link> links;
   for (const HostId other : others) {
@@ -31,7 +31,7 @@
   return hosts[DrawBelow(fault.random, hosts.size())];
 }
 
-/// Two different hosts of nodes.
+/// Picks two different hosts of nodes.
 Link PickPair(FaultContext& fault) {
   std::vector<HostId> hosts = fault.world.NodeHosts();
   const HostId first = PickHost(fault, hosts);
@@ -54,7 +54,7 @@
 }  // namespace
 
 void IsolateControl(FaultContext& fault) {
-  // Clients still reach it: it must not answer from what it held.
+  // Clients still reach the machine, which must not serve stale state.
   const HostId host = fault.Pick(fault.world.controls()).host();
   CutUntilHealed(fault, LinksAround(host, fault.world.FleetHosts()));
 }
@@ -70,7 +70,7 @@
     CutUntilHealed(fault, {PickPair(fault)});
     return;
   }
-  // Everything that one node sends.
+  // All links from one node.
   const HostId host = PickHost(fault, fault.world.NodeHosts());
   std::vector<Link> links;
   for (const HostId other : fault.world.FleetHosts()) {
