--- a/simulator/faults/node_faults.cc
+++ b/simulator/faults/node_faults.cc
@@ -18,9 +18,9 @@
 constexpr Duration kReplicationPollInterval = milliseconds(500);
 /// A planned restart keeps the process down for this long.
 constexpr Duration kRestartPause = milliseconds(800);
-/// Between the restarts of two nodes.
+/// Time between the restarts of two nodes.
 constexpr Duration kBetweenRestarts = milliseconds(1500);
-/// Users see the time of day jump by 2 to 8 s.
+/// Range of wall-clock steps; covers the 2 to 8 s seen in the users' deployments.
 constexpr Duration kMinClockStep = seconds(1);
 constexpr Duration kMaxClockStep = seconds(8);
 constexpr int kChangesWhileDown = 500;
@@ -33,7 +33,7 @@
   fault.heal = [&machine] { machine.BringUp(); };
 }
 
-/// A voter of the cluster group, as far as the leader says; any machine without a leader.
+/// Picks a voter of the cluster group in the view of its leader; without a leader, any machine.
 ControlMachine& PickVoter(FaultContext& fault) {
   World& world = fault.world;
   std::vector<ControlMachine*> voters;
@@ -54,7 +54,7 @@
   machine.LoseDisk();
 }
 
-/// Waits until every group has its voters, so that a loss is one that the design must survive.
+/// Waits until every group is fully replicated, so that the system must tolerate the loss.
 /// `lose` runs at most once, before the fault is healed.
 void WhenReplicated(FaultContext& fault, std::function<void()> lose) {
   if (fault.healed) return;
@@ -76,7 +76,7 @@
 
 namespace {
 
-/// Crashes `machines` at one moment, with syncs so slow that some are likely to be under way.
+/// Crashes `machines` at once, with slow syncs, so that some are likely to be in progress.
 void CrashInSync(FaultContext& fault, const std::vector<ControlMachine*>& machines) {
   for (ControlMachine* machine : machines) {
     machine->disk().SetSyncTime(milliseconds(30), milliseconds(90));
@@ -121,7 +121,7 @@
     LoseDiskOf(first);
     fault.world.scheduler().Schedule(seconds(2), [&fault, &first] {
       first.BringUp();
-      // Right after the repair: nothing else is waited for.
+      // The second loss follows as soon as the groups are fully replicated again.
       WhenReplicated(fault, [&fault] {
         ControlMachine& second = PickVoter(fault);
         LoseDiskOf(second);
@@ -157,8 +157,8 @@
 
 namespace {
 
-/// Sets the time of day of `machine` to `first`, starts it again, and a moment later once more with
-/// `second`: its later uptime may begin earlier by its own clock.
+/// Restarts `machine` with wall-clock offset `first` and, shortly after, again with `second`. By its
+/// own clock, the later incarnation may have the earlier start time.
 template <class Machine>
 void RestartAcrossStep(FaultContext& fault, Machine& machine, Duration first, Duration second) {
   const Duration uptime = DrawDuration(fault.random, milliseconds(100), seconds(2));
@@ -213,7 +213,7 @@
   machine.Suspend();
   network.Cut(links);
   fault.heal = [&network, &machine, links = std::move(links)] {
-    // What came due in its sleep runs before anything new reaches it.
+    // Timers that expired during the suspension run before new messages arrive.
     machine.Wake();
     network.Uncut(links);
   };
@@ -261,7 +261,7 @@
 
 namespace {
 
-/// Restarts one node after the other.
+/// Restarts nodes one at a time.
 struct RollingRestart {
   FaultContext& fault;
   std::vector<std::function<void(std::function<void()>)>> restarts;
