--- a/simulator/fleet/back_ends.cc
+++ b/simulator/fleet/back_ends.cc
@@ -7,10 +7,10 @@
 
 constexpr std::string_view kReadinessPath = "/readyz";
 
-/// Incarnations of different engines never meet.
+/// Keeps the incarnations of different engines disjoint.
 constexpr uint64_t kIncarnationsPerEngine = 100000;
 
-/// Ends what `backend` said itself about leaving.
+/// Ends the leaving state that `backend` reported itself.
 void RevokeSelfReportedLeaving(RunContext& context, const EngineName& backend) {
   for (checks::BackendLeaving& leaving : context.history.leaving) {
     const bool self_reported = leaving.source == checks::LeavingSource::kSelfReported;
@@ -93,7 +93,7 @@
                                           std::function<void(absl::StatusOr<WeightDigest>)> done) {
     if (!context_.network.OpenBothWays(host_, platform.store_host())) {
       environment_.Schedule(kConnectTimeout, [done = std::move(done)] {
-        done(absl::UnavailableError("the weight store can't be reached"));
+        done(absl::UnavailableError("weight store is unreachable"));
       });
       return;
     }
@@ -105,7 +105,7 @@
     const Duration round_trip = std::chrono::milliseconds(2);
     environment_.Schedule(round_trip, [other, blocks, done = std::move(done)] {
       if (other == nullptr) {
-        done(absl::UnavailableError("no such engine"));
+        done(absl::UnavailableError("no engine at this address"));
         return;
       }
       done(other->ExportKv(blocks));
@@ -117,7 +117,7 @@
 void EngineMachine::TakeDown() {
   if (down_reasons_++ > 0) return;
   model_->Crash();
-  // The next life does not know that this one was leaving.
+  // The next incarnation does not inherit the leaving state.
   RevokeSelfReportedLeaving(context_, plan_.name);
   context_.engines.Refresh(plan_.address);
 }
@@ -129,7 +129,7 @@
 }
 
 void EngineMachine::Drain() {
-  // A process that is down says nothing, and its next life would not know of it.
+  // A process that is down reports nothing, and its next incarnation does not inherit the state.
   if (down_reasons_ > 0) return;
   model_->Drain();
   context_.history.leaving.push_back(
@@ -166,7 +166,7 @@
 
 void ServerMachine::Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) {
   if (request.target == kReadinessPath) {
-    // A question about the server is not work for it.
+    // Readiness probes are not recorded as arrivals of work.
     model_.Handle(std::move(request), std::move(writer));
     return;
   }
@@ -174,7 +174,7 @@
   const ExecutionKey key{request.method, request.target.substr(0, request.target.find('?')),
                          HeaderOf(request, "Idempotency-Key")};
   context_.history.arrivals.push_back({plan_.name, context_.Now(), attempt_id});
-  // The model executes on arrival or never.
+  // The model executes a request on arrival or not at all.
   const uint64_t before = Executions(key);
   model_.Handle(std::move(request), std::move(writer));
   if (Executions(key) == before) return;
@@ -196,7 +196,7 @@
 }
 
 void ServerMachine::Drain() {
-  // A process that is down says nothing, and its next life would not know of it.
+  // A process that is down reports nothing, and its next incarnation does not inherit the state.
   if (down_reasons_ > 0) return;
   model_.Drain();
   context_.history.leaving.push_back(
