--- a/simulator/fleet/back_ends.h
+++ b/simulator/fleet/back_ends.h
@@ -1,4 +1,4 @@
-/// Engines, plain servers and platform services of the fleet, with what they saw recorded.
+/// Engines, plain servers and platform services of the fleet. They record what they observe.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace millstair::simulator {
 
-/// Weight store, scorer and the platform's machine list, each on a host of its own.
+/// Weight store, scorer and the platform's machine list, each on a separate host.
 class Platform {
  public:
   Platform(RunContext& context, const DeploymentPlan& plan);
@@ -22,7 +22,7 @@
   WeightStoreModel& store() { return store_; }
   MachineListModel& list() { return list_; }
   HostId store_host() const { return store_host_; }
-  /// The scorer refuses connections while set.
+  /// While down, the scorer refuses connections.
   void SetScorerDown(bool down);
   uint64_t scored() const { return scorer_.scored(); }
 
@@ -36,7 +36,7 @@
   MachineListModel list_;
 };
 
-/// Disturbances that engines have from their start; drawn before the run.
+/// Disturbances of all engines, in effect for the whole run.
 struct EngineDisturbance {
   double activate_failure = 0;
   double cache_event_loss = 0;
@@ -52,10 +52,10 @@
   const BackendPlan& plan() const { return plan_; }
   HostId host() const { return host_; }
 
-  /// Reasons to be down add up.
+  /// Calls nest: the engine runs again after as many calls of BringUp as of TakeDown.
   void TakeDown();
   void BringUp();
-  /// The engine says itself that it leaves.
+  /// The engine reports that it is leaving.
   void Drain();
   void Undrain();
 
@@ -82,7 +82,7 @@
   void BringUp();
   void Drain();
   void Undrain();
-  /// Share of requests that are executed and whose answer is then cut.
+  /// Sets the share of requests that are executed but whose response is cut.
   void SetCutAnswers(double share);
 
  private:
@@ -96,11 +96,11 @@
   int down_reasons_ = 0;
 };
 
-/// Finds the prompts behind the seeds that engines log.
+/// Maps the prompt seeds that engines log to prompts.
 class PromptRegistry {
  public:
   void Add(const std::string& prompt) { prompts_.emplace(SeedOf(prompt).value, prompt); }
-  /// Appends all that `engine` truly generated to `history`.
+  /// Appends the tokens that `engine` generated, according to its log, to `history`.
   void Collect(const EngineMachine& engine, const TruthLog& truth, checks::History& history) const;
 
  private:
