--- a/simulator/fleet/control_machine.cc
+++ b/simulator/fleet/control_machine.cc
@@ -9,9 +9,9 @@
 namespace millstair::simulator {
 namespace {
 
-/// A process ends a moment after it has finished its work.
+/// Time between the end of draining and the exit of the process.
 constexpr Duration kExitTime = std::chrono::milliseconds(20);
-/// By seed, unless the options say otherwise.
+/// Selected by the seed unless the options set a value.
 constexpr std::array<uint64_t, 3> kSnapshotAfter{2000, 300, 40};
 
 }  // namespace
@@ -59,7 +59,7 @@
       context_.http.StopAccepting(plan_.http_address);
     }
     context_.scheduler.Schedule(kExitTime, [this, stopping, pause, done = std::move(done)] {
-      // A fault may have ended the process before it was drained.
+      // A fault may have killed the process before it was drained.
       if (node_ != nullptr && incarnation_ == stopping) {
         TakeDown();
         context_.scheduler.Schedule(pause, [this] { BringUp(); });
