--- a/simulator/fleet/control_machine.h
+++ b/simulator/fleet/control_machine.h
@@ -1,4 +1,4 @@
-/// A control machine of the fleet: its disk, which survives its processes, and the process.
+/// A control machine of the fleet: its process, and its disk, which outlives the process.
 #pragma once
 
 #include <functional>
@@ -19,12 +19,12 @@
                  const FleetOptions& options);
   ~ControlMachine();
 
-  /// Reasons to be down add up; the process runs while there is none.
+  /// Calls nest: the process runs again after as many calls of BringUp as of TakeDown.
   void TakeDown();
   void BringUp();
-  /// Planned stop: drains, ends the process, starts it again after `pause`; `done` follows.
+  /// Planned restart: drains and ends the process, starts it again after `pause`, calls `done`.
   void RestartPlanned(Duration pause, std::function<void()> done);
-  /// The disk is replaced by an empty one. Only while down.
+  /// Replaces the disk with an empty one. Only allowed while down.
   void LoseDisk();
 
   bool running() const { return node_ != nullptr; }
@@ -36,10 +36,9 @@
   HostId host() const { return host_; }
   Incarnation incarnation() const { return incarnation_; }
   void SetClockRate(double rate);
-  /// The time of day is off by so much, also in the lives to come.
+  /// Sets the offset of the wall clock for this and all later incarnations.
   void SetWallClockOffset(Duration offset);
-  /// The process stands still, its clocks go on. What reaches it meanwhile is for the caller to
-  /// hold.
+  /// Pauses the process while its clocks go on. The caller must hold back incoming messages.
   void Suspend();
   void Wake();
 
@@ -55,7 +54,7 @@
   bool tail_handling_;
   uint64_t snapshot_after_entries_;
   HostId host_;
-  /// Of the time before the first start, for the disk.
+  /// Used by the disk while no process runs.
   VirtualEnvironment boot_environment_;
   MemoryFileSystem disk_;
   Incarnation incarnation_;
