--- a/simulator/fleet/deployment.cc
+++ b/simulator/fleet/deployment.cc
@@ -5,7 +5,7 @@
 namespace millstair::simulator {
 namespace {
 
-/// What differs between the two.
+/// Parameters that differ between the deployments.
 struct DeploymentShape {
   std::string cluster_id;
   std::vector<std::string> zones;
@@ -121,7 +121,7 @@
   if (name == "association") return DeploymentName::kAssociation;
   if (name == "khosa") return DeploymentName::kKhosa;
   return absl::InvalidArgumentError(
-      fmt::format("no deployment is named '{}'; known are association and khosa", name));
+      fmt::format("unknown deployment '{}'; must be association or khosa", name));
 }
 
 DeploymentPlan PlanDeployment(const FleetOptions& options) {
