--- a/simulator/fleet/deployment.h
+++ b/simulator/fleet/deployment.h
@@ -1,5 +1,5 @@
-/// The two deployments of the users, built in code: places, machines, and the resources that their
-/// operators apply at the start.
+/// The two deployments of the users: zones, machines, and the resources that their operators apply
+/// at the start.
 #pragma once
 
 #include <string>
@@ -13,21 +13,21 @@
 
 namespace millstair::simulator {
 
-/// A machine with one process of the system.
+/// A machine that runs one control node or gateway.
 struct NodePlan {
   NodeId node;
   Zone zone;
   std::string peer_address;
   std::string http_address;
-  /// Member of the cluster from the first start; else a warm learner. Control nodes only.
+  /// Control nodes only: initial member of the cluster; otherwise a learner.
   bool initial_member = false;
 };
 
-/// A machine with one back end.
+/// A machine that runs one back end.
 struct BackendPlan {
   EngineName name;
   Zone zone;
-  /// IP number.
+  /// IP address.
   std::string machine_address;
   std::string address;
 };
@@ -37,7 +37,7 @@
   ModelName model;
   uint64_t staleness_bound = 0;
   double idle_time_weight = 0.5;
-  /// Its trainer publishes the model's versions.
+  /// Whether the trainer of this stream publishes the model's versions.
   bool publishes = false;
 };
 
@@ -61,10 +61,10 @@
 
 DeploymentPlan PlanDeployment(const FleetOptions& options);
 
-/// What the operators apply first.
+/// Resources that the operators apply at the start.
 std::vector<Resource> InitialResources(const DeploymentPlan& plan, const FleetOptions& options);
 
-/// Digest and place of a version, as trainers publish it.
+/// Digest and location of a version, as published by trainers.
 WeightDigest DigestOf(const ModelName& model, WeightVersion version);
 std::string LocationOf(const ModelName& model, WeightVersion version);
 
