--- a/simulator/fleet/fleet.cc
+++ b/simulator/fleet/fleet.cc
@@ -11,7 +11,7 @@
 namespace millstair::simulator {
 namespace {
 
-/// Measures leave out the start-up.
+/// Measurements exclude the start-up.
 constexpr Duration kMeasurementStart = std::chrono::seconds(10);
 
 checks::TextOracle MakeTextOracle() {
@@ -25,7 +25,7 @@
   return oracle;
 }
 
-/// The value below which `share` of `values` lie; 0 for none.
+/// Quantile of `values` at `share` by nearest rank; 0 if there are no values.
 double Quantile(std::vector<double> values, double share) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
