--- a/simulator/fleet/gateway_machine.cc
+++ b/simulator/fleet/gateway_machine.cc
@@ -7,7 +7,7 @@
 namespace millstair::simulator {
 namespace {
 
-/// A process ends a moment after it has finished its work.
+/// Time between the end of draining and the exit of the process.
 constexpr Duration kExitTime = std::chrono::milliseconds(20);
 
 }  // namespace
@@ -44,7 +44,7 @@
       context_.http.StopAccepting(plan_.http_address);
     }
     context_.scheduler.Schedule(kExitTime, [this, stopping, pause, done = std::move(done)] {
-      // A fault may have ended the process before it was drained.
+      // A fault may have killed the process before it was drained.
       if (node_ != nullptr && incarnation_ == stopping) {
         const size_t open = context_.http.OpenAnswers(host_);
         if (open > 0) {
