--- a/simulator/fleet/gateway_machine.h
+++ b/simulator/fleet/gateway_machine.h
@@ -1,4 +1,4 @@
-/// A gateway machine of the fleet and its process. It has no disk.
+/// A gateway machine of the fleet and its process. Gateways have no disk.
 #pragma once
 
 #include <functional>
@@ -18,11 +18,11 @@
                  const FleetOptions& options);
   ~GatewayMachine();
 
-  /// Reasons to be down add up; the process runs while there is none.
+  /// Calls nest: the process runs again after as many calls of BringUp as of TakeDown.
   void TakeDown();
   void BringUp();
-  /// Planned stop: drains, ends the process, starts it again after `pause`; `done` follows. Records
-  /// answers that the stop cut.
+  /// Planned restart: drains and ends the process, starts it again after `pause`, calls `done`.
+  /// Records responses that the stop cuts.
   void RestartPlanned(Duration pause, std::function<void()> done);
 
   bool running() const { return node_ != nullptr; }
@@ -32,10 +32,9 @@
   HostId host() const { return host_; }
   Incarnation incarnation() const { return incarnation_; }
   void SetClockRate(double rate);
-  /// The time of day is off by so much, also in the lives to come.
+  /// Sets the offset of the wall clock for this and all later incarnations.
   void SetWallClockOffset(Duration offset);
-  /// The process stands still, its clocks go on. What reaches it meanwhile is for the caller to
-  /// hold.
+  /// Pauses the process while its clocks go on. The caller must hold back incoming messages.
   void Suspend();
   void Wake();
 
