--- a/simulator/fleet/product_faults.h
+++ b/simulator/fleet/product_faults.h
@@ -1,4 +1,4 @@
-/// Parts of the product that a run breaks on purpose, to prove that the checks notice.
+/// Faults injected into the product, to verify that the checks detect them.
 #pragma once
 
 #include "cluster/cluster_faults.h"
