--- a/simulator/fleet/run_context.h
+++ b/simulator/fleet/run_context.h
@@ -1,4 +1,4 @@
-/// What every party of a run is built on.
+/// Shared infrastructure of the parties of a run.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace millstair::simulator {
 
-/// Outlives all parties.
+/// Must outlive all parties of the run.
 struct RunContext {
   VirtualScheduler& scheduler;
   Network& network;
@@ -24,13 +24,13 @@
   checks::History& history;
 
   Duration Now() const { return scheduler.Now(); }
-  /// For a process that starts now on a machine whose time of day is off: the time of day, as the
-  /// product numbers lives. Runs begin an hour into it, so that it may be set back.
+  /// Incarnation of a process that starts now on a machine with this wall-clock offset; the product
+  /// uses the time of day. Runs begin at one hour, so that negative offsets are possible.
   Incarnation NewIncarnation(Duration offset) const {
     const Duration time_of_day = std::chrono::hours(1) + Now() + offset;
     return Incarnation(static_cast<uint64_t>(time_of_day.count()));
   }
-  /// A seed for a part of the run.
+  /// Draws a seed for a component of the run.
   uint64_t DrawSeed() { return scheduler.Random()(); }
 };
 
