--- a/simulator/fleet/world.cc
+++ b/simulator/fleet/world.cc
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr Duration kSampleInterval = std::chrono::milliseconds(100);
-/// Also without a change a sample is kept this often.
+/// An unchanged configuration is recorded again after this time.
 constexpr Duration kMaxRecordInterval = std::chrono::milliseconds(500);
-/// Load ends before the run does, so that what was asked can be answered.
+/// Load stops this long before the end of the run, so that open requests can complete.
 constexpr Duration kLoadEndMargin = std::chrono::seconds(4);
-/// Trainers begin no step that can't be done before the end.
+/// Trainers start no steps this close to the end of the run.
 constexpr Duration kTrainerEndMargin = std::chrono::seconds(8);
 constexpr size_t kVoters = 3;
 
@@ -32,7 +32,7 @@
   return disturbance;
 }
 
-/// Voters of a group as one replica sees them.
+/// Voters of a group in the view of one replica.
 struct VoterCount {
   size_t healthy = 0;
   size_t lost = 0;
@@ -76,7 +76,7 @@
 }
 
 World::~World() {
-  // Events under way refer to the network, so they go before it.
+  // Pending events refer to the network and must be destroyed before it.
   callers_.reset();
   trainers_.clear();
   operators_.clear();
@@ -208,8 +208,8 @@
     const ReplicaId own = control->node()->groups().identity().replica;
     for (RaftGroup* group : control->node()->groups().Groups()) {
       const VoterCount count = CountVoters(*group, disks, own);
-      // A lost voter that is still a member counts against the quorum. A leader's word alone is not
-      // enough: the change that removed it may not be committed yet.
+      // A lost voter that is still a member counts against the quorum. The view of the leader is
+      // not sufficient, since the change that removed the voter may not be committed yet.
       if (count.self && count.lost > 0) return false;
       const bool healthy_leader = group->IsLeader() && count.healthy >= kVoters;
       led[group->id()] = led[group->id()] || healthy_leader;
