--- a/simulator/fleet/world.h
+++ b/simulator/fleet/world.h
@@ -1,5 +1,5 @@
-/// The whole simulated fleet: all machines, platform services and clients of one run, and what
-/// faults may do to them.
+/// The simulated fleet of one run: machines, platform services and clients, and the access that
+/// faults need to them.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 
 namespace millstair::simulator {
 
-/// Resources that operators change for the sake of changing them.
+/// Number of test resources ("notes") that operators change to produce concurrent updates.
 inline constexpr uint32_t kNotes = 4;
 
 class World {
@@ -28,7 +28,7 @@
   World(const World&) = delete;
   World& operator=(const World&) = delete;
 
-  /// Starts all processes; load begins once the operators' resources are accepted.
+  /// Starts all processes; load begins once the operators' initial resources are accepted.
   void Start();
   void RunUntil(Duration time) { scheduler_.RunUntil(time); }
 
@@ -48,18 +48,19 @@
 
   /// Hosts of control machines and gateways.
   std::vector<HostId> NodeHosts() const;
-  /// Hosts of everything but clients.
+  /// All hosts except those of clients.
   std::vector<HostId> FleetHosts() const;
-  /// Every group has three voters, all of them with the disk that they have now.
+  /// Whether every group has a leader and three voters, and no voter has lost its disk.
   bool FullyReplicated() const;
-  /// The machine that leads the cluster group; null if none says so.
+  /// The machine that leads the cluster group according to its own state; null if there is none.
   ControlMachine* ClusterLeader();
-  /// The resource as the operators applied it first.
+  /// The resource as the operators applied it at the start.
   Resource InitialResource(const ResourceKey& key) const;
 
-  /// Collects what engines truly generated, and the end of the run.
+  /// Adds the tokens that engines generated and the end of the run to the history.
   void CloseHistory();
-  /// Time from each acceptance until all running nodes held it, in seen order.
+  /// Time from each acceptance until all running nodes had applied the change, in order of
+  /// acceptance.
   const std::vector<Duration>& in_force_times() const { return in_force_times_; }
 
  private:
