--- a/simulator/clients/callers.cc
+++ b/simulator/clients/callers.cc
@@ -16,19 +16,19 @@
 using checks::CallKind;
 
 /// Callers give up after this long.
-constexpr Duration kPatience = std::chrono::seconds(40);
-constexpr Duration kResendAfter = std::chrono::seconds(1);
-constexpr uint32_t kBookingTries = 4;
+constexpr Duration kRequestTimeout = std::chrono::seconds(40);
+constexpr Duration kResendDelay = std::chrono::seconds(1);
+constexpr uint32_t kMaxBookingAttempts = 4;
 /// Share of bookings that are sent through two gateways at once.
-constexpr double kSentTwice = 0.05;
+constexpr double kDuplicateShare = 0.05;
 /// Share of callers that go away before their answer.
-constexpr double kGoAway = 0.02;
-constexpr Duration kGoAwayAfter = std::chrono::milliseconds(300);
-constexpr double kStreaming = 0.5;
+constexpr double kAbandonShare = 0.02;
+constexpr Duration kAbandonDelay = std::chrono::milliseconds(300);
+constexpr double kStreamingShare = 0.5;
 /// Prompts share prefixes of this many words, of so many kinds.
 constexpr int kPrefixWords = 48;
-constexpr uint64_t kPrefixes = 12;
-constexpr uint64_t kSmallestMaxTokens = 8;
+constexpr uint64_t kPrefixCount = 12;
+constexpr uint64_t kMinMaxTokens = 8;
 
 std::string Slug(CallKind kind) {
   switch (kind) {
@@ -66,13 +66,13 @@
   return comparable;
 }
 
-void TakeAnswer(CallAttempt& call, const WholeAnswer& answer, Duration now) {
+void HandleAnswer(CallAttempt& call, const CompleteAnswer& answer, Duration now) {
   call.ended = now;
   call.first_byte = answer.first_byte;
   call.status = answer.status;
-  call.outcome = OutcomeIn(answer.headers);
+  call.outcome = ParseOutcome(answer.headers);
   switch (answer.end) {
-    case AnswerEnd::kWhole:
+    case AnswerEnd::kComplete:
       call.end = answer.status < 400 ? CallEnd::kComplete : CallEnd::kRefused;
       break;
     case AnswerEnd::kCut:
@@ -125,15 +125,15 @@
 
 size_t Callers::DrawGateway() { return DrawBelow(random_, plan_.gateways.size()); }
 
-std::string Callers::NextTryId(std::string_view kind) {
-  return fmt::format("{}-{}", kind, next_try_++);
+std::string Callers::NextAttemptId(std::string_view kind) {
+  return fmt::format("{}-{}", kind, next_attempt_++);
 }
 
 std::string Callers::NextPrompt() {
   std::string prompt;
-  const uint64_t prefix = DrawBelow(random_, kPrefixes);
+  const uint64_t prefix = DrawBelow(random_, kPrefixCount);
   for (int i = 0; i < kPrefixWords; ++i) prompt += fmt::format("live{}w{} ", prefix, i);
-  return prompt + fmt::format("question {}", next_try_);
+  return prompt + fmt::format("question {}", next_attempt_);
 }
 
 void Callers::Arrive(CallKind kind) {
@@ -148,21 +148,21 @@
     case CallKind::kBooking:
       break;
   }
-  const Booking booking{fmt::format("b{}", next_try_), 0};
+  const Booking booking{fmt::format("b{}", next_attempt_), 0};
   const size_t gateway = DrawGateway();
   SendBooking(booking, gateway);
-  if (!DrawChance(random_, kSentTwice)) return;
+  if (!DrawChance(random_, kDuplicateShare)) return;
   // The impatient one asks elsewhere at once, and no further.
-  SendBooking({booking.id, kBookingTries}, (gateway + 1) % plan_.gateways.size());
+  SendBooking({booking.id, kMaxBookingAttempts}, (gateway + 1) % plan_.gateways.size());
 }
 
 void Callers::SendCompletion(const std::string& prompt) {
   CallAttempt call;
   call.kind = CallKind::kCompletion;
-  call.attempt_id = NextTryId("completion");
+  call.attempt_id = NextAttemptId("completion");
   call.prompt = prompt;
   call.max_tokens =
-      static_cast<uint32_t>(kSmallestMaxTokens + DrawBelow(random_, load_.completion_max_tokens));
+      static_cast<uint32_t>(kMinMaxTokens + DrawBelow(random_, load_.completion_max_tokens));
   prompts_.Add(prompt);
   HttpRequest request{"POST", "/v1/completions", {}, ""};
   request.headers = {{"Host", "text.example"},
@@ -172,14 +172,14 @@
       boost::json::serialize(boost::json::object{{"model", plan_.model.value()},
                                                  {"prompt", prompt},
                                                  {"max_tokens", call.max_tokens},
-                                                 {"stream", DrawChance(random_, kStreaming)}});
+                                                 {"stream", DrawChance(random_, kStreamingShare)}});
   Send(std::move(call), DrawGateway(), std::move(request), nullptr);
 }
 
 void Callers::SendPlain(CallKind kind) {
   CallAttempt call;
   call.kind = kind;
-  call.attempt_id = NextTryId(Slug(kind));
+  call.attempt_id = NextAttemptId(Slug(kind));
   const std::string folder = kind == CallKind::kPage ? "/gallery/" : "/lookup/";
   HttpRequest request{"GET", folder + call.attempt_id, {}, ""};
   request.headers = {{"Host", "web.example"}, {"X-Request-Id", call.attempt_id}};
@@ -190,7 +190,7 @@
 void Callers::SendBooking(Booking booking, size_t gateway) {
   CallAttempt call;
   call.kind = CallKind::kBooking;
-  call.attempt_id = NextTryId("booking");
+  call.attempt_id = NextAttemptId("booking");
   call.key = "key-" + booking.id;
   HttpRequest request{"POST", "/bookings/" + booking.id, {}, "confirm " + booking.id};
   request.headers = {{"Host", "web.example"},
@@ -198,55 +198,55 @@
                      {"Idempotency-Key", call.key},
                      {"X-Request-Id", call.attempt_id}};
   call.expected_body = ExpectedBody(request);
-  ++booking.tries;
+  ++booking.attempts;
   Send(std::move(call), gateway, std::move(request),
-       [this, booking, gateway](const CallAttempt& ended, const WholeAnswer& answer) {
-         BookingEnded(booking, gateway, ended, answer);
+       [this, booking, gateway](const CallAttempt& ended, const CompleteAnswer& answer) {
+         OnBookingEnded(booking, gateway, ended, answer);
        });
 }
 
-void Callers::BookingEnded(const Booking& booking, size_t gateway, const CallAttempt& call,
-                           const WholeAnswer& answer) {
+void Callers::OnBookingEnded(const Booking& booking, size_t gateway, const CallAttempt& call,
+                             const CompleteAnswer& answer) {
   constexpr int kConflict = 409;
   const bool settled = call.end == CallEnd::kComplete || answer.status == kConflict;
-  if (settled || booking.tries >= kBookingTries) return;
-  context_.scheduler.Schedule(kResendAfter, [this, booking, gateway] {
+  if (settled || booking.attempts >= kMaxBookingAttempts) return;
+  context_.scheduler.Schedule(kResendDelay, [this, booking, gateway] {
     SendBooking(booking, (gateway + 1) % plan_.gateways.size());
   });
 }
 
 void Callers::Send(CallAttempt call, size_t gateway, HttpRequest request,
-                   std::function<void(const CallAttempt&, const WholeAnswer&)> ended) {
+                   std::function<void(const CallAttempt&, const CompleteAnswer&)> ended) {
   call.sent = context_.Now();
   const size_t index = context_.history.calls.size();
   context_.history.calls.push_back(std::move(call));
   Connect(index, gateway, plan_.gateways.size() - 1, std::move(request), std::move(ended));
-  if (!DrawChance(random_, kGoAway)) return;
-  context_.scheduler.Schedule(kGoAwayAfter, [this, index] {
+  if (!DrawChance(random_, kAbandonShare)) return;
+  context_.scheduler.Schedule(kAbandonDelay, [this, index] {
     CallAttempt& recorded = context_.history.calls[index];
     if (recorded.ended) return;
     recorded.end = CallEnd::kAbandoned;
     recorded.ended = context_.Now();
-    client_.Drop(under_way_[index]);
-    under_way_.erase(index);
+    client_.Cancel(in_flight_[index]);
+    in_flight_.erase(index);
   });
 }
 
 void Callers::Connect(size_t index, size_t gateway, size_t left, HttpRequest request,
-                      std::function<void(const CallAttempt&, const WholeAnswer&)> ended) {
+                      std::function<void(const CallAttempt&, const CompleteAnswer&)> ended) {
   const NodePlan& target = plan_.gateways[gateway];
   context_.history.calls[index].gateway = target.node;
   HttpRequest copy = request;
-  under_way_[index] = client_.Send(
-      target.http_address, std::move(copy), kPatience,
+  in_flight_[index] = client_.Send(
+      target.http_address, std::move(copy), kRequestTimeout,
       [this, index, gateway, left, request = std::move(request),
-       ended = std::move(ended)](const WholeAnswer& answer) {
+       ended = std::move(ended)](const CompleteAnswer& answer) {
         if (answer.end == AnswerEnd::kNotSent && left > 0) {
           Connect(index, (gateway + 1) % plan_.gateways.size(), left - 1, request, ended);
           return;
         }
-        under_way_.erase(index);
-        TakeAnswer(context_.history.calls[index], answer, context_.Now());
+        in_flight_.erase(index);
+        HandleAnswer(context_.history.calls[index], answer, context_.Now());
         const CallAttempt recorded = context_.history.calls[index];
         if (ended) ended(recorded, answer);
       });
--- a/simulator/clients/callers.h
+++ b/simulator/clients/callers.h
@@ -24,10 +24,10 @@
   void Start(Duration until);
 
  private:
-  /// One booking, over all its tries.
+  /// One booking, over all its attempts.
   struct Booking {
     std::string id;
-    uint32_t tries = 0;
+    uint32_t attempts = 0;
   };
 
   void ScheduleNext(checks::CallKind kind, double rate);
@@ -35,16 +35,16 @@
   void SendCompletion(const std::string& prompt);
   void SendPlain(checks::CallKind kind);
   void SendBooking(Booking booking, size_t gateway);
-  void BookingEnded(const Booking& booking, size_t gateway, const checks::CallAttempt& call,
-                    const WholeAnswer& answer);
+  void OnBookingEnded(const Booking& booking, size_t gateway, const checks::CallAttempt& call,
+                      const CompleteAnswer& answer);
   /// Sends `request` for `call` and records how it ended.
   void Send(checks::CallAttempt call, size_t gateway, HttpRequest request,
-            std::function<void(const checks::CallAttempt&, const WholeAnswer&)> ended);
+            std::function<void(const checks::CallAttempt&, const CompleteAnswer&)> ended);
   /// Sends to `gateway`, and to the others in turn while no connection comes about.
   void Connect(size_t index, size_t gateway, size_t left, HttpRequest request,
-               std::function<void(const checks::CallAttempt&, const WholeAnswer&)> ended);
+               std::function<void(const checks::CallAttempt&, const CompleteAnswer&)> ended);
   size_t DrawGateway();
-  std::string NextTryId(std::string_view kind);
+  std::string NextAttemptId(std::string_view kind);
   std::string NextPrompt();
 
   RunContext& context_;
@@ -54,9 +54,9 @@
   RandomEngine random_;
   RequestClient client_;
   /// Request under way of each call in the history, for callers that go away.
-  std::map<size_t, RequestClient::Id> under_way_;
+  std::map<size_t, RequestClient::Id> in_flight_;
   Duration until_{0};
-  uint64_t next_try_ = 1;
+  uint64_t next_attempt_ = 1;
 };
 
 }  // namespace millstair::simulator
--- a/simulator/clients/completion_answer.cc
+++ b/simulator/clients/completion_answer.cc
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-void ReadCompletion(const WholeAnswer& answer, checks::CallAttempt& call) {
+void ReadCompletion(const CompleteAnswer& answer, checks::CallAttempt& call) {
   const auto type = FindHeader(answer.headers, "Content-Type");
   if (!type || !type->starts_with("text/event-stream")) {
     ReadObject(answer.body, call);
--- a/simulator/clients/completion_answer.h
+++ b/simulator/clients/completion_answer.h
@@ -8,6 +8,6 @@
 
 /// Fills tokens and spans of `call` from a whole answer, streamed or not. An answer of another form
 /// leaves what could be read; a streamed one without its end mark becomes `kCut`.
-void ReadCompletion(const WholeAnswer& answer, checks::CallAttempt& call);
+void ReadCompletion(const CompleteAnswer& answer, checks::CallAttempt& call);
 
 }  // namespace millstair::simulator
--- a/simulator/clients/operator_client.cc
+++ b/simulator/clients/operator_client.cc
@@ -15,10 +15,10 @@
 using checks::ResourceAction;
 using checks::ResourceEnd;
 
-constexpr Duration kPatience = std::chrono::seconds(5);
-constexpr Duration kRetry = std::chrono::milliseconds(400);
+constexpr Duration kRequestTimeout = std::chrono::seconds(5);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(400);
 /// An operator gives a change up after this long without an answer.
-constexpr Duration kGiveUp = std::chrono::seconds(60);
+constexpr Duration kChangeTimeout = std::chrono::seconds(60);
 constexpr double kReadShare = 0.4;
 constexpr double kDeleteShare = 0.1;
 constexpr char kValueLabel[] = "note";
@@ -67,8 +67,8 @@
   if (winner.is_object()) record.version = Revision(NumberIn(winner.as_object(), "version"));
 }
 
-bool Accepts(const WholeAnswer& answer) {
-  return answer.end == AnswerEnd::kWhole && (answer.status == kOk || answer.status == kCreated);
+bool Accepts(const CompleteAnswer& answer) {
+  return answer.end == AnswerEnd::kComplete && (answer.status == kOk || answer.status == kCreated);
 }
 
 }  // namespace
@@ -85,8 +85,8 @@
 }
 
 void OperatorClient::OpenSession(std::function<void()> then) {
-  client_.Send(DrawControl(), {"POST", "/v1/sessions", {}, ""}, kPatience,
-               [this, then = std::move(then)](const WholeAnswer& answer) {
+  client_.Send(DrawControl(), {"POST", "/v1/sessions", {}, ""}, kRequestTimeout,
+               [this, then = std::move(then)](const CompleteAnswer& answer) {
                  boost::json::error_code error;
                  boost::json::value value;
                  if (Accepts(answer)) value = boost::json::parse(answer.body, error);
@@ -101,7 +101,7 @@
                    then();
                    return;
                  }
-                 context_.scheduler.Schedule(kRetry, [this, then] { OpenSession(then); });
+                 context_.scheduler.Schedule(kRetryDelay, [this, then] { OpenSession(then); });
                });
 }
 
@@ -122,30 +122,31 @@
       {"Idempotency-Key", fmt::format("{}/{}", change.session, change.sequence)});
   request.headers.push_back({"Content-Type", "application/json"});
   ++change.sends;
-  client_.Send(
-      DrawControl(), std::move(request), kPatience,
-      [this, change = std::move(change)](const WholeAnswer& answer) { Answered(change, answer); });
+  client_.Send(DrawControl(), std::move(request), kRequestTimeout,
+               [this, change = std::move(change)](const CompleteAnswer& answer) {
+                 OnAnswer(change, answer);
+               });
 }
 
-void OperatorClient::Answered(Change change, const WholeAnswer& answer) {
-  const checks::ClaimedOutcome outcome = OutcomeIn(answer.headers);
-  const bool expired = answer.end == AnswerEnd::kWhole && answer.status == kGone;
+void OperatorClient::OnAnswer(Change change, const CompleteAnswer& answer) {
+  const checks::ClaimedOutcome outcome = ParseOutcome(answer.headers);
+  const bool expired = answer.end == AnswerEnd::kComplete && answer.status == kGone;
   if (expired && session_ == change.session) session_.clear();
-  const bool settled =
-      answer.end == AnswerEnd::kWhole && (answer.status < 500 || expired) && answer.status != 429;
+  const bool settled = answer.end == AnswerEnd::kComplete && (answer.status < 500 || expired) &&
+                       answer.status != 429;
   const bool first_refused = outcome == checks::ClaimedOutcome::kNotRun && change.sends == 1;
   if (settled && !(expired && change.sends > 1)) {
     change.done(&answer);
     return;
   }
-  if (expired || context_.Now() - change.first_sent > kGiveUp) {
+  if (expired || context_.Now() - change.first_sent > kChangeTimeout) {
     change.done(first_refused ? &answer : nullptr);
     return;
   }
-  context_.scheduler.Schedule(kRetry, [this, change = std::move(change)] { Send(change); });
+  context_.scheduler.Schedule(kRetryDelay, [this, change = std::move(change)] { Send(change); });
 }
 
-void OperatorClient::Accepted(Revision revision) {
+void OperatorClient::RecordAccepted(Revision revision) {
   context_.history.accepted.push_back({revision, context_.Now()});
 }
 
@@ -159,12 +160,12 @@
   change.body = boost::json::serialize(boost::json::object{{"items", std::move(items)}});
   const size_t demand = context_.history.demands.size();
   context_.history.demands.push_back({"apply", context_.Now(), std::nullopt});
-  change.done = [this, demand, done = std::move(done)](const WholeAnswer* answer) {
+  change.done = [this, demand, done = std::move(done)](const CompleteAnswer* answer) {
     if (answer == nullptr || !Accepts(*answer)) return;
     boost::json::error_code error;
     const boost::json::value value = boost::json::parse(answer->body, error);
     if (!error && value.is_object()) {
-      Accepted(Revision(NumberIn(value.as_object(), "revision")));
+      RecordAccepted(Revision(NumberIn(value.as_object(), "revision")));
     }
     context_.history.demands[demand].done = context_.Now();
     done();
@@ -184,7 +185,7 @@
 
 void OperatorClient::SendPut(Change change, size_t demand, std::function<void(Revision)> done) {
   const Change again = change;
-  change.done = [this, again, demand, done = std::move(done)](const WholeAnswer* answer) {
+  change.done = [this, again, demand, done = std::move(done)](const CompleteAnswer* answer) {
     if (answer == nullptr || answer->status == kGone) {
       // Its session expired before it was answered. It can be done twice, so it is done anew.
       SendPut(again, demand, done);
@@ -193,7 +194,7 @@
     if (!Accepts(*answer)) return;
     context_.history.demands[demand].done = context_.Now();
     const Revision revision = VersionIn(answer->headers);
-    Accepted(revision);
+    RecordAccepted(revision);
     done(revision);
   };
   Begin(std::move(change));
@@ -242,20 +243,20 @@
   return context_.history.resource_operations.size() - 1;
 }
 
-void OperatorClient::RecordEnd(size_t index, const WholeAnswer* answer) {
+void OperatorClient::RecordEnd(size_t index, const CompleteAnswer* answer) {
   checks::ResourceOperation& record = context_.history.resource_operations[index];
-  if (answer == nullptr || answer->end != AnswerEnd::kWhole) return;
+  if (answer == nullptr || answer->end != AnswerEnd::kComplete) return;
   record.returned = context_.Now();
   record.version = VersionIn(answer->headers);
   if (Accepts(*answer)) {
     record.end = ResourceEnd::kDone;
-    if (record.action != ResourceAction::kRead) Accepted(record.version);
+    if (record.action != ResourceAction::kRead) RecordAccepted(record.version);
   } else if (answer->status == kPreconditionFailed) {
     record.end = ResourceEnd::kConflict;
     ReadConflict(answer->body, record);
   } else if (answer->status == kNotFound) {
     record.end = ResourceEnd::kMissing;
-  } else if (OutcomeIn(answer->headers) == checks::ClaimedOutcome::kNotRun) {
+  } else if (ParseOutcome(answer->headers) == checks::ClaimedOutcome::kNotRun) {
     record.end = ResourceEnd::kRefused;
   } else {
     record.returned.reset();
@@ -265,7 +266,7 @@
 void OperatorClient::ReadNote(uint32_t note) {
   const size_t record = Record(ResourceAction::kRead, note, std::nullopt, "");
   client_.Send(DrawControl(), {"GET", "/v1/resources/TrafficGroup/" + NoteName(note), {}, ""},
-               kPatience, [this, record, note](const WholeAnswer& answer) {
+               kRequestTimeout, [this, record, note](const CompleteAnswer& answer) {
                  RecordEnd(record, &answer);
                  checks::ResourceOperation& read = context_.history.resource_operations[record];
                  if (read.end == ResourceEnd::kMissing) seen_[note] = Revision();
@@ -287,11 +288,12 @@
   } else {
     change.headers.push_back({"If-Match", fmt::format("\"{}\"", expected.value())});
   }
-  change.done = [this, record, note](const WholeAnswer* answer) {
+  change.done = [this, record, note](const CompleteAnswer* answer) {
     RecordEnd(record, answer);
     const checks::ResourceOperation& put = context_.history.resource_operations[record];
-    const bool told = put.end == ResourceEnd::kDone || put.end == ResourceEnd::kConflict;
-    if (told) seen_[note] = put.version;
+    const bool version_reported =
+        put.end == ResourceEnd::kDone || put.end == ResourceEnd::kConflict;
+    if (version_reported) seen_[note] = put.version;
   };
   Begin(std::move(change));
 }
@@ -301,7 +303,7 @@
   const size_t record = Record(ResourceAction::kDelete, note, expected, "");
   Change change{.method = "DELETE", .target = "/v1/resources/TrafficGroup/" + NoteName(note)};
   change.headers.push_back({"If-Match", fmt::format("\"{}\"", expected.value())});
-  change.done = [this, record, note](const WholeAnswer* answer) {
+  change.done = [this, record, note](const CompleteAnswer* answer) {
     RecordEnd(record, answer);
     const checks::ResourceOperation& removed = context_.history.resource_operations[record];
     if (removed.end == ResourceEnd::kDone || removed.end == ResourceEnd::kMissing) {
--- a/simulator/clients/operator_client.h
+++ b/simulator/clients/operator_client.h
@@ -46,22 +46,22 @@
     uint32_t sends = 0;
     Duration first_sent{0};
     /// Gets the answer; null if none came in time.
-    std::function<void(const WholeAnswer*)> done;
+    std::function<void(const CompleteAnswer*)> done;
   };
 
   void SendPut(Change change, size_t demand, std::function<void(Revision)> done);
   void OpenSession(std::function<void()> then);
   void Begin(Change change);
   void Send(Change change);
-  void Answered(Change change, const WholeAnswer& answer);
+  void OnAnswer(Change change, const CompleteAnswer& answer);
   void NextNote();
   void ReadNote(uint32_t note);
   void PutNote(uint32_t note, Revision expected);
   void DeleteNote(uint32_t note, Revision expected);
   size_t Record(checks::ResourceAction action, uint32_t note, std::optional<Revision> expected,
                 std::string value);
-  void RecordEnd(size_t record, const WholeAnswer* answer);
-  void Accepted(Revision revision);
+  void RecordEnd(size_t record, const CompleteAnswer* answer);
+  void RecordAccepted(Revision revision);
   const std::string& DrawControl();
 
   RunContext& context_;
--- a/simulator/clients/request_client.cc
+++ b/simulator/clients/request_client.cc
@@ -15,7 +15,7 @@
   }
   void OnBody(std::string bytes) override { answer.body += bytes; }
   void OnFinished() override {
-    answer.end = AnswerEnd::kWhole;
+    answer.end = AnswerEnd::kComplete;
     owner.End(id, std::move(answer));
   }
   void OnFailed(CallFailure failure, const std::string& reason) override {
@@ -29,12 +29,12 @@
   RequestClient& owner;
   Id id;
   Done done;
-  WholeAnswer answer;
+  CompleteAnswer answer;
   std::unique_ptr<CallHandle> handle;
   TimerId timer;
 };
 
-checks::ClaimedOutcome OutcomeIn(const HttpHeaders& headers) {
+checks::ClaimedOutcome ParseOutcome(const HttpHeaders& headers) {
   const auto outcome = FindHeader(headers, "Millstair-Outcome");
   if (!outcome) return checks::ClaimedOutcome::kNone;
   if (*outcome == "ran") return checks::ClaimedOutcome::kRan;
@@ -43,7 +43,7 @@
 }
 
 RequestClient::RequestClient(RunContext& context, HostId host) : context_(context), host_(host) {}
-RequestClient::~RequestClient() { DropAll(); }
+RequestClient::~RequestClient() { CancelAll(); }
 
 RequestClient::Id RequestClient::Send(const std::string& address, HttpRequest request,
                                       Duration time_limit, Done done) {
@@ -53,7 +53,7 @@
   call.timer = context_.scheduler.Schedule(time_limit, [this, id] {
     const auto found = calls_.find(id);
     if (found == calls_.end()) return;
-    WholeAnswer answer = std::move(found->second->answer);
+    CompleteAnswer answer = std::move(found->second->answer);
     answer.end = answer.status == 0 ? AnswerEnd::kNone : AnswerEnd::kCut;
     End(id, std::move(answer));
   });
@@ -61,22 +61,22 @@
   return id;
 }
 
-void RequestClient::Drop(Id id) {
+void RequestClient::Cancel(Id id) {
   const auto call = calls_.extract(id);
   (void)call;
 }
 
-void RequestClient::DropAll() {
+void RequestClient::CancelAll() {
   const auto calls = std::move(calls_);
   calls_.clear();
 }
 
-void RequestClient::End(Id id, WholeAnswer answer) {
+void RequestClient::End(Id id, CompleteAnswer answer) {
   const auto call = calls_.extract(id);
   if (call.empty()) return;
-  if (answer_loss_ > 0 && answer.end == AnswerEnd::kWhole &&
+  if (answer_loss_ > 0 && answer.end == AnswerEnd::kComplete &&
       DrawChance(context_.scheduler.Random(), answer_loss_)) {
-    answer = WholeAnswer();
+    answer = CompleteAnswer();
   }
   call.mapped()->done(answer);
 }
--- a/simulator/clients/request_client.h
+++ b/simulator/clients/request_client.h
@@ -14,13 +14,13 @@
 namespace millstair::simulator {
 
 enum class AnswerEnd : uint8_t {
-  kWhole,    ///< a regular answer, whatever its status
-  kCut,      ///< began and broke off
-  kNone,     ///< no answer; the request may have run
-  kNotSent,  ///< no connection
+  kComplete,  ///< a regular answer, whatever its status
+  kCut,       ///< began and broke off
+  kNone,      ///< no answer; the request may have run
+  kNotSent,   ///< no connection
 };
 
-struct WholeAnswer {
+struct CompleteAnswer {
   AnswerEnd end = AnswerEnd::kNone;
   int status = 0;
   HttpHeaders headers;
@@ -29,11 +29,11 @@
 };
 
 /// What `Millstair-Outcome` says in an answer.
-checks::ClaimedOutcome OutcomeIn(const HttpHeaders& headers);
+checks::ClaimedOutcome ParseOutcome(const HttpHeaders& headers);
 
 class RequestClient {
  public:
-  using Done = std::function<void(const WholeAnswer&)>;
+  using Done = std::function<void(const CompleteAnswer&)>;
   /// Handle of a request under way; 0 is none.
   using Id = uint64_t;
 
@@ -42,18 +42,18 @@
   RequestClient(const RequestClient&) = delete;
   RequestClient& operator=(const RequestClient&) = delete;
 
-  /// `done` runs once, never within this call; not after `Drop` or destruction.
+  /// `done` runs once, never within this call; not after `Cancel` or destruction.
   Id Send(const std::string& address, HttpRequest request, Duration time_limit, Done done);
   /// Goes away: closes the connection.
-  void Drop(Id id);
-  void DropAll();
+  void Cancel(Id id);
+  void CancelAll();
   /// Share of answers that are lost on the way; the client then sees none.
   void SetAnswerLoss(double share) { answer_loss_ = share; }
 
  private:
   struct Call;
 
-  void End(Id id, WholeAnswer answer);
+  void End(Id id, CompleteAnswer answer);
 
   RunContext& context_;
   HostId host_;
--- a/simulator/clients/trainer.cc
+++ b/simulator/clients/trainer.cc
@@ -10,13 +10,13 @@
 namespace millstair::simulator {
 namespace {
 
-constexpr Duration kPatience = std::chrono::seconds(15);
-constexpr Duration kRetry = std::chrono::milliseconds(500);
+constexpr Duration kRequestTimeout = std::chrono::seconds(15);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(500);
 constexpr int kReadWaitSeconds = 2;
 constexpr int kReadMaxSamples = 64;
 constexpr int kPrefixWords = 64;
 /// Share of reads that are done again before their answer is used.
-constexpr double kReadAgain = 0.05;
+constexpr double kRereadShare = 0.05;
 constexpr int kOk = 200;
 
 uint64_t StepNumberOf(const SampleId& sample) {
@@ -69,8 +69,8 @@
 void Trainer::TakeDown() {
   if (!running_) return;
   running_ = false;
-  ++life_;
-  client_.DropAll();
+  ++incarnation_;
+  client_.CancelAll();
 }
 
 void Trainer::BringUp() {
@@ -83,7 +83,7 @@
   }
   // The version being published likewise.
   if (training_) {
-    Trained();
+    OnTrained();
     return;
   }
   if (published_ < publishing_) {
@@ -94,9 +94,10 @@
 }
 
 void Trainer::After(Duration delay, std::function<void()> action) {
-  context_.scheduler.Schedule(delay, [this, life = life_, action = std::move(action)] {
-    if (life == life_ && running_) action();
-  });
+  context_.scheduler.Schedule(delay,
+                              [this, incarnation = incarnation_, action = std::move(action)] {
+                                if (incarnation == incarnation_ && running_) action();
+                              });
 }
 
 const std::string& Trainer::DrawGateway() {
@@ -125,17 +126,18 @@
       boost::json::serialize(
           boost::json::object{{"digest", DigestOf(stream_.model, version).value()},
                               {"location", LocationOf(stream_.model, version)}})};
-  client_.Send(DrawGateway(), std::move(request), kPatience, [this](const WholeAnswer& answer) {
-    if (answer.end != AnswerEnd::kWhole || answer.status != kOk) {
-      After(kRetry, [this] { SendPublish(); });
-      return;
-    }
-    const Duration now = context_.Now();
-    context_.history.publishes[publish_record_].acknowledged = now;
-    context_.history.demands[publish_demand_].done = now;
-    published_ = publishing_;
-    WaitForStep();
-  });
+  client_.Send(DrawGateway(), std::move(request), kRequestTimeout,
+               [this](const CompleteAnswer& answer) {
+                 if (answer.end != AnswerEnd::kComplete || answer.status != kOk) {
+                   After(kRetryDelay, [this] { SendPublish(); });
+                   return;
+                 }
+                 const Duration now = context_.Now();
+                 context_.history.publishes[publish_record_].acknowledged = now;
+                 context_.history.demands[publish_demand_].done = now;
+                 published_ = publishing_;
+                 WaitForStep();
+               });
 }
 
 void Trainer::PutStepsAhead() {
@@ -179,12 +181,12 @@
       fmt::format("/v1/streams/{}/steps/{}", stream_.name.value(), put.step.value()),
       {{"Content-Type", "application/json"}},
       boost::json::serialize(boost::json::object{{"prompts", std::move(prompts)}})};
-  client_.Send(DrawGateway(), std::move(request), kPatience,
-               [this, number](const WholeAnswer& answer) {
+  client_.Send(DrawGateway(), std::move(request), kRequestTimeout,
+               [this, number](const CompleteAnswer& answer) {
                  const auto step = steps_.find(number);
                  if (step == steps_.end()) return;
-                 if (answer.end != AnswerEnd::kWhole || answer.status != kOk) {
-                   After(kRetry, [this, number] { SendStep(number); });
+                 if (answer.end != AnswerEnd::kComplete || answer.status != kOk) {
+                   After(kRetryDelay, [this, number] { SendStep(number); });
                    return;
                  }
                  step->second.acknowledged = true;
@@ -205,7 +207,7 @@
          std::nullopt});
   }
   if (step.missing.empty()) {
-    StepWhole();
+    OnStepComplete();
     return;
   }
   Read();
@@ -219,30 +221,30 @@
       {},
       ""};
   client_.Send(
-      DrawGateway(), std::move(request), kPatience,
-      [this, sent = context_.Now()](const WholeAnswer& answer) { TakeAnswer(answer, sent); });
+      DrawGateway(), std::move(request), kRequestTimeout,
+      [this, sent = context_.Now()](const CompleteAnswer& answer) { HandleAnswer(answer, sent); });
 }
 
-void Trainer::TakeAnswer(const WholeAnswer& answer, Duration sent) {
+void Trainer::HandleAnswer(const CompleteAnswer& answer, Duration sent) {
   boost::json::error_code error;
   boost::json::value value;
-  if (answer.end == AnswerEnd::kWhole && answer.status == kOk) {
+  if (answer.end == AnswerEnd::kComplete && answer.status == kOk) {
     value = boost::json::parse(answer.body, error);
   }
   if (error || !value.is_object()) {
-    After(kRetry, [this] { Read(); });
+    After(kRetryDelay, [this] { Read(); });
     return;
   }
-  TakeSamples(value.as_object(), sent);
+  HandleSamples(value.as_object(), sent);
   if (steps_.at(current_).missing.empty()) {
-    StepWhole();
+    OnStepComplete();
     return;
   }
   // Also a faulty fleet that answers at once and empty must not stop the run.
   After(std::chrono::milliseconds(1), [this] { Read(); });
 }
 
-void Trainer::TakeSamples(const boost::json::object& answer, Duration sent) {
+void Trainer::HandleSamples(const boost::json::object& answer, Duration sent) {
   checks::CursorRead read{stream_.name, cursor_, StreamOffset(NumberIn(answer, "next")),
                           {},           sent,    context_.Now()};
   const boost::json::value* samples = answer.if_contains("samples");
@@ -253,21 +255,21 @@
   }
   context_.history.reads.push_back(read);
   // An answer lost between receipt and use is read again at the same cursor.
-  if (DrawChance(random_, kReadAgain)) return;
-  for (const checks::ReceivedSample& sample : read.samples) TakeSample(sample);
+  if (DrawChance(random_, kRereadShare)) return;
+  for (const checks::ReceivedSample& sample : read.samples) HandleSample(sample);
   cursor_ = std::max(cursor_, read.next);
 }
 
-void Trainer::TakeSample(const checks::ReceivedSample& sample) {
+void Trainer::HandleSample(const checks::ReceivedSample& sample) {
   const auto step = steps_.find(StepNumberOf(sample.sample));
   if (sample.withdrawn) {
     ++record_.withdrawn;
-    if (held_.erase(sample.offset) > 0 && step != steps_.end()) {
+    if (received_.erase(sample.offset) > 0 && step != steps_.end()) {
       step->second.missing.insert(sample.sample);
     }
     return;
   }
-  held_[sample.offset] = sample.sample;
+  received_[sample.offset] = sample.sample;
   if (step != steps_.end()) step->second.missing.erase(sample.sample);
   if (!seen_.insert(sample.sample).second) return;
   WeightVersion newest;
@@ -279,7 +281,7 @@
   record_.staleness.push_back(newest.value() - oldest.value());
 }
 
-void Trainer::StepWhole() {
+void Trainer::OnStepComplete() {
   const Duration now = context_.Now();
   Step& step = steps_.at(current_);
   context_.history.steps[step.put_record].completed = now;
@@ -290,10 +292,10 @@
   record_.steps_in_time += waited <= load_.in_time ? 1 : 0;
   record_.worked += load_.training_time;
   training_ = true;
-  After(load_.training_time, [this] { Trained(); });
+  After(load_.training_time, [this] { OnTrained(); });
 }
 
-void Trainer::Trained() {
+void Trainer::OnTrained() {
   training_ = false;
   steps_.erase(current_);
   ++current_;
--- a/simulator/clients/trainer.h
+++ b/simulator/clients/trainer.h
@@ -58,11 +58,11 @@
   void SendStep(uint64_t number);
   void WaitForStep();
   void Read();
-  void TakeAnswer(const WholeAnswer& answer, Duration sent);
-  void TakeSamples(const boost::json::object& answer, Duration sent);
-  void TakeSample(const checks::ReceivedSample& sample);
-  void StepWhole();
-  void Trained();
+  void HandleAnswer(const CompleteAnswer& answer, Duration sent);
+  void HandleSamples(const boost::json::object& answer, Duration sent);
+  void HandleSample(const checks::ReceivedSample& sample);
+  void OnStepComplete();
+  void OnTrained();
   /// Runs `action` after `delay` unless the process died in between.
   void After(Duration delay, std::function<void()> action);
   const std::string& DrawGateway();
@@ -77,7 +77,7 @@
   RequestClient client_;
   Duration until_{0};
   /// Counts processes.
-  uint64_t life_ = 0;
+  uint64_t incarnation_ = 0;
   bool running_ = false;
   bool training_ = false;
   StreamOffset cursor_;
@@ -86,7 +86,7 @@
   uint64_t next_put_ = 1;
   std::map<uint64_t, Step> steps_;
   /// Samples held, by offset, to take withdrawals back.
-  std::map<StreamOffset, SampleId> held_;
+  std::map<StreamOffset, SampleId> received_;
   std::set<SampleId> seen_;
   /// Newest version that was acknowledged, and the one being published.
   WeightVersion published_;
--- a/simulator/main.cc
+++ b/simulator/main.cc
@@ -74,10 +74,10 @@
   FleetOptions fleet;
   const auto deployment = ParseDeployment(values["deployment"].as<std::string>());
   if (!deployment.ok()) return Fail(std::string(deployment.status().message()));
-  constexpr uint32_t kShortest = 60;
-  constexpr uint32_t kLongest = 86400;
+  constexpr uint32_t kMinSeconds = 60;
+  constexpr uint32_t kMaxSeconds = 86400;
   const uint32_t seconds = values["seconds"].as<uint32_t>();
-  if (seconds < kShortest || seconds > kLongest) return Fail("--seconds is not in 60..86400");
+  if (seconds < kMinSeconds || seconds > kMaxSeconds) return Fail("--seconds is not in 60..86400");
   const double step_ms = values["step-ms"].as<double>();
   if (step_ms < 0.1 || step_ms > 10000) return Fail("--step-ms is not in 0.1..10000");
   fleet.deployment = *deployment;
--- a/simulator/network/connection.cc
+++ b/simulator/network/connection.cc
@@ -62,25 +62,25 @@
 void Connection::Close(Direction& own, Direction& other) {
   if (!own.receiver_open) return;
   own.receiver_open = false;
-  own.on_peer_gone = nullptr;
+  own.on_peer_disconnected = nullptr;
   own.blocked.clear();
-  Send(other, [this, &other] { PeerGone(other); });
+  Send(other, [this, &other] { OnPeerDisconnected(other); });
 }
 
-void Connection::PeerGone(Direction& receiver) {
+void Connection::OnPeerDisconnected(Direction& receiver) {
   if (!receiver.receiver_open) return;
   receiver.receiver_open = false;
   // Keeps this alive while the callback drops its references.
   const std::shared_ptr<Connection> self = shared_from_this();
-  const Event callback = std::exchange(receiver.on_peer_gone, nullptr);
+  const Event callback = std::exchange(receiver.on_peer_disconnected, nullptr);
   if (callback) callback();
 }
 
 void Connection::Break() {
   to_server_.blocked.clear();
   to_client_.blocked.clear();
-  PeerGone(to_server_);
-  PeerGone(to_client_);
+  OnPeerDisconnected(to_server_);
+  OnPeerDisconnected(to_client_);
 }
 
 }  // namespace millstair::simulator
--- a/simulator/network/connection.h
+++ b/simulator/network/connection.h
@@ -33,8 +33,12 @@
   void SendToClient(Event event) { Send(to_client_, std::move(event)); }
 
   /// Called once when the other end closed or broke the connection while this end was open.
-  void OnServerGone(Event callback) { to_client_.on_peer_gone = std::move(callback); }
-  void OnClientGone(Event callback) { to_server_.on_peer_gone = std::move(callback); }
+  void OnServerDisconnected(Event callback) {
+    to_client_.on_peer_disconnected = std::move(callback);
+  }
+  void OnClientDisconnected(Event callback) {
+    to_server_.on_peer_disconnected = std::move(callback);
+  }
 
   /// Closes one end (also by the death of its process); the other hears it in order.
   void CloseClient() { Close(to_client_, to_server_); }
@@ -50,14 +54,14 @@
     /// Sent while the link was cut.
     std::deque<Event> blocked;
     Duration blocked_since{0};
-    Event on_peer_gone;
+    Event on_peer_disconnected;
   };
 
   void Send(Direction& direction, Event event);
   void Launch(Direction& direction, Event event);
   void Retry(Direction& direction);
   void Close(Direction& own, Direction& other);
-  void PeerGone(Direction& receiver);
+  void OnPeerDisconnected(Direction& receiver);
   /// Gives the connection up at both ends.
   void Break();
 
--- a/simulator/network/engine_fabric.cc
+++ b/simulator/network/engine_fabric.cc
@@ -14,12 +14,12 @@
       : model_(model), connection_(std::move(connection)), call_(std::move(call)) {}
 
   void Begin(GenerateRequest request) {
-    connection_->OnClientGone([self = shared_from_this()] {
+    connection_->OnClientDisconnected([self = shared_from_this()] {
       self->model_.Cancel(self->id_);
-      self->keep_.reset();
+      self->self_reference_.reset();
     });
     // The model holds a plain reference, so this keeps itself until the end.
-    keep_ = shared_from_this();
+    self_reference_ = shared_from_this();
     id_ = model_.Generate(std::move(request), *this);
   }
 
@@ -31,7 +31,7 @@
   std::shared_ptr<Connection> connection_;
   std::weak_ptr<class GenerationCall> call_;
   GenerationId id_;
-  std::shared_ptr<GenerationServer> keep_;
+  std::shared_ptr<GenerationServer> self_reference_;
 };
 
 /// The client's side of a generation.
@@ -45,7 +45,7 @@
     connection_ = fabric_.http().Connect(
         from, address_,
         [self, request = std::move(request)]() mutable {
-          if (const auto call = self.lock()) call->Connected(std::move(request));
+          if (const auto call = self.lock()) call->OnConnected(std::move(request));
         },
         [self](const std::string& reason) {
           if (const auto call = self.lock()) call->Fail(CallFailure::kNotSent, false, reason);
@@ -58,7 +58,7 @@
   }
 
   void OnChunk(const GenerateChunk& chunk) {
-    begun_ = true;
+    chunk_received_ = true;
     GenerateObserver* observer = observer_;
     if (observer == nullptr) return;
     const std::shared_ptr<GenerationCall> self = shared_from_this();
@@ -78,12 +78,12 @@
   }
 
  private:
-  void Connected(GenerateRequest request) {
+  void OnConnected(GenerateRequest request) {
     const std::weak_ptr<GenerationCall> self = weak_from_this();
-    connection_->OnServerGone([self] {
+    connection_->OnServerDisconnected([self] {
       const auto call = self.lock();
       if (!call) return;
-      call->Fail(call->begun_ ? CallFailure::kCut : CallFailure::kUnknown, false,
+      call->Fail(call->chunk_received_ ? CallFailure::kCut : CallFailure::kUnknown, false,
                  "connection reset");
     });
     connection_->SendToServer([&fabric = fabric_, address = address_, self,
@@ -104,7 +104,7 @@
   EngineFabric& fabric_;
   std::string address_;
   GenerateObserver* observer_;
-  bool begun_ = false;
+  bool chunk_received_ = false;
   std::shared_ptr<Connection> connection_;
 };
 
@@ -112,14 +112,14 @@
   connection_->SendToClient([call = call_, chunk] {
     if (const auto to = call.lock()) to->OnChunk(chunk);
   });
-  if (chunk.finished) keep_.reset();
+  if (chunk.finished) self_reference_.reset();
 }
 
 void GenerationServer::OnFailed(CallFailure failure, bool leaving, const std::string& reason) {
   connection_->SendToClient([call = call_, failure, leaving, reason] {
     if (const auto to = call.lock()) to->Fail(failure, leaving, reason);
   });
-  keep_.reset();
+  self_reference_.reset();
 }
 
 class GenerationHandle : public CallHandle {
@@ -133,13 +133,13 @@
 
 /// One small request with one answer of type `Answer`, which can hold an absl::Status.
 template <class Answer>
-class SmallCall : public std::enable_shared_from_this<SmallCall<Answer>> {
+class UnaryCall : public std::enable_shared_from_this<UnaryCall<Answer>> {
  public:
   using Done = std::function<void(Answer)>;
   /// Runs at the engine; calls `reply` once.
   using Serve = std::function<void(EngineModel&, std::function<void(Answer)> reply)>;
 
-  SmallCall(EngineFabric& fabric, std::string address, Serve serve, Done done)
+  UnaryCall(EngineFabric& fabric, std::string address, Serve serve, Done done)
       : fabric_(fabric),
         address_(std::move(address)),
         serve_(std::move(serve)),
@@ -148,18 +148,19 @@
   void Begin(HostId from) {
     const auto self = this->shared_from_this();
     connection_ = fabric_.http().Connect(
-        from, address_, [self] { self->Connected(); },
+        from, address_, [self] { self->OnConnected(); },
         [self](const std::string& reason) { self->End(absl::UnavailableError(reason)); });
   }
 
  private:
-  void Connected() {
+  void OnConnected() {
     const auto self = this->shared_from_this();
-    connection_->OnServerGone([self] { self->End(absl::UnavailableError("connection reset")); });
-    connection_->SendToServer([self] { self->Arrive(); });
+    connection_->OnServerDisconnected(
+        [self] { self->End(absl::UnavailableError("connection reset")); });
+    connection_->SendToServer([self] { self->ServeRequest(); });
   }
 
-  void Arrive() {
+  void ServeRequest() {
     EngineModel* model = fabric_.Find(address_);
     if (model == nullptr || !model->running()) {
       connection_->CloseServer();
@@ -201,7 +202,7 @@
 }
 
 void EngineFabric::Refresh(const std::string& address) {
-  http_.SetUp(address, models_.at(address)->running());
+  http_.SetAccepting(address, models_.at(address)->running());
 }
 
 void EngineFabric::Record(const std::string& address, EngineArrival kind, const std::string& what) {
@@ -223,7 +224,7 @@
     fabric.Record(address, EngineArrival::kOrder, "order");
     model.ApplyOrder(order, std::move(reply));
   };
-  std::make_shared<SmallCall<absl::Status>>(fabric_, address, serve, std::move(done))->Begin(host_);
+  std::make_shared<UnaryCall<absl::Status>>(fabric_, address, serve, std::move(done))->Begin(host_);
 }
 
 void FabricEngineClient::FetchReport(const std::string& address,
@@ -232,7 +233,7 @@
   const auto serve = [](EngineModel& model, std::function<void(Answer)> reply) {
     reply(model.Report());
   };
-  std::make_shared<SmallCall<Answer>>(fabric_, address, serve, std::move(done))->Begin(host_);
+  std::make_shared<UnaryCall<Answer>>(fabric_, address, serve, std::move(done))->Begin(host_);
 }
 
 void FabricEngineClient::FetchCacheEvents(const std::string& address, uint64_t after, bool resync,
@@ -241,7 +242,7 @@
   const auto serve = [after, resync](EngineModel& model, std::function<void(Answer)> reply) {
     reply(model.CacheEventsAfter(after, resync));
   };
-  std::make_shared<SmallCall<Answer>>(fabric_, address, serve, std::move(done))->Begin(host_);
+  std::make_shared<UnaryCall<Answer>>(fabric_, address, serve, std::move(done))->Begin(host_);
 }
 
 }  // namespace millstair::simulator
--- a/simulator/network/fabric_call.cc
+++ b/simulator/network/fabric_call.cc
@@ -15,7 +15,7 @@
   connection_ = fabric_.Connect(
       from_, address_,
       [self] {
-        if (const auto call = self.lock()) call->Connected();
+        if (const auto call = self.lock()) call->OnConnected();
       },
       [self](const std::string& reason) {
         if (const auto call = self.lock()) call->Fail(CallFailure::kNotSent, reason);
@@ -27,33 +27,34 @@
   if (connection_) connection_->CloseClient();
 }
 
-void FabricCall::Connected() {
+void FabricCall::OnConnected() {
   const std::weak_ptr<FabricCall> self = weak_from_this();
-  connection_->OnServerGone([self] {
-    if (const auto call = self.lock()) call->Broken();
+  connection_->OnServerDisconnected([self] {
+    if (const auto call = self.lock()) call->OnConnectionBroken();
   });
-  const uint64_t life = fabric_.Find(address_)->life;
-  connection_->SendToServer([&fabric = fabric_, address = address_, life,
+  const uint64_t incarnation = fabric_.Find(address_)->incarnation;
+  connection_->SendToServer([&fabric = fabric_, address = address_, incarnation,
                              request = std::move(request_),
                              weak = std::weak_ptr<Connection>(connection_), self] {
     if (const auto connection = weak.lock())
-      Arrive(fabric, address, life, request, connection, self);
+      DeliverRequest(fabric, address, incarnation, request, connection, self);
   });
 }
 
-void FabricCall::Arrive(HttpFabric& fabric, const std::string& address, uint64_t life,
-                        HttpRequest request, const std::shared_ptr<Connection>& connection,
-                        std::weak_ptr<FabricCall> call) {
-  const HttpFabric::Place* place = fabric.Find(address);
-  if (place->handler == nullptr || place->life != life) {
+void FabricCall::DeliverRequest(HttpFabric& fabric, const std::string& address,
+                                uint64_t incarnation, HttpRequest request,
+                                const std::shared_ptr<Connection>& connection,
+                                std::weak_ptr<FabricCall> call) {
+  const HttpFabric::Endpoint* endpoint = fabric.Find(address);
+  if (endpoint->handler == nullptr || endpoint->incarnation != incarnation) {
     connection->CloseServer();
     return;
   }
-  place->handler->Handle(std::move(request),
-                         std::make_shared<FabricWriter>(fabric, connection, std::move(call)));
+  endpoint->handler->Handle(std::move(request),
+                            std::make_shared<FabricWriter>(fabric, connection, std::move(call)));
 }
 
-void FabricCall::Broken() {
+void FabricCall::OnConnectionBroken() {
   Fail(head_seen_ ? CallFailure::kCut : CallFailure::kUnknown, "connection reset");
 }
 
@@ -145,7 +146,7 @@
 }
 
 void FabricWriter::OnCallerDisconnected(std::function<void()> callback) {
-  connection_->OnClientGone([self = weak_from_this(), callback = std::move(callback)] {
+  connection_->OnClientDisconnected([self = weak_from_this(), callback = std::move(callback)] {
     const auto writer = self.lock();
     if (!writer || writer->ended_) return;
     writer->End();
--- a/simulator/network/fabric_call.h
+++ b/simulator/network/fabric_call.h
@@ -28,12 +28,12 @@
   void OnFinished();
 
  private:
-  void Connected();
-  /// The request reached the other end; `life` is the listener that it was sent to.
-  static void Arrive(HttpFabric& fabric, const std::string& address, uint64_t life,
-                     HttpRequest request, const std::shared_ptr<Connection>& connection,
-                     std::weak_ptr<FabricCall> call);
-  void Broken();
+  void OnConnected();
+  /// The request reached the other end; `incarnation` is the listener that it was sent to.
+  static void DeliverRequest(HttpFabric& fabric, const std::string& address, uint64_t incarnation,
+                             HttpRequest request, const std::shared_ptr<Connection>& connection,
+                             std::weak_ptr<FabricCall> call);
+  void OnConnectionBroken();
   void Fail(CallFailure failure, const std::string& reason);
 
   HttpFabric& fabric_;
--- a/simulator/network/http_fabric.cc
+++ b/simulator/network/http_fabric.cc
@@ -8,37 +8,37 @@
 namespace millstair::simulator {
 namespace {
 
-constexpr Duration kSynRetry = std::chrono::milliseconds(200);
-constexpr size_t kSweepAbove = 64;
+constexpr Duration kConnectRetryInterval = std::chrono::milliseconds(200);
+constexpr size_t kPruneThreshold = 64;
 
 }  // namespace
 
 void HttpFabric::AddAddress(const std::string& address, HostId host) {
-  places_[address].host = host;
+  endpoints_[address].host = host;
 }
 
-HttpFabric::Place* HttpFabric::Find(const std::string& address) {
-  const auto place = places_.find(address);
-  return place == places_.end() ? nullptr : &place->second;
+HttpFabric::Endpoint* HttpFabric::Find(const std::string& address) {
+  const auto endpoint = endpoints_.find(address);
+  return endpoint == endpoints_.end() ? nullptr : &endpoint->second;
 }
 
 void HttpFabric::Listen(const std::string& address, RequestHandler& handler) {
-  Place& place = places_.at(address);
-  place.handler = &handler;
-  place.up = true;
-  ++place.life;
+  Endpoint& endpoint = endpoints_.at(address);
+  endpoint.handler = &handler;
+  endpoint.accepting = true;
+  ++endpoint.incarnation;
 }
 
 void HttpFabric::StopListening(const std::string& address) {
-  Place& place = places_.at(address);
-  place.handler = nullptr;
-  place.up = false;
+  Endpoint& endpoint = endpoints_.at(address);
+  endpoint.handler = nullptr;
+  endpoint.accepting = false;
 }
 
-void HttpFabric::SetUp(const std::string& address, bool up) {
-  Place& place = places_.at(address);
-  place.life += up && !place.up ? 1 : 0;
-  place.up = up;
+void HttpFabric::SetAccepting(const std::string& address, bool accepting) {
+  Endpoint& endpoint = endpoints_.at(address);
+  endpoint.incarnation += accepting && !endpoint.accepting ? 1 : 0;
+  endpoint.accepting = accepting;
 }
 
 void HttpFabric::ResetConnections(HostId host) {
@@ -57,10 +57,10 @@
   return open == open_answers_.end() ? 0 : open->second;
 }
 
-void HttpFabric::Remember(const std::shared_ptr<Connection>& connection) {
+void HttpFabric::TrackConnection(const std::shared_ptr<Connection>& connection) {
   for (const HostId host : {connection->client(), connection->server()}) {
     std::vector<std::weak_ptr<Connection>>& all = connections_[host];
-    if (all.size() > kSweepAbove && all.size() == all.capacity()) {
+    if (all.size() > kPruneThreshold && all.size() == all.capacity()) {
       std::erase_if(all, [](const std::weak_ptr<Connection>& weak) { return weak.expired(); });
     }
     all.push_back(connection);
@@ -70,13 +70,13 @@
 std::shared_ptr<Connection> HttpFabric::Connect(HostId from, const std::string& address,
                                                 std::function<void()> connected,
                                                 std::function<void(const std::string&)> failed) {
-  const Place* place = Find(address);
+  const Endpoint* endpoint = Find(address);
   // An address that nobody ever had answers like a machine that is switched off.
-  const HostId to = place == nullptr ? from : place->host;
+  const HostId to = endpoint == nullptr ? from : endpoint->host;
   auto connection = std::make_shared<Connection>(network_, from, to);
-  Remember(connection);
+  TrackConnection(connection);
   const Duration deadline = network_.scheduler().Now() + kConnectTimeout;
-  if (place == nullptr) {
+  if (endpoint == nullptr) {
     network_.scheduler().Schedule(kConnectTimeout, [connection, failed = std::move(failed)] {
       if (!connection->client_open()) return;
       connection->CloseClient();
@@ -108,14 +108,14 @@
       fail("connect timed out");
       return;
     }
-    scheduler.Schedule(
-        kSynRetry, [this, connection, address, deadline, connected = std::move(connected),
-                    failed = std::move(failed)]() mutable {
-          TryConnect(connection, address, deadline, std::move(connected), std::move(failed));
-        });
+    scheduler.Schedule(kConnectRetryInterval, [this, connection, address, deadline,
+                                               connected = std::move(connected),
+                                               failed = std::move(failed)]() mutable {
+      TryConnect(connection, address, deadline, std::move(connected), std::move(failed));
+    });
     return;
   }
-  if (!Find(address)->up) {
+  if (!Find(address)->accepting) {
     const Duration answer = network_.DrawLatency(connection->client(), connection->server()) +
                             network_.DrawLatency(connection->server(), connection->client());
     scheduler.Schedule(answer, [fail] { fail("connection refused"); });
--- a/simulator/network/http_fabric.h
+++ b/simulator/network/http_fabric.h
@@ -21,13 +21,13 @@
  public:
   explicit HttpFabric(Network& network) : network_(network) {}
 
-  /// The place of an address; for the whole run.
+  /// The endpoint of an address; for the whole run.
   void AddAddress(const std::string& address, HostId host);
   /// A process listens at `address`. `handler` must stay until `StopListening`.
   void Listen(const std::string& address, RequestHandler& handler);
   void StopListening(const std::string& address);
   /// Refuses new connections; requests on standing ones still reach the handler.
-  void StopAccepting(const std::string& address) { places_.at(address).up = false; }
+  void StopAccepting(const std::string& address) { endpoints_.at(address).accepting = false; }
   /// Breaks all connections of the processes on `host`, as when they die.
   void ResetConnections(HostId host);
   /// Answers whose handlers on `host` are still under way.
@@ -44,7 +44,7 @@
                                       std::function<void()> connected,
                                       std::function<void(const std::string& reason)> failed);
   /// A listener of another protocol, which then refuses connections while `up` is false.
-  void SetUp(const std::string& address, bool up);
+  void SetAccepting(const std::string& address, bool accepting);
 
   Network& network() { return network_; }
 
@@ -52,22 +52,22 @@
   friend class FabricCall;
   friend class FabricWriter;
 
-  struct Place {
+  struct Endpoint {
     HostId host;
     RequestHandler* handler = nullptr;
-    bool up = false;
+    bool accepting = false;
     /// Counts listeners, so that a request can't reach a later process unseen.
-    uint64_t life = 0;
+    uint64_t incarnation = 0;
   };
 
-  Place* Find(const std::string& address);
+  Endpoint* Find(const std::string& address);
   void TryConnect(const std::shared_ptr<Connection>& connection, const std::string& address,
                   Duration deadline, std::function<void()> connected,
                   std::function<void(const std::string&)> failed);
-  void Remember(const std::shared_ptr<Connection>& connection);
+  void TrackConnection(const std::shared_ptr<Connection>& connection);
 
   Network& network_;
-  std::map<std::string, Place> places_;
+  std::map<std::string, Endpoint> endpoints_;
   /// Connections per host of either end; expired ones are swept now and then.
   std::map<HostId, std::vector<std::weak_ptr<Connection>>> connections_;
   std::map<HostId, size_t> open_answers_;
--- a/simulator/network/peer_fabric.cc
+++ b/simulator/network/peer_fabric.cc
@@ -10,11 +10,11 @@
 /// The transport of one process.
 class FabricTransport : public PeerTransport {
  public:
-  FabricTransport(PeerFabric& fabric, NodeId self, uint64_t life)
-      : fabric_(fabric), self_(std::move(self)), life_(life) {}
+  FabricTransport(PeerFabric& fabric, NodeId self, uint64_t incarnation)
+      : fabric_(fabric), self_(std::move(self)), incarnation_(incarnation) {}
 
   void Send(const NodeId& to, PeerMessage message) override {
-    fabric_.Send(self_, life_, to, std::move(message));
+    fabric_.Send(self_, incarnation_, to, std::move(message));
   }
 
   void SetAddress(const NodeId& node, const std::string& address) override {
@@ -22,13 +22,13 @@
     // A stale address leads to nobody.
     if (known == fabric_.nodes_.end() || known->second.address != address) return;
     PeerFabric::Node& own = fabric_.nodes_.at(self_);
-    if (own.life == life_) own.known.insert(node);
+    if (own.incarnation == incarnation_) own.known.insert(node);
   }
 
  private:
   PeerFabric& fabric_;
   NodeId self_;
-  uint64_t life_;
+  uint64_t incarnation_;
 };
 
 void PeerFabric::AddNode(const NodeId& node, const std::string& address, HostId host) {
@@ -44,16 +44,17 @@
 
 std::unique_ptr<PeerTransport> PeerFabric::MakeTransport(const NodeId& node) {
   Node& own = nodes_.at(node);
-  ++own.life;
+  ++own.incarnation;
   own.known.clear();
   own.last_arrival.clear();
-  return std::make_unique<FabricTransport>(*this, node, own.life);
+  return std::make_unique<FabricTransport>(*this, node, own.incarnation);
 }
 
-void PeerFabric::Send(const NodeId& from, uint64_t life, const NodeId& to, PeerMessage message) {
+void PeerFabric::Send(const NodeId& from, uint64_t incarnation, const NodeId& to,
+                      PeerMessage message) {
   Node& sender = nodes_.at(from);
   const auto target = nodes_.find(to);
-  if (sender.life != life || target == nodes_.end()) return;
+  if (sender.incarnation != incarnation || target == nodes_.end()) return;
   if (from != to && !sender.known.contains(to)) return;
   ++messages_;
   bytes_ += message.payload.size();
--- a/simulator/network/peer_fabric.h
+++ b/simulator/network/peer_fabric.h
@@ -37,13 +37,13 @@
     std::string address;
     PeerReceiver* receiver = nullptr;
     /// Counts processes under this name.
-    uint64_t life = 0;
+    uint64_t incarnation = 0;
     /// Nodes that this process has an address of or was dialled by.
     std::set<NodeId> known;
     std::map<NodeId, Duration> last_arrival;
   };
 
-  void Send(const NodeId& from, uint64_t life, const NodeId& to, PeerMessage message);
+  void Send(const NodeId& from, uint64_t incarnation, const NodeId& to, PeerMessage message);
   void Launch(Node& sender, const NodeId& from, const NodeId& to, PeerMessage message);
   void Deliver(const NodeId& from, const NodeId& to, const PeerMessage& message);
 
--- a/simulator/run/sweep.cc
+++ b/simulator/run/sweep.cc
@@ -15,7 +15,7 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-constexpr uint64_t kProgressEvery = 50;
+constexpr uint64_t kProgressInterval = 50;
 
 double SecondsSince(SteadyClock::time_point start) {
   return std::chrono::duration<double>(SteadyClock::now() - start).count();
@@ -120,7 +120,7 @@
           const FleetResult result = RunFleet(OptionsFor(options, seed));
           const std::lock_guard lock(mutex);
           Collect(result, SecondsSince(begin), sweep);
-          if (sweep.runs % kProgressEvery != 0) continue;
+          if (sweep.runs % kProgressInterval != 0) continue;
           progress << fmt::format("{} runs, {} failed, {:.0f} s\n", sweep.runs, sweep.failed.size(),
                                   SecondsSince(start))
                    << std::flush;
--- a/simulator/run/trace.cc
+++ b/simulator/run/trace.cc
@@ -8,15 +8,15 @@
 namespace millstair::simulator {
 namespace {
 
-absl::Status Fault(const YAML::Node& node, const std::string& what) {
+absl::Status ErrorAt(const YAML::Node& node, const std::string& what) {
   return absl::InvalidArgumentError(fmt::format("line {}: {}", node.Mark().line + 1, what));
 }
 
 absl::Status CheckKeys(const YAML::Node& map, const std::set<std::string>& known) {
-  if (!map.IsMap()) return Fault(map, "a map is due here");
+  if (!map.IsMap()) return ErrorAt(map, "a map is due here");
   for (const auto& entry : map) {
     const std::string key = entry.first.as<std::string>();
-    if (!known.contains(key)) return Fault(entry.first, fmt::format("unknown key '{}'", key));
+    if (!known.contains(key)) return ErrorAt(entry.first, fmt::format("unknown key '{}'", key));
   }
   return absl::OkStatus();
 }
@@ -28,7 +28,7 @@
     const absl::Status keys = CheckKeys(node, {"kind", "at", "for", "seed"});
     if (!keys.ok()) return keys;
     const absl::StatusOr<FaultKind> kind = ParseFault(node["kind"].as<std::string>());
-    if (!kind.ok()) return Fault(node, std::string(kind.status().message()));
+    if (!kind.ok()) return ErrorAt(node, std::string(kind.status().message()));
     plan.push_back({*kind, Seconds(node["at"]), Seconds(node["for"]),
                     node["seed"] ? node["seed"].as<uint64_t>() : 1});
   }
@@ -57,7 +57,7 @@
   trace.replays = root["replays"].as<std::string>();
   const auto deployment = ParseDeployment(root["deployment"].as<std::string>());
   if (!deployment.ok())
-    return Fault(root["deployment"], std::string(deployment.status().message()));
+    return ErrorAt(root["deployment"], std::string(deployment.status().message()));
   trace.fleet.deployment = *deployment;
   trace.fleet.seed = root["seed"].as<uint64_t>();
   trace.fleet.length = Seconds(root["seconds"]);
@@ -86,14 +86,15 @@
     if (check.broken == 0) continue;
     differences.push_back(fmt::format("{} broken: {}", check.name, check.first_example));
   }
-  const auto at_least = [&differences](const std::string& what, uint64_t due, uint64_t found) {
-    if (found >= due) return;
-    differences.push_back(fmt::format("{}: {} instead of at least {}", what, found, due));
+  const auto at_least = [&differences](const std::string& what, uint64_t expected, uint64_t found) {
+    if (found >= expected) return;
+    differences.push_back(fmt::format("{}: {} instead of at least {}", what, found, expected));
   };
-  for (const auto& [name, due] : stated.tried) at_least("cases of " + name, due, tried[name]);
-  for (const auto& [name, due] : stated.faults) {
+  for (const auto& [name, expected] : stated.tried)
+    at_least("cases of " + name, expected, tried[name]);
+  for (const auto& [name, expected] : stated.faults) {
     const auto found = result.faults_tried.find(name);
-    at_least("fault " + name, due, found == result.faults_tried.end() ? 0 : found->second);
+    at_least("fault " + name, expected, found == result.faults_tried.end() ? 0 : found->second);
   }
   at_least("whole steps", stated.steps_completed, result.measures.steps_completed);
   at_least("answered calls", stated.answered, result.measures.answered);
--- a/test/simulator/broken_variants_test.cc
+++ b/test/simulator/broken_variants_test.cc
@@ -12,9 +12,9 @@
 
 struct Variant {
   std::string name;
-  std::function<void(ProductFaults&)> break_it;
+  std::function<void(ProductFaults&)> inject;
   /// Checks that may catch it; one of them must.
-  std::vector<std::string> caught_by;
+  std::vector<std::string> detected_by;
   /// Faults that bring it to light.
   std::vector<FaultKind> faults;
   /// Makes what the variant breaks happen more often.
@@ -25,9 +25,9 @@
 constexpr Duration kLength = std::chrono::seconds(80);
 
 /// First seed whose run is caught by one of the variant's checks; none if no seed is.
-std::optional<uint64_t> FindCaught(const Variant& variant) {
+std::optional<uint64_t> FindDetectingSeed(const Variant& variant) {
   auto faults = std::make_shared<ProductFaults>();
-  variant.break_it(*faults);
+  variant.inject(*faults);
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     FleetOptions options;
     options.seed = seed;
@@ -36,9 +36,9 @@
     options.product_faults = faults;
     if (variant.tune) variant.tune(options);
     for (const checks::CheckResult& check : RunFleet(options).checks) {
-      const bool due = std::find(variant.caught_by.begin(), variant.caught_by.end(), check.name) !=
-                       variant.caught_by.end();
-      if (due && check.broken > 0) return seed;
+      const bool expected = std::find(variant.detected_by.begin(), variant.detected_by.end(),
+                                      check.name) != variant.detected_by.end();
+      if (expected && check.broken > 0) return seed;
     }
   }
   return std::nullopt;
@@ -116,7 +116,7 @@
   DisableEventLog();
   for (const Variant& variant : Variants()) {
     INFO(variant.name);
-    CHECK(FindCaught(variant).has_value());
+    CHECK(FindDetectingSeed(variant).has_value());
   }
 }
 
