--- a/simulator/clients/callers.cc
+++ b/simulator/clients/callers.cc
@@ -15,17 +15,16 @@
 using checks::CallEnd;
 using checks::CallKind;
 
-/// Callers give up after this long.
 constexpr Duration kRequestTimeout = std::chrono::seconds(40);
 constexpr Duration kResendDelay = std::chrono::seconds(1);
 constexpr uint32_t kMaxBookingAttempts = 4;
-/// Share of bookings that are sent through two gateways at once.
+/// Share of bookings sent through two gateways at once.
 constexpr double kDuplicateShare = 0.05;
-/// Share of callers that go away before their answer.
+/// Share of callers that may disconnect before their response.
 constexpr double kAbandonShare = 0.02;
 constexpr Duration kAbandonDelay = std::chrono::milliseconds(300);
 constexpr double kStreamingShare = 0.5;
-/// Prompts share prefixes of this many words, of so many kinds.
+/// Prompts begin with one of kPrefixCount shared prefixes of kPrefixWords words.
 constexpr int kPrefixWords = 48;
 constexpr uint64_t kPrefixCount = 12;
 constexpr uint64_t kMinMaxTokens = 8;
@@ -44,14 +43,14 @@
   return "booking";
 }
 
-/// What a plain server's answer to this request says, without what the caller can't know.
+/// Response body of a plain server to this request, limited to fields known to the caller.
 std::string ExpectedBody(const HttpRequest& request) {
   return fmt::format("{}|{}|{}|{}|{}", request.method, request.target,
                      FindHeader(request.headers, "Idempotency-Key").value_or(""),
                      FindHeader(request.headers, "X-Request-Id").value_or(""), request.body);
 }
 
-/// The same of a received answer; the raw bytes if it is of no such form.
+/// The same fields of a received response; the raw body if it has another format.
 std::string ComparableBody(const std::string& body) {
   boost::json::error_code error;
   const boost::json::value value = boost::json::parse(body, error);
@@ -152,7 +151,7 @@
   const size_t gateway = DrawGateway();
   SendBooking(booking, gateway);
   if (!DrawChance(random_, kDuplicateShare)) return;
-  // The impatient one asks elsewhere at once, and no further.
+  // The duplicate is not resent.
   SendBooking({booking.id, kMaxBookingAttempts}, (gateway + 1) % plan_.gateways.size());
 }
 
