--- a/simulator/clients/callers.h
+++ b/simulator/clients/callers.h
@@ -1,4 +1,4 @@
-/// Callers of the fleet: completions, pages, lookups and bookings, open loop, through all gateways.
+/// Open-loop callers that send completions, pages, lookups and bookings through all gateways.
 #pragma once
 
 #include <cstdint>
@@ -20,11 +20,11 @@
   Callers(RunContext& context, const DeploymentPlan& plan, const LiveLoad& load,
           PromptRegistry& prompts);
 
-  /// Calls arrive until `until`.
+  /// Sends calls until `until`.
   void Start(Duration until);
 
  private:
-  /// One booking, over all its attempts.
+  /// A booking with the number of its attempts.
   struct Booking {
     std::string id;
     uint32_t attempts = 0;
@@ -37,10 +37,10 @@
   void SendBooking(Booking booking, size_t gateway);
   void OnBookingEnded(const Booking& booking, size_t gateway, const checks::CallAttempt& call,
                       const CompleteAnswer& answer);
-  /// Sends `request` for `call` and records how it ended.
+  /// Sends `request` for `call` and records the result.
   void Send(checks::CallAttempt call, size_t gateway, HttpRequest request,
             std::function<void(const checks::CallAttempt&, const CompleteAnswer&)> ended);
-  /// Sends to `gateway`, and to the others in turn while no connection comes about.
+  /// Sends to `gateway`; if no connection is established, tries up to `left` others in turn.
   void Connect(size_t index, size_t gateway, size_t left, HttpRequest request,
                std::function<void(const checks::CallAttempt&, const CompleteAnswer&)> ended);
   size_t DrawGateway();
@@ -53,7 +53,7 @@
   PromptRegistry& prompts_;
   RandomEngine random_;
   RequestClient client_;
-  /// Request under way of each call in the history, for callers that go away.
+  /// Request in flight by index of its call in the history, to abandon it.
   std::map<size_t, RequestClient::Id> in_flight_;
   Duration until_{0};
   uint64_t next_attempt_ = 1;
