--- a/simulator/clients/completion_answer.cc
+++ b/simulator/clients/completion_answer.cc
@@ -8,7 +8,7 @@
 namespace millstair::simulator {
 namespace {
 
-/// Joins a span to the last one where it continues it; spans are sent per event.
+/// Appends a span, merged with the last one if it continues it; each event has its own spans.
 void AddSpan(std::vector<checks::ClaimedSpan>& spans, const checks::ClaimedSpan& span) {
   if (!spans.empty()) {
     checks::ClaimedSpan& last = spans.back();
@@ -43,7 +43,7 @@
   }
 }
 
-/// Reads server-sent events; whether the end mark came.
+/// Reads server-sent events; returns whether the end marker was received.
 bool ReadEvents(std::string_view body, checks::CallAttempt& call) {
   constexpr std::string_view kData = "data: ";
   bool done = false;
