--- a/simulator/clients/completion_answer.h
+++ b/simulator/clients/completion_answer.h
@@ -1,4 +1,4 @@
-/// Reads the answers of the completions API as a caller gets them.
+/// Reads responses of the completions API.
 #pragma once
 
 #include "simulator/checks/history.h"
@@ -6,8 +6,8 @@
 
 namespace millstair::simulator {
 
-/// Fills tokens and spans of `call` from a whole answer, streamed or not. An answer of another form
-/// leaves what could be read; a streamed one without its end mark becomes `kCut`.
+/// Fills tokens and spans of `call` from a complete response, streamed or not. Unreadable parts are
+/// skipped; a stream without its end marker sets `kCut`.
 void ReadCompletion(const CompleteAnswer& answer, checks::CallAttempt& call);
 
 }  // namespace millstair::simulator
