--- a/simulator/clients/operator_client.cc
+++ b/simulator/clients/operator_client.cc
@@ -17,7 +17,7 @@
 
 constexpr Duration kRequestTimeout = std::chrono::seconds(5);
 constexpr Duration kRetryDelay = std::chrono::milliseconds(400);
-/// An operator gives a change up after this long without an answer.
+/// An unanswered change is no longer resent after this time.
 constexpr Duration kChangeTimeout = std::chrono::seconds(60);
 constexpr double kReadShare = 0.4;
 constexpr double kDeleteShare = 0.1;
@@ -31,7 +31,7 @@
 
 std::string NoteName(uint32_t note) { return fmt::format("note-{}", note); }
 
-/// A traffic group that no request meets, with the value as a label.
+/// A traffic group that matches no request and holds the value as a label.
 Resource NoteResource(uint32_t note, const std::string& value) {
   TrafficGroupSpec spec;
   spec.path_prefix = fmt::format("/notes/{}", note);
@@ -47,7 +47,7 @@
   return Revision(std::strtoull(digits.c_str(), nullptr, 10));
 }
 
-/// Value label of a resource in JSON.
+/// Returns the value label of a JSON resource.
 std::string ValueOf(const boost::json::value& resource) {
   if (!resource.is_object()) return {};
   const boost::json::value* labels = resource.as_object().if_contains("labels");
@@ -55,7 +55,7 @@
   return TextIn(labels->as_object(), kValueLabel);
 }
 
-/// The winner that a conflict names, as (value, version) through `record`.
+/// Sets value and version in `record` to those of the conflicting resource.
 void ReadConflict(const std::string& body, checks::ResourceOperation& record) {
   boost::json::error_code error;
   const boost::json::value value = boost::json::parse(body, error);
@@ -92,7 +92,7 @@
                  if (Accepts(answer)) value = boost::json::parse(answer.body, error);
                  std::string opened;
                  if (!error && value.is_object()) opened = TextIn(value.as_object(), "session");
-                 // Another change may have opened one meanwhile; its numbers go on.
+                 // If another change opened a session meanwhile, its sequence continues.
                  if (session_.empty() && !opened.empty()) {
                    session_ = opened;
                    next_sequence_ = 1;
@@ -187,7 +187,7 @@
   const Change again = change;
   change.done = [this, again, demand, done = std::move(done)](const CompleteAnswer* answer) {
     if (answer == nullptr || answer->status == kGone) {
-      // Its session expired before it was answered. It can be done twice, so it is done anew.
+      // Unanswered, or the session expired. The change is idempotent and is sent as a new one.
       SendPut(again, demand, done);
       return;
     }
