--- a/simulator/clients/operator_client.h
+++ b/simulator/clients/operator_client.h
@@ -1,5 +1,6 @@
-/// An operator: opens a session, applies the deployment's resources, then reads and changes notes
-/// by compare-and-set through any control node, and sends again what stays without an answer.
+/// An operator: opens a session, applies the deployment's resources, then reads and changes test
+/// resources ("notes") with compare-and-set through any control node. Unanswered changes are
+/// resent.
 #pragma once
 
 #include <cstdint>
@@ -17,25 +18,25 @@
 
 class OperatorClient {
  public:
-  /// `name` must differ between operators; it makes their values unique.
+  /// `name` must be unique among operators, so that their values are unique.
   OperatorClient(RunContext& context, const DeploymentPlan& plan, std::string name);
 
-  /// Applies `resources` all at once, without compare-and-set; `done` follows acceptance.
+  /// Applies `resources` in one request without compare-and-set; `done` runs after acceptance.
   void Apply(const std::vector<Resource>& resources, std::function<void()> done);
-  /// Puts one resource without compare-and-set; `done` gets its revision.
+  /// Puts one resource without compare-and-set; `done` receives its revision.
   void Put(const Resource& resource, std::function<void(Revision)> done);
 
   /// Reads and changes one of `notes` notes about every `interval`, until `until`.
   void StartNotes(Duration interval, uint32_t notes, Duration until);
   void SetInterval(Duration interval) { interval_ = interval; }
-  /// One change of `note` as it was when last seen by this operator or `seen`.
+  /// Changes `note`, expecting version `seen`.
   void ChangeNote(uint32_t note, Revision seen);
   Revision LastSeen(uint32_t note) const;
 
   void SetAnswerLoss(double share) { client_.SetAnswerLoss(share); }
 
  private:
-  /// A change that is sent until it is answered.
+  /// A change, resent until it is answered or times out.
   struct Change {
     std::string method;
     std::string target;
@@ -45,7 +46,7 @@
     std::string session;
     uint32_t sends = 0;
     Duration first_sent{0};
-    /// Gets the answer; null if none came in time.
+    /// Receives the response; null if the outcome is unknown.
     std::function<void(const CompleteAnswer*)> done;
   };
 
