--- a/simulator/clients/request_client.h
+++ b/simulator/clients/request_client.h
@@ -1,5 +1,5 @@
-/// An HTTP client of a party outside the system: sends requests, gathers whole answers, gives up
-/// after a time limit, and can lose answers on purpose.
+/// HTTP client of a party outside the system: sends requests with a timeout, collects complete
+/// responses, and can simulate the loss of responses.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +14,10 @@
 namespace millstair::simulator {
 
 enum class AnswerEnd : uint8_t {
-  kComplete,  ///< a regular answer, whatever its status
-  kCut,       ///< began and broke off
-  kNone,      ///< no answer; the request may have run
-  kNotSent,   ///< no connection
+  kComplete,  ///< complete response with any status
+  kCut,       ///< the response began but was incomplete
+  kNone,      ///< no response; the request may have been executed
+  kNotSent,   ///< no connection was established
 };
 
 struct CompleteAnswer {
@@ -28,13 +28,13 @@
   std::optional<Duration> first_byte;
 };
 
-/// What `Millstair-Outcome` says in an answer.
+/// Outcome reported by the `Millstair-Outcome` header.
 checks::ClaimedOutcome ParseOutcome(const HttpHeaders& headers);
 
 class RequestClient {
  public:
   using Done = std::function<void(const CompleteAnswer&)>;
-  /// Handle of a request under way; 0 is none.
+  /// Identifies a request in flight; 0 is none.
   using Id = uint64_t;
 
   RequestClient(RunContext& context, HostId host);
@@ -42,12 +42,12 @@
   RequestClient(const RequestClient&) = delete;
   RequestClient& operator=(const RequestClient&) = delete;
 
-  /// `done` runs once, never within this call; not after `Cancel` or destruction.
+  /// `done` runs once, but never within this call nor after `Cancel` or destruction.
   Id Send(const std::string& address, HttpRequest request, Duration time_limit, Done done);
-  /// Goes away: closes the connection.
+  /// Abandons the request and closes its connection.
   void Cancel(Id id);
   void CancelAll();
-  /// Share of answers that are lost on the way; the client then sees none.
+  /// Sets the share of complete responses that are dropped and reported as `kNone`.
   void SetAnswerLoss(double share) { answer_loss_ = share; }
 
  private:
