--- a/simulator/clients/span_json.cc
+++ b/simulator/clients/span_json.cc
@@ -11,7 +11,7 @@
   if (value->is_int64() && value->as_int64() >= 0) {
     return static_cast<uint64_t>(value->as_int64());
   }
-  // Numbers beyond 2^53 are written as text.
+  // Numbers above 2^53 are encoded as strings.
   if (value->is_string()) return std::strtoull(value->as_string().c_str(), nullptr, 10);
   return 0;
 }
