--- a/simulator/clients/span_json.h
+++ b/simulator/clients/span_json.h
@@ -12,7 +12,7 @@
 uint64_t NumberIn(const boost::json::object& object, const char* field);
 /// Text field of an object; empty if it is missing or of another type.
 std::string TextIn(const boost::json::object& object, const char* field);
-/// Reads an array of spans; faulty members are left out.
+/// Reads an array of spans; elements that are not objects are skipped.
 std::vector<checks::ClaimedSpan> ReadSpans(const boost::json::value* spans);
 
 }  // namespace millstair::simulator
