--- a/simulator/clients/trainer.cc
+++ b/simulator/clients/trainer.cc
@@ -15,7 +15,7 @@
 constexpr int kReadWaitSeconds = 2;
 constexpr int kReadMaxSamples = 64;
 constexpr int kPrefixWords = 64;
-/// Share of reads that are done again before their answer is used.
+/// Share of reads whose response is discarded and read again.
 constexpr double kRereadShare = 0.05;
 constexpr int kOk = 200;
 
@@ -76,12 +76,11 @@
 void Trainer::BringUp() {
   if (running_) return;
   running_ = true;
-  // A step put without an answer is put again by id, whatever the trainer was at: steps are put
-  // ahead, and one that is lost while it trains or publishes is never asked for by anything else.
+  // Unacknowledged steps are resent in every state: nothing else would resend a step that was
+  // submitted ahead and lost while the trainer was training or publishing.
   for (const auto& [number, step] : steps_) {
     if (!step.acknowledged) SendStep(number);
   }
-  // The version being published likewise.
   if (training_) {
     OnTrained();
     return;
@@ -240,7 +239,7 @@
     OnStepComplete();
     return;
   }
-  // Also a faulty fleet that answers at once and empty must not stop the run.
+  // The delay lets virtual time advance even if a faulty fleet returns empty responses at once.
   After(std::chrono::milliseconds(1), [this] { Read(); });
 }
 
@@ -254,7 +253,7 @@
     }
   }
   context_.history.reads.push_back(read);
-  // An answer lost between receipt and use is read again at the same cursor.
+  // Simulates a response lost between receipt and use; it is read again at the same cursor.
   if (DrawChance(random_, kRereadShare)) return;
   for (const checks::ReceivedSample& sample : read.samples) HandleSample(sample);
   cursor_ = std::max(cursor_, read.next);
