--- a/simulator/clients/trainer.h
+++ b/simulator/clients/trainer.h
@@ -1,5 +1,6 @@
-/// A trainer: puts steps of prompts ahead, reads its stream by cursor, trains on each whole step,
-/// and publishes new weights. Loses answers, asks again, and may die and go on from its cursor.
+/// A trainer: submits steps of prompts ahead, reads its stream by cursor, trains on each complete
+/// step, and publishes new weights. Retries lost responses and resumes from its cursor after a
+/// crash.
 #pragma once
 
 #include <cstdint>
@@ -18,14 +19,14 @@
 
 namespace millstair::simulator {
 
-/// What one trainer measured.
+/// Measurements of one trainer.
 struct TrainerRecord {
   Duration waited{0};
   Duration worked{0};
   uint64_t steps_completed = 0;
   uint64_t steps_in_time = 0;
   uint64_t withdrawn = 0;
-  /// One per sample, at its first hand-on.
+  /// One entry per sample, at its first delivery.
   std::vector<uint64_t> staleness;
 };
 
@@ -34,9 +35,9 @@
   Trainer(RunContext& context, Platform& platform, const DeploymentPlan& plan,
           const StreamPlan& stream, const TrainerLoad& load, PromptRegistry& prompts);
 
-  /// Begins no new step after `until`.
+  /// Starts no new step after `until`.
   void Start(Duration until);
-  /// The process dies and loses all but its cursor and the samples received; `BringUp` goes on.
+  /// Crashes the process, which drops its requests and timers; `BringUp` resumes with saved state.
   void TakeDown();
   void BringUp();
   void SetAnswerLoss(double share) { client_.SetAnswerLoss(share); }
@@ -63,7 +64,7 @@
   void HandleSample(const checks::ReceivedSample& sample);
   void OnStepComplete();
   void OnTrained();
-  /// Runs `action` after `delay` unless the process died in between.
+  /// Runs `action` after `delay` unless the process crashes before.
   void After(Duration delay, std::function<void()> action);
   const std::string& DrawGateway();
 
@@ -76,19 +77,19 @@
   RandomEngine random_;
   RequestClient client_;
   Duration until_{0};
-  /// Counts processes.
+  /// Incremented at each crash.
   uint64_t incarnation_ = 0;
   bool running_ = false;
   bool training_ = false;
   StreamOffset cursor_;
-  /// Step waited for or trained on; the first is 1.
+  /// Step that the trainer waits for or trains on; the first is 1.
   uint64_t current_ = 1;
   uint64_t next_put_ = 1;
   std::map<uint64_t, Step> steps_;
-  /// Samples held, by offset, to take withdrawals back.
+  /// Received samples by offset, to process withdrawals.
   std::map<StreamOffset, SampleId> received_;
   std::set<SampleId> seen_;
-  /// Newest version that was acknowledged, and the one being published.
+  /// Newest acknowledged version, and the version being published.
   WeightVersion published_;
   WeightVersion publishing_;
   size_t publish_record_ = 0;
