--- a/simulator/faults/node_faults.cc
+++ b/simulator/faults/node_faults.cc
@@ -157,8 +157,8 @@
 
 namespace {
 
-/// Restarts `machine` with wall-clock offset `first` and, shortly after, again with `second`. By its
-/// own clock, the later incarnation may have the earlier start time.
+/// Restarts `machine` with wall-clock offset `first` and, shortly after, again with `second`. By
+/// its own clock, the later incarnation may have the earlier start time.
 template <class Machine>
 void RestartAcrossStep(FaultContext& fault, Machine& machine, Duration first, Duration second) {
   const Duration uptime = DrawDuration(fault.random, milliseconds(100), seconds(2));
