--- a/simulator/main.cc
+++ b/simulator/main.cc
@@ -1,4 +1,4 @@
-/// millstair-sim: runs whole fleets in virtual time and checks their histories.
+/// millstair-sim: simulates fleets in virtual time and checks their histories.
 #include <iostream>
 #include <string>
 
@@ -33,7 +33,7 @@
       "step-ms", po::value<double>()->default_value(15), "base time of an engine's batch step")(
       "threads", po::value<int>()->default_value(0), "worker threads of a sweep; 0 is all cores")(
       "reduce", po::value<uint32_t>()->default_value(5), "failing seeds to reduce")(
-      "no-rollouts", "live load alone")(
+      "no-rollouts", "run live load only")(
       "show", "write the history's calls, faults and demands to standard error")(
       "log", "write the nodes' events to standard error");
   return options;
@@ -93,7 +93,7 @@
     fleet.inspect = [](const checks::History& history) { ShowHistory(history, std::cerr); };
   }
   if (command == "run") return Run(fleet);
-  if (command != "sweep") return Fail("give a command: run or sweep");
+  if (command != "sweep") return Fail("missing or unknown command: expected run or sweep");
   const auto seeds = ParseSeedRange(values["seeds"].as<std::string>());
   if (!seeds.ok()) return Fail(std::string(seeds.status().message()));
   return Sweep({.fleet = fleet,
