--- a/simulator/network/connection.cc
+++ b/simulator/network/connection.cc
@@ -70,7 +70,7 @@
 void Connection::OnPeerDisconnected(Direction& receiver) {
   if (!receiver.receiver_open) return;
   receiver.receiver_open = false;
-  // Keeps this alive while the callback drops its references.
+  // Keeps this object alive while the callback releases its references.
   const std::shared_ptr<Connection> self = shared_from_this();
   const Event callback = std::exchange(receiver.on_peer_disconnected, nullptr);
   if (callback) callback();
