--- a/simulator/network/connection.h
+++ b/simulator/network/connection.h
@@ -1,5 +1,5 @@
 /// A TCP-like connection of the simulated network: ordered and reliable in both directions until
-/// one end closes it, its process dies, or nothing gets through for long.
+/// one end closes it, its process ends, or the connection times out.
 #pragma once
 
 #include <deque>
@@ -10,11 +10,10 @@
 
 namespace millstair::simulator {
 
-/// Without progress for this long the operating system gives a connection up.
+/// The connection breaks after this time without progress.
 inline constexpr Duration kConnectionTimeout = std::chrono::seconds(10);
 
-/// Events are closures that run at the other end. Held by shared_ptr; both ends and events under
-/// way own it together.
+/// Events are closures that run at the other end. Both ends and pending events share ownership.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   using Event = std::function<void()>;
@@ -28,11 +27,11 @@
   bool client_open() const { return to_client_.receiver_open; }
   bool server_open() const { return to_server_.receiver_open; }
 
-  /// Runs `event` at the server, behind all that was sent before; never if that end is closed.
+  /// Runs `event` at the server after all earlier events, unless that end is closed.
   void SendToServer(Event event) { Send(to_server_, std::move(event)); }
   void SendToClient(Event event) { Send(to_client_, std::move(event)); }
 
-  /// Called once when the other end closed or broke the connection while this end was open.
+  /// Called once when the other end closes or the connection breaks while this end is open.
   void OnServerDisconnected(Event callback) {
     to_client_.on_peer_disconnected = std::move(callback);
   }
@@ -40,18 +39,18 @@
     to_server_.on_peer_disconnected = std::move(callback);
   }
 
-  /// Closes one end (also by the death of its process); the other hears it in order.
+  /// Closes one end, also when its process ends; the other end is notified in order.
   void CloseClient() { Close(to_client_, to_server_); }
   void CloseServer() { Close(to_server_, to_client_); }
 
  private:
-  /// Towards one end, the receiver.
+  /// State of the direction towards one end, the receiver.
   struct Direction {
     HostId from;
     HostId to;
     bool receiver_open = true;
     Duration last_arrival{0};
-    /// Sent while the link was cut.
+    /// Events sent while the link was cut.
     std::deque<Event> blocked;
     Duration blocked_since{0};
     Event on_peer_disconnected;
@@ -62,7 +61,7 @@
   void Retry(Direction& direction);
   void Close(Direction& own, Direction& other);
   void OnPeerDisconnected(Direction& receiver);
-  /// Gives the connection up at both ends.
+  /// Breaks the connection at both ends.
   void Break();
 
   Network& network_;
