--- a/simulator/network/engine_fabric.cc
+++ b/simulator/network/engine_fabric.cc
@@ -5,7 +5,7 @@
 namespace millstair::simulator {
 namespace {
 
-/// The engine's side of a generation: passes what the model says to the client's side.
+/// Engine side of a generation: forwards output of the model to the client side.
 class GenerationServer : public GenerateObserver,
                          public std::enable_shared_from_this<GenerationServer> {
  public:
@@ -18,7 +18,7 @@
       self->model_.Cancel(self->id_);
       self->self_reference_.reset();
     });
-    // The model holds a plain reference, so this keeps itself until the end.
+    // The model holds a plain reference, so the object owns itself until the generation ends.
     self_reference_ = shared_from_this();
     id_ = model_.Generate(std::move(request), *this);
   }
@@ -34,7 +34,7 @@
   std::shared_ptr<GenerationServer> self_reference_;
 };
 
-/// The client's side of a generation.
+/// Client side of a generation.
 class GenerationCall : public std::enable_shared_from_this<GenerationCall> {
  public:
   GenerationCall(EngineFabric& fabric, std::string address, GenerateObserver& observer)
@@ -131,12 +131,12 @@
   std::shared_ptr<GenerationCall> call_;
 };
 
-/// One small request with one answer of type `Answer`, which can hold an absl::Status.
+/// A request with a single reply of type `Answer`, which must be constructible from absl::Status.
 template <class Answer>
 class UnaryCall : public std::enable_shared_from_this<UnaryCall<Answer>> {
  public:
   using Done = std::function<void(Answer)>;
-  /// Runs at the engine; calls `reply` once.
+  /// Runs at the engine and calls `reply` once.
   using Serve = std::function<void(EngineModel&, std::function<void(Answer)> reply)>;
 
   UnaryCall(EngineFabric& fabric, std::string address, Serve serve, Done done)
