--- a/simulator/network/engine_fabric.h
+++ b/simulator/network/engine_fabric.h
@@ -12,12 +12,12 @@
 
 namespace millstair::simulator {
 
-/// What arrives at an engine, as the run records it.
+/// Kind of an arrival at an engine.
 enum class EngineArrival : uint8_t { kGeneration, kOrder };
 
 class EngineFabric {
  public:
-  /// Hears of each generation and order that reaches an engine.
+  /// Called for each generation and order that reaches an engine.
   using ArrivalRecorder =
       std::function<void(const std::string& address, EngineArrival kind, const std::string& what)>;
 
@@ -27,7 +27,7 @@
   /// `model` must outlive the fabric. The address must be known to the HttpFabric.
   void Add(const std::string& address, EngineModel& model);
   EngineModel* Find(const std::string& address);
-  /// To be called after a crash or a restart of the model.
+  /// Must be called after a crash or a restart of the model.
   void Refresh(const std::string& address);
   void Record(const std::string& address, EngineArrival kind, const std::string& what);
 
@@ -39,7 +39,7 @@
   std::map<std::string, EngineModel*> models_;
 };
 
-/// EngineClient of one process on `host`.
+/// EngineClient of a process on `host`.
 class FabricEngineClient : public EngineClient {
  public:
   FabricEngineClient(EngineFabric& fabric, HostId host) : fabric_(fabric), host_(host) {}
