--- a/simulator/network/fabric_call.cc
+++ b/simulator/network/fabric_call.cc
@@ -5,7 +5,6 @@
 namespace millstair::simulator {
 namespace {
 
-/// Send buffer of an answer.
 constexpr size_t kSendBuffer = 64 * 1024;
 
 }  // namespace
@@ -93,7 +92,7 @@
 }
 
 FabricWriter::~FabricWriter() {
-  // A handler that forgot to answer leaves the caller without one.
+  // The handler released the writer without completing the response.
   if (!ended_) Abort();
 }
 
