--- a/simulator/network/fabric_call.h
+++ b/simulator/network/fabric_call.h
@@ -1,4 +1,4 @@
-/// One HTTP exchange on a simulated connection: the caller's side and the answering side.
+/// One HTTP exchange on a simulated connection: client side and server side.
 #pragma once
 
 #include <memory>
@@ -8,7 +8,7 @@
 
 namespace millstair::simulator {
 
-/// The caller's side. Lives as long as the handle; events under way hold it by weak_ptr.
+/// Client side. Owned by the handle; pending events hold weak pointers.
 class FabricCall : public std::enable_shared_from_this<FabricCall> {
  public:
   FabricCall(HttpFabric& fabric, HostId from, std::string address, HttpRequest request,
@@ -20,7 +20,7 @@
         observer_(&observer) {}
 
   void Begin();
-  /// The handle was dropped: the observer hears no more.
+  /// Called when the handle is destroyed; the observer is not called any more.
   void Cancel();
 
   void OnHead(const HttpResponseHead& head);
@@ -29,7 +29,7 @@
 
  private:
   void OnConnected();
-  /// The request reached the other end; `incarnation` is the listener that it was sent to.
+  /// Delivers the request to the listener if it is still the one numbered `incarnation`.
   static void DeliverRequest(HttpFabric& fabric, const std::string& address, uint64_t incarnation,
                              HttpRequest request, const std::shared_ptr<Connection>& connection,
                              std::weak_ptr<FabricCall> call);
@@ -55,7 +55,7 @@
   std::shared_ptr<FabricCall> call_;
 };
 
-/// The answering side, held by the handler.
+/// Server side, owned by the handler.
 class FabricWriter : public ResponseWriter, public std::enable_shared_from_this<FabricWriter> {
  public:
   FabricWriter(HttpFabric& fabric, std::shared_ptr<Connection> connection,
