--- a/simulator/network/http_fabric.cc
+++ b/simulator/network/http_fabric.cc
@@ -71,7 +71,7 @@
                                                 std::function<void()> connected,
                                                 std::function<void(const std::string&)> failed) {
   const Endpoint* endpoint = Find(address);
-  // An address that nobody ever had answers like a machine that is switched off.
+  // An unknown address behaves like a machine that is switched off.
   const HostId to = endpoint == nullptr ? from : endpoint->host;
   auto connection = std::make_shared<Connection>(network_, from, to);
   TrackConnection(connection);
@@ -121,7 +121,7 @@
     scheduler.Schedule(answer, [fail] { fail("connection refused"); });
     return;
   }
-  // Connections are kept alive and reused, so that a standing one costs no round trip.
+  // Models reuse of kept-alive connections: connecting takes no round trip.
   connected();
 }
 
