--- a/simulator/network/network.cc
+++ b/simulator/network/network.cc
@@ -7,7 +7,7 @@
 namespace millstair::simulator {
 namespace {
 
-/// What the operating system's retransmission adds when a segment is lost.
+/// Delay added by retransmission when a segment is lost.
 constexpr Duration kRetransmission = std::chrono::milliseconds(200);
 
 }  // namespace
@@ -57,7 +57,7 @@
   const Host& a = hosts_[from.value()];
   const Host& b = hosts_[to.value()];
   const Duration base = BaseLatency(a, b);
-  // A tenth of spread always, so that no two messages run in step.
+  // Up to 10 % jitter even without a disturbance, to avoid lockstep between messages.
   const Duration latency = base + DrawDuration(scheduler_.Random(), Duration(0), base / 10);
   if (!a.disturbed && !b.disturbed) return latency;
   const LinkQuality quality = Quality(from, to);
