--- a/simulator/network/network.h
+++ b/simulator/network/network.h
@@ -1,5 +1,6 @@
-/// The network of a simulated fleet: hosts in zones, latencies, and what may go wrong between two
-/// hosts. Carries nothing itself; connections and peer messages ask it whether and when.
+/// Model of the network of a simulated fleet: hosts in zones, latencies, and disturbances between
+/// hosts. It carries no messages; connections and peer messages query it for reachability and
+/// delay.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,7 @@
 
 namespace millstair::simulator {
 
-/// A machine of the run.
+/// A machine of the simulated fleet.
 using HostId = StrongId<struct HostIdTag, uint32_t>;
 
 /// One-way latencies.
@@ -26,12 +27,12 @@
   Zone clients{"clients"};
 };
 
-/// Disturbance of everything that a host sends and receives.
+/// Disturbance of all messages that a host sends and receives.
 struct LinkQuality {
   Duration extra_delay{0};
   /// Uniform in [0, jitter], added per message.
   Duration jitter{0};
-  /// Share of peer messages lost; a connection retransmits instead.
+  /// Share of peer messages that are lost; connections retransmit with a delay instead.
   double loss = 0;
   double duplicate = 0;
   /// Share of peer messages that later ones may overtake.
@@ -54,7 +55,7 @@
   const std::string& HostName(HostId host) const { return hosts_[host.value()].name; }
   const Zone& HostZone(HostId host) const { return hosts_[host.value()].zone; }
 
-  /// Cuts add up: a link is open again once each cut is taken back.
+  /// Cuts nest: a link is open again once every cut is undone.
   void Cut(const std::vector<Link>& links);
   void Uncut(const std::vector<Link>& links);
   bool Open(HostId from, HostId to) const;
@@ -62,9 +63,9 @@
 
   /// Replaces the disturbance of `host`.
   void SetQuality(HostId host, const LinkQuality& quality);
-  /// Disturbances of both ends together.
+  /// Combined disturbances of both ends.
   LinkQuality Quality(HostId from, HostId to) const;
-  /// Time that a message sent now takes, jitter drawn.
+  /// Draws the latency of a message sent now, jitter included.
   Duration DrawLatency(HostId from, HostId to);
 
   VirtualScheduler& scheduler() { return scheduler_; }
@@ -82,7 +83,7 @@
   VirtualScheduler& scheduler_;
   LatencyPlan latencies_;
   std::vector<Host> hosts_;
-  /// Number of cuts per direction; absent is none.
+  /// Number of cuts by direction; entries without cuts are absent.
   std::map<std::pair<HostId, HostId>, uint32_t> cuts_;
 };
 
