--- a/simulator/network/peer_fabric.cc
+++ b/simulator/network/peer_fabric.cc
@@ -7,7 +7,7 @@
 
 namespace millstair::simulator {
 
-/// The transport of one process.
+/// Transport of one process.
 class FabricTransport : public PeerTransport {
  public:
   FabricTransport(PeerFabric& fabric, NodeId self, uint64_t incarnation)
@@ -19,7 +19,7 @@
 
   void SetAddress(const NodeId& node, const std::string& address) override {
     const auto known = fabric_.nodes_.find(node);
-    // A stale address leads to nobody.
+    // A stale address is not reachable.
     if (known == fabric_.nodes_.end() || known->second.address != address) return;
     PeerFabric::Node& own = fabric_.nodes_.at(self_);
     if (own.incarnation == incarnation_) own.known.insert(node);
