--- a/simulator/network/peer_fabric.h
+++ b/simulator/network/peer_fabric.h
@@ -1,4 +1,4 @@
-/// Messages between the system's own nodes over the simulated network.
+/// Messages between the system's nodes over the simulated network.
 #pragma once
 
 #include <map>
@@ -11,19 +11,19 @@
 
 namespace millstair::simulator {
 
-/// Delivers to whichever process runs under a node's name. In order between two nodes, unless the
-/// network reorders; lost while the link is cut or the receiver is down.
+/// Delivers to the current process of a node. Messages between two nodes keep their order unless
+/// the network reorders them; they are lost while the link is cut or the receiver is down.
 class PeerFabric {
  public:
   explicit PeerFabric(Network& network) : network_(network) {}
 
-  /// The node's place; for its whole run.
+  /// Assigns a node to a host for the whole run.
   void AddNode(const NodeId& node, const std::string& address, HostId host);
-  /// The node's process started (or ended, with null). `receiver` must stay until replaced.
+  /// Sets the receiver of the node's process, null when it ended. Must stay valid until replaced.
   void SetReceiver(const NodeId& node, PeerReceiver* receiver);
 
-  /// A transport for one process of `node`; messages sent through it after the process was
-  /// replaced or ended are dropped.
+  /// Makes the transport for a new process of `node`; the transports of earlier processes drop
+  /// their messages from then on.
   std::unique_ptr<PeerTransport> MakeTransport(const NodeId& node);
 
   uint64_t messages() const { return messages_; }
@@ -36,9 +36,9 @@
     HostId host;
     std::string address;
     PeerReceiver* receiver = nullptr;
-    /// Counts processes under this name.
+    /// Counts the processes of this node.
     uint64_t incarnation = 0;
-    /// Nodes that this process has an address of or was dialled by.
+    /// Nodes whose address this process knows or that have sent to it.
     std::set<NodeId> known;
     std::map<NodeId, Duration> last_arrival;
   };
