--- a/simulator/run/show_history.h
+++ b/simulator/run/show_history.h
@@ -7,7 +7,7 @@
 
 namespace millstair::simulator {
 
-/// Faults, calls that did not complete, demands, operators' changes and the trainers' reads.
+/// Writes faults, incomplete calls, demands, operators' changes and trainers' reads.
 void ShowHistory(const checks::History& history, std::ostream& out);
 
 }  // namespace millstair::simulator
