--- a/simulator/run/sweep.cc
+++ b/simulator/run/sweep.cc
@@ -34,7 +34,7 @@
   return text.empty() ? "none" : text;
 }
 
-/// Adds what one run found.
+/// Adds the result of one run.
 void Collect(const FleetResult& result, double seconds, SweepResult& sweep) {
   ++sweep.runs;
   sweep.virtual_seconds += ToSeconds(result.virtual_time);
@@ -71,7 +71,7 @@
   const std::string_view last = one ? text : text.substr(dots + 2);
   if (!ParseNumber(text.substr(0, dots), range.first) || !ParseNumber(last, range.last) ||
       range.last < range.first) {
-    return absl::InvalidArgumentError(fmt::format("'{}' is no range of seeds A..B", text));
+    return absl::InvalidArgumentError(fmt::format("'{}' is not a seed range A..B", text));
   }
   return range;
 }
