--- a/simulator/run/sweep.h
+++ b/simulator/run/sweep.h
@@ -1,5 +1,4 @@
-/// Runs many seeds in parallel and finds, for those that fail, the smallest list of faults that
-/// still fails.
+/// Runs many seeds in parallel and reduces the faults of failing runs.
 #pragma once
 
 #include <cstdint>
@@ -24,20 +23,20 @@
 struct SweepOptions {
   FleetOptions fleet;
   SeedRange seeds;
-  /// As on the command line: "default", "none" or names.
+  /// List in the format of `ParseFaultList`.
   std::string faults = "default";
-  /// Worker threads; 0 takes all cores.
+  /// Worker threads; 0 for all cores.
   int threads = 0;
-  /// Failing seeds whose faults are reduced.
+  /// Maximum number of failing seeds whose faults are reduced.
   uint32_t reduce = 5;
 };
 
 struct FailedSeed {
   uint64_t seed = 0;
-  /// Names of the checks that are broken, with the first example.
+  /// Names of the broken checks with their first examples.
   std::vector<std::string> broken;
-  /// Smallest plan that still breaks one of the same checks; empty if it was not reduced or fails
-  /// without faults.
+  /// Reduced plan that still breaks one of the same checks; empty if it was not reduced or the run
+  /// fails without faults.
   FaultPlan smallest;
   bool reduced = false;
 };
@@ -46,24 +45,24 @@
   uint64_t runs = 0;
   std::vector<FailedSeed> failed;
   std::map<std::string, uint64_t> faults_tried;
-  /// Per check: tried and broken over all runs.
+  /// Totals over all runs, by check.
   std::map<std::string, checks::CheckResult> checks;
   double virtual_seconds = 0;
-  /// Summed over threads.
+  /// Sum over all threads.
   double busy_seconds = 0;
   double real_seconds = 0;
 };
 
-/// Progress goes to `progress` now and then.
+/// Writes progress to `progress` at intervals.
 SweepResult RunSweep(const SweepOptions& options, std::ostream& progress);
 
-/// Removes faults one by one while the run still breaks one of `broken`.
+/// Removes faults one at a time as long as the run still breaks one of `broken`.
 FaultPlan ReduceFaults(FleetOptions options, const std::vector<std::string>& broken);
 
 /// Names of the broken checks.
 std::vector<std::string> BrokenChecks(const FleetResult& result);
 
-/// The table that the command prints.
+/// Formats the result as the table that the command prints.
 std::string Describe(const SweepResult& result);
 
 }  // namespace millstair::simulator
