--- a/simulator/run/trace.cc
+++ b/simulator/run/trace.cc
@@ -13,7 +13,7 @@
 }
 
 absl::Status CheckKeys(const YAML::Node& map, const std::set<std::string>& known) {
-  if (!map.IsMap()) return ErrorAt(map, "a map is due here");
+  if (!map.IsMap()) return ErrorAt(map, "expected a map");
   for (const auto& entry : map) {
     const std::string key = entry.first.as<std::string>();
     if (!known.contains(key)) return ErrorAt(entry.first, fmt::format("unknown key '{}'", key));
