--- a/simulator/run/trace.h
+++ b/simulator/run/trace.h
@@ -12,31 +12,31 @@
 
 namespace millstair::simulator {
 
-/// What a trace must lead to, besides that no check is broken.
+/// Expected outcome of a trace, in addition to no broken checks.
 struct StatedOutcome {
-  /// Faults that must have come about, by name.
+  /// Minimum number of faults applied, by name.
   std::map<std::string, uint64_t> faults;
-  /// Cases that a check must at least have tried, by its name.
+  /// Minimum number of cases evaluated, by name of the check.
   std::map<std::string, uint64_t> tried;
   uint64_t steps_completed = 0;
   uint64_t answered = 0;
-  /// Largest allowed.
+  /// Maximum number of cut calls.
   uint64_t cut = UINT64_MAX;
   double in_force_max_ms = 1e9;
 };
 
 struct Trace {
   std::string name;
-  /// The line of the users' list of failures that it replays.
+  /// Entry of the users' list of failures that the trace replays.
   std::string replays;
   FleetOptions fleet;
   StatedOutcome outcome;
 };
 
-/// Reads a trace; InvalidArgument names line and fault of the first error.
+/// Parses a trace; InvalidArgument describes the first error with its line.
 absl::StatusOr<Trace> ParseTrace(const std::string& text);
 
-/// Differences between what came of the trace and what it states; empty if there are none.
+/// Differences between the result of a trace and its stated outcome; empty if there are none.
 std::vector<std::string> CompareOutcome(const StatedOutcome& stated, const FleetResult& result);
 
 }  // namespace millstair::simulator
