--- a/test/simulator/broken_variants_test.cc
+++ b/test/simulator/broken_variants_test.cc
@@ -1,4 +1,4 @@
-/// Each check is proved by a product that is broken on purpose: some seed must catch it.
+/// Verifies the checks by fault injection: each faulty variant of the product must be detected.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <functional>
@@ -13,18 +13,18 @@
 struct Variant {
   std::string name;
   std::function<void(ProductFaults&)> inject;
-  /// Checks that may catch it; one of them must.
+  /// At least one of these checks must detect the variant.
   std::vector<std::string> detected_by;
-  /// Faults that bring it to light.
+  /// Faults under which the variant shows.
   std::vector<FaultKind> faults;
-  /// Makes what the variant breaks happen more often.
+  /// Makes the affected operations more frequent.
   std::function<void(FleetOptions&)> tune = nullptr;
 };
 
 constexpr uint64_t kSeeds = 16;
 constexpr Duration kLength = std::chrono::seconds(80);
 
-/// First seed whose run is caught by one of the variant's checks; none if no seed is.
+/// First seed whose run breaks one of the variant's checks; nullopt if there is none.
 std::optional<uint64_t> FindDetectingSeed(const Variant& variant) {
   auto faults = std::make_shared<ProductFaults>();
   variant.inject(*faults);
@@ -112,7 +112,7 @@
 
 }  // namespace
 
-TEST_CASE("Every product variant that is broken on purpose is caught", "[simulator][variants]") {
+TEST_CASE("Every faulty variant of the product is detected", "[simulator][variants]") {
   DisableEventLog();
   for (const Variant& variant : Variants()) {
     INFO(variant.name);
