--- a/test/simulator/fleet_test.cc
+++ b/test/simulator/fleet_test.cc
@@ -1,4 +1,4 @@
-/// Whole fleets: fixed seeds of both deployments, and the recorded traces.
+/// Simulated fleets: fixed seeds of both deployments, and the recorded traces.
 #include "simulator/fleet/fleet.h"
 
 #include <catch2/catch.hpp>
@@ -64,7 +64,7 @@
 
 namespace {
 
-/// Seeds 1 to 8 of both deployments under `faults`.
+/// Runs seeds 1 to 8 of both deployments under `faults`.
 void CheckFixedSeeds(const std::string& faults, Duration length) {
   DisableEventLog();
   for (const DeploymentName deployment : {DeploymentName::kAssociation, DeploymentName::kKhosa}) {
@@ -87,8 +87,8 @@
   CheckFixedSeeds("default", std::chrono::seconds(120));
 }
 
-/// Where proofs and records hang on the order of lives, 42 of the 80 runs of seeds 1 to 40 fail: a
-/// gateway is not ready at the end. Where they do not, none of 120 does.
+/// Guards against confirmations and records that depend on the order of incarnations: after clock
+/// steps, a gateway then is not ready at the end.
 TEST_CASE("Fixed seeds hold under clocks that jump and machines that are suspended",
           "[simulator]") {
   CheckFixedSeeds("clock-step,clock-step,suspension,suspension,gateway-crash,control-crash",
