--- a/test/simulator/http_fabric_test.cc
+++ b/test/simulator/http_fabric_test.cc
@@ -35,7 +35,7 @@
   bool caller_gone = false;
 };
 
-/// A client, and a server with a handler that holds its answers back.
+/// A client, and a server whose handler withholds its responses.
 struct Exchange {
   Exchange() {
     fabric.AddAddress("10.0.0.2:80", server);
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-TEST_CASE("An answer arrives whole and in order", "[simulator]") {
+TEST_CASE("A response arrives complete and in order", "[simulator]") {
   Exchange exchange;
   const auto call = exchange.Call();
   exchange.scheduler.RunFor(milliseconds(2));
@@ -74,7 +74,7 @@
   CHECK_FALSE(exchange.handler.caller_gone);
 }
 
-TEST_CASE("A call that finds no process was not sent", "[simulator]") {
+TEST_CASE("A call to an address without a listener is not sent", "[simulator]") {
   Exchange exchange;
   exchange.fabric.StopListening("10.0.0.2:80");
   const auto call = exchange.Call();
@@ -82,7 +82,7 @@
   CHECK(exchange.answer.failure == CallFailure::kNotSent);
 }
 
-TEST_CASE("A call over a cut link was not sent", "[simulator]") {
+TEST_CASE("A call over a cut link is not sent", "[simulator]") {
   Exchange exchange;
   exchange.network.Cut({{exchange.server, exchange.client}});
   const auto call = exchange.Call();
@@ -91,7 +91,8 @@
   CHECK(exchange.handler.requests.empty());
 }
 
-TEST_CASE("A process that dies with the request leaves its outcome unknown", "[simulator]") {
+TEST_CASE("A process that ends after receiving the request leaves its outcome unknown",
+          "[simulator]") {
   Exchange exchange;
   const auto call = exchange.Call();
   exchange.scheduler.RunFor(milliseconds(2));
@@ -101,7 +102,7 @@
   CHECK(exchange.answer.failure == CallFailure::kUnknown);
 }
 
-TEST_CASE("A process that dies in its answer cuts it", "[simulator]") {
+TEST_CASE("A process that ends during its response cuts it", "[simulator]") {
   Exchange exchange;
   const auto call = exchange.Call();
   exchange.scheduler.RunFor(milliseconds(2));
@@ -113,7 +114,7 @@
   CHECK(exchange.answer.failure == CallFailure::kCut);
 }
 
-TEST_CASE("A restart between request and arrival doesn't hand the request on", "[simulator]") {
+TEST_CASE("A request is not delivered to a listener that restarted meanwhile", "[simulator]") {
   Exchange exchange;
   const auto call = exchange.Call();
   exchange.scheduler.RunFor(std::chrono::microseconds(100));
@@ -124,7 +125,7 @@
   CHECK(exchange.answer.failure == CallFailure::kUnknown);
 }
 
-TEST_CASE("A short cut only delays an answer, a long one breaks it", "[simulator]") {
+TEST_CASE("A short cut delays a response, a long one breaks the connection", "[simulator]") {
   Exchange exchange;
   const auto call = exchange.Call();
   exchange.scheduler.RunFor(milliseconds(2));
@@ -145,7 +146,7 @@
   }
 }
 
-TEST_CASE("A dropped call tells the handler that its caller has gone", "[simulator]") {
+TEST_CASE("A dropped call notifies the handler that the caller disconnected", "[simulator]") {
   Exchange exchange;
   auto call = exchange.Call();
   exchange.scheduler.RunFor(milliseconds(2));
