--- a/test/simulator/trace_test.cc
+++ b/test/simulator/trace_test.cc
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("Faults in a trace are told with their line", "[simulator]") {
+TEST_CASE("Errors in a trace are reported with their line", "[simulator]") {
   const auto unknown = ParseTrace("name: a\nreplays: b\nwrong: c\n");
   REQUIRE_FALSE(unknown.ok());
   CHECK(std::string(unknown.status().message()) == "line 3: unknown key 'wrong'");
@@ -40,7 +40,7 @@
   CHECK(std::string(fault.status().message()).starts_with("line 7: unknown fault"));
 }
 
-TEST_CASE("An outcome that differs is told", "[simulator]") {
+TEST_CASE("Differences from the stated outcome are reported", "[simulator]") {
   FleetResult result;
   result.checks.push_back({.name = "staleness", .tried = 3, .broken = 1, .first_example = "old"});
   result.measures.steps_completed = 2;
@@ -54,7 +54,7 @@
             "1 answers cut instead of at most 0"});
 }
 
-TEST_CASE("Every recorded trace can be read", "[simulator]") {
+TEST_CASE("Every recorded trace can be parsed", "[simulator]") {
   REQUIRE(TraceFiles().size() >= 9);
   for (const std::filesystem::path& path : TraceFiles()) {
     INFO(path.filename().string());
