--- a/simulator/network/engine_fabric.cc
+++ b/simulator/network/engine_fabric.cc
@@ -176,7 +176,7 @@
   void End(Answer answer) {
     const Done done = std::exchange(done_, nullptr);
     if (!done) return;
-    // A process that died closed its end, and hears nothing.
+    // Not reached once the process has ended: its end is closed and receives no events.
     const std::shared_ptr<Connection> connection = std::exchange(connection_, nullptr);
     connection->CloseClient();
     done(std::move(answer));
