--- a/simulator/run/show_history.h
+++ b/simulator/run/show_history.h
@@ -1,4 +1,4 @@
-/// Writes a history as text, one line a record, for people who look for the cause of a failure.
+/// Writes a history as text, one line per record, for the analysis of failures.
 #pragma once
 
 #include <ostream>
