--- a/simulator/run/trace.h
+++ b/simulator/run/trace.h
@@ -1,5 +1,5 @@
-/// Recorded traces: a fleet, its load and the faults at stated times, with the outcome that must
-/// come of it. Kept under simulator/traces/ and replayed by the tests.
+/// Recorded traces: a fleet and its faults at given times, with the expected outcome. Stored in
+/// simulator/traces/ and replayed by the tests.
 #pragma once
 
 #include <cstdint>
