--- a/simulator/checks/fleet_checks.cc
+++ b/simulator/checks/fleet_checks.cc
@@ -14,33 +14,35 @@
 
 int64_t Milliseconds(RunTime time) { return time.count() / 1000; }
 
-/// Whether an unplanned fault was at work at any moment of [begin, end].
-bool Disturbed(const History& history, RunTime begin, RunTime end) {
+/// Whether an unplanned fault was active at any time in [begin, end].
+bool UnplannedFaultActive(const History& history, RunTime begin, RunTime end) {
   return std::any_of(history.faults.begin(), history.faults.end(), [&](const FaultWindow& fault) {
     return !fault.planned && fault.begin <= end && fault.end.value_or(kNever) >= begin;
   });
 }
 
-bool DuringPlannedStop(const History& history, const CallTry& call) {
+bool OverlapsPlannedStop(const History& history, const CallAttempt& call) {
   return std::any_of(history.faults.begin(), history.faults.end(), [&](const FaultWindow& fault) {
     return fault.planned && fault.begin <= call.ended.value_or(kNever) &&
            fault.end.value_or(kNever) >= call.sent;
   });
 }
 
-void CheckCallOverPlannedStop(const History& history, const CallTry& call, CheckResult& result) {
-  // Faults of the seconds before still show: time limits, elections, broken connections.
+void CheckCallOverPlannedStop(const History& history, const CallAttempt& call,
+                              CheckResult& result) {
+  // Timeouts, elections and broken connections outlast the fault that caused them.
   constexpr Duration kAftermath = std::chrono::seconds(10);
   const RunTime ended = call.ended.value_or(history.end);
-  if (!DuringPlannedStop(history, call)) return;
-  if (Disturbed(history, call.sent - kAftermath, ended)) return;
+  if (!OverlapsPlannedStop(history, call)) return;
+  if (UnplannedFaultActive(history, call.sent - kAftermath, ended)) return;
   ++result.tried;
   if (call.end != CallEnd::kCut && call.end != CallEnd::kUnanswered) return;
-  result.Break(fmt::format("try {} at {} sent {} ms ended without its answer at {} ms", call.try_id,
-                           call.gateway.value(), Milliseconds(call.sent), Milliseconds(ended)));
+  result.Break(fmt::format("attempt {} at {} sent {} ms ended without a complete response at {} ms",
+                           call.attempt_id, call.gateway.value(), Milliseconds(call.sent),
+                           Milliseconds(ended)));
 }
 
-/// Newest revision accepted at or before a time.
+/// Finds the newest revision accepted at or before a given time.
 class AcceptedRevisions {
  public:
   explicit AcceptedRevisions(const std::vector<RevisionAccepted>& accepted) {
@@ -64,14 +66,14 @@
   std::map<RunTime, Revision> by_time_;
 };
 
-/// What one node showed so far.
+/// State that one node has shown so far.
 struct NodeView {
   Incarnation incarnation;
   Revision revision;
   Revision largest_ready;
 };
 
-void CheckSeen(const ConfigurationSeen& seen, NodeView& view, CheckResult& result) {
+void CheckRevisionsGrow(const ConfigurationSeen& seen, NodeView& view, CheckResult& result) {
   const std::string_view node = seen.node.value();
   if (seen.incarnation == view.incarnation && seen.revision < view.revision) {
     result.Break(fmt::format("{} went back from revision {} to {} at {} ms", node,
@@ -90,13 +92,14 @@
 void CheckInForce(const History& history, const AcceptedRevisions& accepted,
                   const ConfigurationSeen& seen, const AgreedBounds& bounds, CheckResult& result) {
   if (!seen.ready) return;
-  const bool disturbed = Disturbed(history, seen.at - bounds.in_force, seen.at);
-  const Duration bound = disturbed ? bounds.in_force : bounds.in_force_undisturbed;
+  const bool fault_active = UnplannedFaultActive(history, seen.at - bounds.in_force, seen.at);
+  const Duration bound = fault_active ? bounds.in_force : bounds.in_force_undisturbed;
   const Revision due = accepted.At(seen.at - bound);
   if (seen.revision >= due) return;
-  result.Break(fmt::format(
-      "{} gives out work at revision {} at {} ms; {} was accepted {} ms before", seen.node.value(),
-      seen.revision.value(), Milliseconds(seen.at), due.value(), Milliseconds(bound)));
+  result.Break(
+      fmt::format("{} assigns work at revision {} at {} ms; {} was accepted at least {} ms before",
+                  seen.node.value(), seen.revision.value(), Milliseconds(seen.at), due.value(),
+                  Milliseconds(bound)));
 }
 
 }  // namespace
@@ -114,8 +117,8 @@
     const RunTime until = leaving.until.value_or(kNever);
     for (const BackendArrival* arrival : arrivals[leaving.backend]) {
       if (arrival->at <= limit || arrival->at >= until) continue;
-      result.Break(fmt::format("{} at {} ms to {}, which leaves since {} ms", arrival->what,
-                               Milliseconds(arrival->at), leaving.backend.value(),
+      result.Break(fmt::format("{} at {} ms to {}, which has been leaving since {} ms",
+                               arrival->what, Milliseconds(arrival->at), leaving.backend.value(),
                                Milliseconds(leaving.known)));
     }
   }
@@ -125,11 +128,11 @@
 CheckResult CheckPlannedStops(const History& history) {
   CheckResult result{.name = "planned-stops-cut-nothing"};
   for (const FaultWindow& fault : history.faults) result.tried += fault.planned ? 1 : 0;
-  for (const CutByPlannedStop& cut : history.planned_cuts) {
+  for (const CallCutByPlannedStop& cut : history.planned_cuts) {
     result.Break(fmt::format("{} was open when {} ended at {} ms", cut.what, cut.node.value(),
                              Milliseconds(cut.at)));
   }
-  for (const CallTry& call : history.calls) CheckCallOverPlannedStop(history, call, result);
+  for (const CallAttempt& call : history.calls) CheckCallOverPlannedStop(history, call, result);
   return result;
 }
 
@@ -143,7 +146,7 @@
   std::map<NodeId, NodeView> views;
   for (const ConfigurationSeen* seen : in_order) {
     ++result.tried;
-    CheckSeen(*seen, views[seen->node], result);
+    CheckRevisionsGrow(*seen, views[seen->node], result);
     CheckInForce(history, accepted, *seen, bounds, result);
   }
   return result;
@@ -153,13 +156,14 @@
   CheckResult result{.name = "liveness"};
   const RunTime recovered = history.healed + bounds.recovery;
   for (const Demand& demand : history.demands) {
-    if (demand.asked > recovered) continue;
+    if (demand.requested > recovered) continue;
     ++result.tried;
-    if (demand.done && *demand.done <= std::max(recovered, demand.asked + bounds.recovery))
+    if (demand.done && *demand.done <= std::max(recovered, demand.requested + bounds.recovery))
       continue;
-    result.Break(fmt::format("{} asked at {} ms is not done {} s after the faults were healed",
-                             demand.what, Milliseconds(demand.asked),
-                             bounds.recovery.count() / 1'000'000));
+    result.Break(fmt::format(
+        "{} requested at {} ms was not done within {} s after the request and the end of all "
+        "faults",
+        demand.what, Milliseconds(demand.requested), bounds.recovery.count() / 1'000'000));
   }
   for (const ConfigurationSeen& seen : history.configurations) {
     if (!seen.gateway || seen.at <= recovered) continue;
@@ -171,7 +175,7 @@
   uint64_t sent = 0;
   uint64_t completed = 0;
   uint64_t completed_ever = 0;
-  for (const CallTry& call : history.calls) {
+  for (const CallAttempt& call : history.calls) {
     if (call.end == CallEnd::kComplete) ++completed_ever;
     if (call.end == CallEnd::kAbandoned || call.sent < recovered || !call.ended) continue;
     ++sent;
--- a/simulator/checks/stream_checks.cc
+++ b/simulator/checks/stream_checks.cc
@@ -18,36 +18,37 @@
                      read.sent.count() / 1000);
 }
 
-/// What the trainer of one stream holds so far.
+/// Samples delivered so far to the trainer of one stream.
 class DeliveryLedger {
  public:
-  explicit DeliveryLedger(std::set<SampleId> asked) : asked_(std::move(asked)) {}
+  explicit DeliveryLedger(std::set<SampleId> requested) : requested_(std::move(requested)) {}
 
-  void Take(const CursorRead& read, CheckResult& result) {
+  void HandleRead(const CursorRead& read, CheckResult& result) {
     acknowledged_ = std::max(acknowledged_, read.after);
-    StreamOffset due = Next(read.after);
+    StreamOffset expected = Next(read.after);
     for (const ReceivedSample& sample : read.samples) {
       ++result.tried;
-      if (sample.offset != due) {
-        result.Break(fmt::format("offset {} was due: {}", due.value(), Describe(read, sample)));
+      if (sample.offset != expected) {
+        result.Break(
+            fmt::format("offset {} was expected: {}", expected.value(), Describe(read, sample)));
       }
-      due = Next(sample.offset);
-      TakeOne(read, sample, result);
+      expected = Next(sample.offset);
+      HandleSample(read, sample, result);
     }
     const StreamOffset last = read.samples.empty() ? read.after : read.samples.back().offset;
     if (read.next != last) {
-      result.Break(fmt::format("stream {}: next is {} behind offset {}", read.stream.value(),
-                               read.next.value(), last.value()));
+      result.Break(fmt::format("stream {}: next offset is {}, but the last sample is at offset {}",
+                               read.stream.value(), read.next.value(), last.value()));
     }
   }
 
  private:
-  void TakeOne(const CursorRead& read, const ReceivedSample& sample, CheckResult& result) {
-    if (!asked_.contains(sample.sample)) {
-      result.Break("nobody asked for it: " + Describe(read, sample));
+  void HandleSample(const CursorRead& read, const ReceivedSample& sample, CheckResult& result) {
+    if (!requested_.contains(sample.sample)) {
+      result.Break("sample was not requested: " + Describe(read, sample));
     }
     const auto before = by_offset_.find(sample.offset);
-    if (before != by_offset_.end()) CompareWithBefore(before->second, read, sample, result);
+    if (before != by_offset_.end()) CompareWithEarlier(before->second, read, sample, result);
     by_offset_[sample.offset] = sample;
     if (sample.withdrawn) {
       Withdraw(sample);
@@ -56,15 +57,15 @@
     }
   }
 
-  static void CompareWithBefore(const ReceivedSample& before, const CursorRead& read,
-                                const ReceivedSample& now, CheckResult& result) {
+  static void CompareWithEarlier(const ReceivedSample& before, const CursorRead& read,
+                                 const ReceivedSample& now, CheckResult& result) {
     if (before.sample != now.sample) {
-      result.Break(
-          fmt::format("the offset held {} before: {}", before.sample.value(), Describe(read, now)));
+      result.Break(fmt::format("the offset held sample {} before: {}", before.sample.value(),
+                               Describe(read, now)));
     } else if (before.withdrawn && !now.withdrawn) {
-      result.Break("was withdrawn before: " + Describe(read, now));
+      result.Break("sample was withdrawn at this offset before: " + Describe(read, now));
     } else if (!now.withdrawn && !(before == now)) {
-      result.Break("has other content than before: " + Describe(read, now));
+      result.Break("content differs from an earlier read: " + Describe(read, now));
     }
   }
 
@@ -77,11 +78,11 @@
     const auto [held, added] = offset_of_.emplace(sample.sample, sample.offset);
     if (added || held->second == sample.offset) return;
     const std::string_view state = held->second <= acknowledged_ ? "acknowledged" : "not withdrawn";
-    result.Break(fmt::format("delivered before at offset {} and {}: {}", held->second.value(),
-                             state, Describe(read, sample)));
+    result.Break(fmt::format("delivered before at offset {} ({}): {}", held->second.value(), state,
+                             Describe(read, sample)));
   }
 
-  std::set<SampleId> asked_;
+  std::set<SampleId> requested_;
   std::map<StreamOffset, ReceivedSample> by_offset_;
   std::map<SampleId, StreamOffset> offset_of_;
   StreamOffset acknowledged_;
@@ -117,7 +118,7 @@
   return oldest;
 }
 
-/// What engines generated, to look spans up.
+/// Index of the token ranges that engines generated.
 class GeneratedIndex {
  public:
   explicit GeneratedIndex(const std::vector<GeneratedTokens>& generated) {
@@ -165,14 +166,14 @@
 
 CheckResult CheckExactlyOnce(const History& history) {
   CheckResult result{.name = "exactly-once"};
-  std::map<StreamName, std::set<SampleId>> asked;
+  std::map<StreamName, std::set<SampleId>> requested;
   for (const StepPut& step : history.steps) {
-    for (const StepPut::Prompt& prompt : step.prompts) asked[step.stream].insert(prompt.sample);
+    for (const StepPut::Prompt& prompt : step.prompts) requested[step.stream].insert(prompt.sample);
   }
   std::map<StreamName, DeliveryLedger> ledgers;
   for (const CursorRead* read : ReadsInOrder(history)) {
-    const auto [ledger, added] = ledgers.try_emplace(read->stream, asked[read->stream]);
-    ledger->second.Take(*read, result);
+    const auto [ledger, added] = ledgers.try_emplace(read->stream, requested[read->stream]);
+    ledger->second.HandleRead(*read, result);
   }
   return result;
 }
@@ -195,7 +196,7 @@
   return result;
 }
 
-CheckResult CheckTrueVersions(const History& history) {
+CheckResult CheckClaimedVersions(const History& history) {
   CheckResult result{.name = "true-versions"};
   const GeneratedIndex generated(history.generated);
   const PromptIndex prompts = IndexPrompts(history);
@@ -211,9 +212,10 @@
       }
       for (const ClaimedSpan& span : sample.spans) {
         if (generated.Covers(prompt->second->text, span)) continue;
-        result.Break(fmt::format("tokens {}+{} were not generated by version {} ({}) there: {}",
-                                 span.first_token, span.token_count, span.version.value(),
-                                 span.digest.value(), Describe(read, sample)));
+        result.Break(fmt::format(
+            "tokens {}+{} were not generated by the reported engine with version {} ({}): {}",
+            span.first_token, span.token_count, span.version.value(), span.digest.value(),
+            Describe(read, sample)));
         break;
       }
     }
--- a/simulator/clients/callers.cc
+++ b/simulator/clients/callers.cc
@@ -11,24 +11,23 @@
 namespace millstair::simulator {
 namespace {
 
+using checks::CallAttempt;
 using checks::CallEnd;
 using checks::CallKind;
-using checks::CallTry;
-
-/// Callers give up after this long.
-constexpr Duration kPatience = std::chrono::seconds(40);
-constexpr Duration kResendAfter = std::chrono::seconds(1);
-constexpr uint32_t kBookingTries = 4;
-/// Share of bookings that are sent through two gateways at once.
-constexpr double kSentTwice = 0.05;
-/// Share of callers that go away before their answer.
-constexpr double kGoAway = 0.02;
-constexpr Duration kGoAwayAfter = std::chrono::milliseconds(300);
-constexpr double kStreaming = 0.5;
-/// Prompts share prefixes of this many words, of so many kinds.
+
+constexpr Duration kRequestTimeout = std::chrono::seconds(40);
+constexpr Duration kResendDelay = std::chrono::seconds(1);
+constexpr uint32_t kMaxBookingAttempts = 4;
+/// Share of bookings sent through two gateways at once.
+constexpr double kDuplicateShare = 0.05;
+/// Share of callers that may disconnect before their response.
+constexpr double kAbandonShare = 0.02;
+constexpr Duration kAbandonDelay = std::chrono::milliseconds(300);
+constexpr double kStreamingShare = 0.5;
+/// Prompts begin with one of kPrefixCount shared prefixes of kPrefixWords words.
 constexpr int kPrefixWords = 48;
-constexpr uint64_t kPrefixes = 12;
-constexpr uint64_t kSmallestMaxTokens = 8;
+constexpr uint64_t kPrefixCount = 12;
+constexpr uint64_t kMinMaxTokens = 8;
 
 std::string Slug(CallKind kind) {
   switch (kind) {
@@ -44,14 +43,14 @@
   return "booking";
 }
 
-/// What a plain server's answer to this request says, without what the caller can't know.
+/// Response body of a plain server to this request, limited to fields known to the caller.
 std::string ExpectedBody(const HttpRequest& request) {
   return fmt::format("{}|{}|{}|{}|{}", request.method, request.target,
                      FindHeader(request.headers, "Idempotency-Key").value_or(""),
                      FindHeader(request.headers, "X-Request-Id").value_or(""), request.body);
 }
 
-/// The same of a received answer; the raw bytes if it is of no such form.
+/// The same fields of a received response; the raw body if it has another format.
 std::string ComparableBody(const std::string& body) {
   boost::json::error_code error;
   const boost::json::value value = boost::json::parse(body, error);
@@ -66,13 +65,13 @@
   return comparable;
 }
 
-void TakeAnswer(CallTry& call, const WholeAnswer& answer, Duration now) {
+void HandleAnswer(CallAttempt& call, const CompleteAnswer& answer, Duration now) {
   call.ended = now;
   call.first_byte = answer.first_byte;
   call.status = answer.status;
-  call.outcome = OutcomeIn(answer.headers);
+  call.outcome = ParseOutcome(answer.headers);
   switch (answer.end) {
-    case AnswerEnd::kWhole:
+    case AnswerEnd::kComplete:
       call.end = answer.status < 400 ? CallEnd::kComplete : CallEnd::kRefused;
       break;
     case AnswerEnd::kCut:
@@ -96,14 +95,14 @@
 
 }  // namespace
 
-Callers::Callers(Surroundings& surroundings, const DeploymentPlan& plan, const LiveLoad& load,
+Callers::Callers(RunContext& context, const DeploymentPlan& plan, const LiveLoad& load,
                  PromptRegistry& prompts)
-    : surroundings_(surroundings),
+    : context_(context),
       plan_(plan),
       load_(load),
       prompts_(prompts),
-      random_(surroundings.DrawSeed()),
-      client_(surroundings, surroundings.network.AddHost("callers", plan.latencies.clients)) {}
+      random_(context.DrawSeed()),
+      client_(context, context.network.AddHost("callers", plan.latencies.clients)) {}
 
 void Callers::Start(Duration until) {
   until_ = until;
@@ -116,8 +115,8 @@
 void Callers::ScheduleNext(CallKind kind, double rate) {
   if (rate <= 0) return;
   const double wait = -std::log(1.0 - DrawUnit(random_)) / rate;
-  surroundings_.scheduler.Schedule(FromSeconds(wait), [this, kind, rate] {
-    if (surroundings_.Now() >= until_) return;
+  context_.scheduler.Schedule(FromSeconds(wait), [this, kind, rate] {
+    if (context_.Now() >= until_) return;
     Arrive(kind);
     ScheduleNext(kind, rate);
   });
@@ -125,15 +124,15 @@
 
 size_t Callers::DrawGateway() { return DrawBelow(random_, plan_.gateways.size()); }
 
-std::string Callers::NextTryId(std::string_view kind) {
-  return fmt::format("{}-{}", kind, next_try_++);
+std::string Callers::NextAttemptId(std::string_view kind) {
+  return fmt::format("{}-{}", kind, next_attempt_++);
 }
 
 std::string Callers::NextPrompt() {
   std::string prompt;
-  const uint64_t prefix = DrawBelow(random_, kPrefixes);
+  const uint64_t prefix = DrawBelow(random_, kPrefixCount);
   for (int i = 0; i < kPrefixWords; ++i) prompt += fmt::format("live{}w{} ", prefix, i);
-  return prompt + fmt::format("question {}", next_try_);
+  return prompt + fmt::format("question {}", next_attempt_);
 }
 
 void Callers::Arrive(CallKind kind) {
@@ -148,106 +147,106 @@
     case CallKind::kBooking:
       break;
   }
-  const Booking booking{fmt::format("b{}", next_try_), 0};
+  const Booking booking{fmt::format("b{}", next_attempt_), 0};
   const size_t gateway = DrawGateway();
   SendBooking(booking, gateway);
-  if (!DrawChance(random_, kSentTwice)) return;
-  // The impatient one asks elsewhere at once, and no further.
-  SendBooking({booking.id, kBookingTries}, (gateway + 1) % plan_.gateways.size());
+  if (!DrawChance(random_, kDuplicateShare)) return;
+  // The duplicate is not resent.
+  SendBooking({booking.id, kMaxBookingAttempts}, (gateway + 1) % plan_.gateways.size());
 }
 
 void Callers::SendCompletion(const std::string& prompt) {
-  CallTry call;
+  CallAttempt call;
   call.kind = CallKind::kCompletion;
-  call.try_id = NextTryId("completion");
+  call.attempt_id = NextAttemptId("completion");
   call.prompt = prompt;
   call.max_tokens =
-      static_cast<uint32_t>(kSmallestMaxTokens + DrawBelow(random_, load_.completion_max_tokens));
+      static_cast<uint32_t>(kMinMaxTokens + DrawBelow(random_, load_.completion_max_tokens));
   prompts_.Add(prompt);
   HttpRequest request{"POST", "/v1/completions", {}, ""};
   request.headers = {{"Host", "text.example"},
                      {"Content-Type", "application/json"},
-                     {"X-Request-Id", call.try_id}};
+                     {"X-Request-Id", call.attempt_id}};
   request.body =
       boost::json::serialize(boost::json::object{{"model", plan_.model.value()},
                                                  {"prompt", prompt},
                                                  {"max_tokens", call.max_tokens},
-                                                 {"stream", DrawChance(random_, kStreaming)}});
+                                                 {"stream", DrawChance(random_, kStreamingShare)}});
   Send(std::move(call), DrawGateway(), std::move(request), nullptr);
 }
 
 void Callers::SendPlain(CallKind kind) {
-  CallTry call;
+  CallAttempt call;
   call.kind = kind;
-  call.try_id = NextTryId(Slug(kind));
+  call.attempt_id = NextAttemptId(Slug(kind));
   const std::string folder = kind == CallKind::kPage ? "/gallery/" : "/lookup/";
-  HttpRequest request{"GET", folder + call.try_id, {}, ""};
-  request.headers = {{"Host", "web.example"}, {"X-Request-Id", call.try_id}};
+  HttpRequest request{"GET", folder + call.attempt_id, {}, ""};
+  request.headers = {{"Host", "web.example"}, {"X-Request-Id", call.attempt_id}};
   call.expected_body = ExpectedBody(request);
   Send(std::move(call), DrawGateway(), std::move(request), nullptr);
 }
 
 void Callers::SendBooking(Booking booking, size_t gateway) {
-  CallTry call;
+  CallAttempt call;
   call.kind = CallKind::kBooking;
-  call.try_id = NextTryId("booking");
+  call.attempt_id = NextAttemptId("booking");
   call.key = "key-" + booking.id;
   HttpRequest request{"POST", "/bookings/" + booking.id, {}, "confirm " + booking.id};
   request.headers = {{"Host", "web.example"},
                      {"Content-Type", "text/plain"},
                      {"Idempotency-Key", call.key},
-                     {"X-Request-Id", call.try_id}};
+                     {"X-Request-Id", call.attempt_id}};
   call.expected_body = ExpectedBody(request);
-  ++booking.tries;
+  ++booking.attempts;
   Send(std::move(call), gateway, std::move(request),
-       [this, booking, gateway](const CallTry& ended, const WholeAnswer& answer) {
-         BookingEnded(booking, gateway, ended, answer);
+       [this, booking, gateway](const CallAttempt& ended, const CompleteAnswer& answer) {
+         OnBookingEnded(booking, gateway, ended, answer);
        });
 }
 
-void Callers::BookingEnded(const Booking& booking, size_t gateway, const CallTry& call,
-                           const WholeAnswer& answer) {
+void Callers::OnBookingEnded(const Booking& booking, size_t gateway, const CallAttempt& call,
+                             const CompleteAnswer& answer) {
   constexpr int kConflict = 409;
   const bool settled = call.end == CallEnd::kComplete || answer.status == kConflict;
-  if (settled || booking.tries >= kBookingTries) return;
-  surroundings_.scheduler.Schedule(kResendAfter, [this, booking, gateway] {
+  if (settled || booking.attempts >= kMaxBookingAttempts) return;
+  context_.scheduler.Schedule(kResendDelay, [this, booking, gateway] {
     SendBooking(booking, (gateway + 1) % plan_.gateways.size());
   });
 }
 
-void Callers::Send(CallTry call, size_t gateway, HttpRequest request,
-                   std::function<void(const CallTry&, const WholeAnswer&)> ended) {
-  call.sent = surroundings_.Now();
-  const size_t index = surroundings_.history.calls.size();
-  surroundings_.history.calls.push_back(std::move(call));
+void Callers::Send(CallAttempt call, size_t gateway, HttpRequest request,
+                   std::function<void(const CallAttempt&, const CompleteAnswer&)> ended) {
+  call.sent = context_.Now();
+  const size_t index = context_.history.calls.size();
+  context_.history.calls.push_back(std::move(call));
   Connect(index, gateway, plan_.gateways.size() - 1, std::move(request), std::move(ended));
-  if (!DrawChance(random_, kGoAway)) return;
-  surroundings_.scheduler.Schedule(kGoAwayAfter, [this, index] {
-    CallTry& recorded = surroundings_.history.calls[index];
+  if (!DrawChance(random_, kAbandonShare)) return;
+  context_.scheduler.Schedule(kAbandonDelay, [this, index] {
+    CallAttempt& recorded = context_.history.calls[index];
     if (recorded.ended) return;
     recorded.end = CallEnd::kAbandoned;
-    recorded.ended = surroundings_.Now();
-    client_.Drop(under_way_[index]);
-    under_way_.erase(index);
+    recorded.ended = context_.Now();
+    client_.Cancel(in_flight_[index]);
+    in_flight_.erase(index);
   });
 }
 
 void Callers::Connect(size_t index, size_t gateway, size_t left, HttpRequest request,
-                      std::function<void(const CallTry&, const WholeAnswer&)> ended) {
+                      std::function<void(const CallAttempt&, const CompleteAnswer&)> ended) {
   const NodePlan& target = plan_.gateways[gateway];
-  surroundings_.history.calls[index].gateway = target.node;
+  context_.history.calls[index].gateway = target.node;
   HttpRequest copy = request;
-  under_way_[index] = client_.Send(
-      target.http_address, std::move(copy), kPatience,
+  in_flight_[index] = client_.Send(
+      target.http_address, std::move(copy), kRequestTimeout,
       [this, index, gateway, left, request = std::move(request),
-       ended = std::move(ended)](const WholeAnswer& answer) {
+       ended = std::move(ended)](const CompleteAnswer& answer) {
         if (answer.end == AnswerEnd::kNotSent && left > 0) {
           Connect(index, (gateway + 1) % plan_.gateways.size(), left - 1, request, ended);
           return;
         }
-        under_way_.erase(index);
-        TakeAnswer(surroundings_.history.calls[index], answer, surroundings_.Now());
-        const CallTry recorded = surroundings_.history.calls[index];
+        in_flight_.erase(index);
+        HandleAnswer(context_.history.calls[index], answer, context_.Now());
+        const CallAttempt recorded = context_.history.calls[index];
         if (ended) ended(recorded, answer);
       });
 }
--- a/simulator/clients/callers.h
+++ b/simulator/clients/callers.h
@@ -1,4 +1,4 @@
-/// Callers of the fleet: completions, pages, lookups and bookings, open loop, through all gateways.
+/// Open-loop callers that send completions, pages, lookups and bookings through all gateways.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +11,23 @@
 #include "simulator/fleet/back_ends.h"
 #include "simulator/fleet/deployment.h"
 #include "simulator/fleet/fleet.h"
-#include "simulator/fleet/surroundings.h"
+#include "simulator/fleet/run_context.h"
 
 namespace millstair::simulator {
 
 class Callers {
  public:
-  Callers(Surroundings& surroundings, const DeploymentPlan& plan, const LiveLoad& load,
+  Callers(RunContext& context, const DeploymentPlan& plan, const LiveLoad& load,
           PromptRegistry& prompts);
 
-  /// Calls arrive until `until`.
+  /// Sends calls until `until`.
   void Start(Duration until);
 
  private:
-  /// One booking, over all its tries.
+  /// A booking with the number of its attempts.
   struct Booking {
     std::string id;
-    uint32_t tries = 0;
+    uint32_t attempts = 0;
   };
 
   void ScheduleNext(checks::CallKind kind, double rate);
@@ -35,28 +35,28 @@
   void SendCompletion(const std::string& prompt);
   void SendPlain(checks::CallKind kind);
   void SendBooking(Booking booking, size_t gateway);
-  void BookingEnded(const Booking& booking, size_t gateway, const checks::CallTry& call,
-                    const WholeAnswer& answer);
-  /// Sends `request` for `call` and records how it ended.
-  void Send(checks::CallTry call, size_t gateway, HttpRequest request,
-            std::function<void(const checks::CallTry&, const WholeAnswer&)> ended);
-  /// Sends to `gateway`, and to the others in turn while no connection comes about.
+  void OnBookingEnded(const Booking& booking, size_t gateway, const checks::CallAttempt& call,
+                      const CompleteAnswer& answer);
+  /// Sends `request` for `call` and records the result.
+  void Send(checks::CallAttempt call, size_t gateway, HttpRequest request,
+            std::function<void(const checks::CallAttempt&, const CompleteAnswer&)> ended);
+  /// Sends to `gateway`; if no connection is established, tries up to `left` others in turn.
   void Connect(size_t index, size_t gateway, size_t left, HttpRequest request,
-               std::function<void(const checks::CallTry&, const WholeAnswer&)> ended);
+               std::function<void(const checks::CallAttempt&, const CompleteAnswer&)> ended);
   size_t DrawGateway();
-  std::string NextTryId(std::string_view kind);
+  std::string NextAttemptId(std::string_view kind);
   std::string NextPrompt();
 
-  Surroundings& surroundings_;
+  RunContext& context_;
   const DeploymentPlan& plan_;
   LiveLoad load_;
   PromptRegistry& prompts_;
   RandomEngine random_;
   RequestClient client_;
-  /// Request under way of each call in the history, for callers that go away.
-  std::map<size_t, RequestClient::Id> under_way_;
+  /// Request in flight by index of its call in the history, to abandon it.
+  std::map<size_t, RequestClient::Id> in_flight_;
   Duration until_{0};
-  uint64_t next_try_ = 1;
+  uint64_t next_attempt_ = 1;
 };
 
 }  // namespace millstair::simulator
--- a/simulator/clients/completion_answer.cc
+++ b/simulator/clients/completion_answer.cc
@@ -8,7 +8,7 @@
 namespace millstair::simulator {
 namespace {
 
-/// Joins a span to the last one where it continues it; spans are sent per event.
+/// Appends a span, merged with the last one if it continues it; each event has its own spans.
 void AddSpan(std::vector<checks::ClaimedSpan>& spans, const checks::ClaimedSpan& span) {
   if (!spans.empty()) {
     checks::ClaimedSpan& last = spans.back();
@@ -22,7 +22,7 @@
   spans.push_back(span);
 }
 
-void ReadObject(std::string_view text, checks::CallTry& call) {
+void ReadObject(std::string_view text, checks::CallAttempt& call) {
   boost::json::error_code error;
   const boost::json::value value = boost::json::parse({text.data(), text.size()}, error);
   if (error || !value.is_object()) return;
@@ -43,8 +43,8 @@
   }
 }
 
-/// Reads server-sent events; whether the end mark came.
-bool ReadEvents(std::string_view body, checks::CallTry& call) {
+/// Reads server-sent events; returns whether the end marker was received.
+bool ReadEvents(std::string_view body, checks::CallAttempt& call) {
   constexpr std::string_view kData = "data: ";
   bool done = false;
   size_t begin = 0;
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-void ReadCompletion(const WholeAnswer& answer, checks::CallTry& call) {
+void ReadCompletion(const CompleteAnswer& answer, checks::CallAttempt& call) {
   const auto type = FindHeader(answer.headers, "Content-Type");
   if (!type || !type->starts_with("text/event-stream")) {
     ReadObject(answer.body, call);
--- a/simulator/clients/operator_client.cc
+++ b/simulator/clients/operator_client.cc
@@ -15,10 +15,10 @@
 using checks::ResourceAction;
 using checks::ResourceEnd;
 
-constexpr Duration kPatience = std::chrono::seconds(5);
-constexpr Duration kRetry = std::chrono::milliseconds(400);
-/// An operator gives a change up after this long without an answer.
-constexpr Duration kGiveUp = std::chrono::seconds(60);
+constexpr Duration kRequestTimeout = std::chrono::seconds(5);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(400);
+/// An unanswered change is no longer resent after this time.
+constexpr Duration kChangeTimeout = std::chrono::seconds(60);
 constexpr double kReadShare = 0.4;
 constexpr double kDeleteShare = 0.1;
 constexpr char kValueLabel[] = "note";
@@ -31,7 +31,7 @@
 
 std::string NoteName(uint32_t note) { return fmt::format("note-{}", note); }
 
-/// A traffic group that no request meets, with the value as a label.
+/// A traffic group that matches no request and holds the value as a label.
 Resource NoteResource(uint32_t note, const std::string& value) {
   TrafficGroupSpec spec;
   spec.path_prefix = fmt::format("/notes/{}", note);
@@ -47,7 +47,7 @@
   return Revision(std::strtoull(digits.c_str(), nullptr, 10));
 }
 
-/// Value label of a resource in JSON.
+/// Returns the value label of a JSON resource.
 std::string ValueOf(const boost::json::value& resource) {
   if (!resource.is_object()) return {};
   const boost::json::value* labels = resource.as_object().if_contains("labels");
@@ -55,7 +55,7 @@
   return TextIn(labels->as_object(), kValueLabel);
 }
 
-/// The winner that a conflict names, as (value, version) through `record`.
+/// Sets value and version in `record` to those of the conflicting resource.
 void ReadConflict(const std::string& body, checks::ResourceOperation& record) {
   boost::json::error_code error;
   const boost::json::value value = boost::json::parse(body, error);
@@ -67,34 +67,32 @@
   if (winner.is_object()) record.version = Revision(NumberIn(winner.as_object(), "version"));
 }
 
-bool Accepts(const WholeAnswer& answer) {
-  return answer.end == AnswerEnd::kWhole && (answer.status == kOk || answer.status == kCreated);
+bool Accepts(const CompleteAnswer& answer) {
+  return answer.end == AnswerEnd::kComplete && (answer.status == kOk || answer.status == kCreated);
 }
 
 }  // namespace
 
-OperatorClient::OperatorClient(Surroundings& surroundings, const DeploymentPlan& plan,
-                               std::string name)
-    : surroundings_(surroundings),
+OperatorClient::OperatorClient(RunContext& context, const DeploymentPlan& plan, std::string name)
+    : context_(context),
       plan_(plan),
       name_(std::move(name)),
-      random_(surroundings.DrawSeed()),
-      client_(surroundings,
-              surroundings.network.AddHost("operator-" + name_, plan.latencies.clients)) {}
+      random_(context.DrawSeed()),
+      client_(context, context.network.AddHost("operator-" + name_, plan.latencies.clients)) {}
 
 const std::string& OperatorClient::DrawControl() {
   return plan_.controls[DrawBelow(random_, plan_.controls.size())].http_address;
 }
 
 void OperatorClient::OpenSession(std::function<void()> then) {
-  client_.Send(DrawControl(), {"POST", "/v1/sessions", {}, ""}, kPatience,
-               [this, then = std::move(then)](const WholeAnswer& answer) {
+  client_.Send(DrawControl(), {"POST", "/v1/sessions", {}, ""}, kRequestTimeout,
+               [this, then = std::move(then)](const CompleteAnswer& answer) {
                  boost::json::error_code error;
                  boost::json::value value;
                  if (Accepts(answer)) value = boost::json::parse(answer.body, error);
                  std::string opened;
                  if (!error && value.is_object()) opened = TextIn(value.as_object(), "session");
-                 // Another change may have opened one meanwhile; its numbers go on.
+                 // If another change opened a session meanwhile, its sequence continues.
                  if (session_.empty() && !opened.empty()) {
                    session_ = opened;
                    next_sequence_ = 1;
@@ -103,7 +101,7 @@
                    then();
                    return;
                  }
-                 surroundings_.scheduler.Schedule(kRetry, [this, then] { OpenSession(then); });
+                 context_.scheduler.Schedule(kRetryDelay, [this, then] { OpenSession(then); });
                });
 }
 
@@ -114,7 +112,7 @@
   }
   change.session = session_;
   change.sequence = next_sequence_++;
-  change.first_sent = surroundings_.Now();
+  change.first_sent = context_.Now();
   Send(std::move(change));
 }
 
@@ -124,31 +122,32 @@
       {"Idempotency-Key", fmt::format("{}/{}", change.session, change.sequence)});
   request.headers.push_back({"Content-Type", "application/json"});
   ++change.sends;
-  client_.Send(
-      DrawControl(), std::move(request), kPatience,
-      [this, change = std::move(change)](const WholeAnswer& answer) { Answered(change, answer); });
+  client_.Send(DrawControl(), std::move(request), kRequestTimeout,
+               [this, change = std::move(change)](const CompleteAnswer& answer) {
+                 OnAnswer(change, answer);
+               });
 }
 
-void OperatorClient::Answered(Change change, const WholeAnswer& answer) {
-  const checks::ClaimedOutcome outcome = OutcomeIn(answer.headers);
-  const bool expired = answer.end == AnswerEnd::kWhole && answer.status == kGone;
+void OperatorClient::OnAnswer(Change change, const CompleteAnswer& answer) {
+  const checks::ClaimedOutcome outcome = ParseOutcome(answer.headers);
+  const bool expired = answer.end == AnswerEnd::kComplete && answer.status == kGone;
   if (expired && session_ == change.session) session_.clear();
-  const bool settled =
-      answer.end == AnswerEnd::kWhole && (answer.status < 500 || expired) && answer.status != 429;
+  const bool settled = answer.end == AnswerEnd::kComplete && (answer.status < 500 || expired) &&
+                       answer.status != 429;
   const bool first_refused = outcome == checks::ClaimedOutcome::kNotRun && change.sends == 1;
   if (settled && !(expired && change.sends > 1)) {
     change.done(&answer);
     return;
   }
-  if (expired || surroundings_.Now() - change.first_sent > kGiveUp) {
+  if (expired || context_.Now() - change.first_sent > kChangeTimeout) {
     change.done(first_refused ? &answer : nullptr);
     return;
   }
-  surroundings_.scheduler.Schedule(kRetry, [this, change = std::move(change)] { Send(change); });
+  context_.scheduler.Schedule(kRetryDelay, [this, change = std::move(change)] { Send(change); });
 }
 
-void OperatorClient::Accepted(Revision revision) {
-  surroundings_.history.accepted.push_back({revision, surroundings_.Now()});
+void OperatorClient::RecordAccepted(Revision revision) {
+  context_.history.accepted.push_back({revision, context_.Now()});
 }
 
 void OperatorClient::Apply(const std::vector<Resource>& resources, std::function<void()> done) {
@@ -159,16 +158,16 @@
   }
   Change change{.method = "POST", .target = "/v1/apply"};
   change.body = boost::json::serialize(boost::json::object{{"items", std::move(items)}});
-  const size_t demand = surroundings_.history.demands.size();
-  surroundings_.history.demands.push_back({"apply", surroundings_.Now(), std::nullopt});
-  change.done = [this, demand, done = std::move(done)](const WholeAnswer* answer) {
+  const size_t demand = context_.history.demands.size();
+  context_.history.demands.push_back({"apply", context_.Now(), std::nullopt});
+  change.done = [this, demand, done = std::move(done)](const CompleteAnswer* answer) {
     if (answer == nullptr || !Accepts(*answer)) return;
     boost::json::error_code error;
     const boost::json::value value = boost::json::parse(answer->body, error);
     if (!error && value.is_object()) {
-      Accepted(Revision(NumberIn(value.as_object(), "revision")));
+      RecordAccepted(Revision(NumberIn(value.as_object(), "revision")));
     }
-    surroundings_.history.demands[demand].done = surroundings_.Now();
+    context_.history.demands[demand].done = context_.Now();
     done();
   };
   Begin(std::move(change));
@@ -179,24 +178,23 @@
       .method = "PUT",
       .target = fmt::format("/v1/resources/{}/{}", KindName(resource.kind()), resource.name),
       .body = ToJson(resource)};
-  const size_t demand = surroundings_.history.demands.size();
-  surroundings_.history.demands.push_back(
-      {"change of " + resource.name, surroundings_.Now(), std::nullopt});
+  const size_t demand = context_.history.demands.size();
+  context_.history.demands.push_back({"change of " + resource.name, context_.Now(), std::nullopt});
   SendPut(std::move(change), demand, std::move(done));
 }
 
 void OperatorClient::SendPut(Change change, size_t demand, std::function<void(Revision)> done) {
   const Change again = change;
-  change.done = [this, again, demand, done = std::move(done)](const WholeAnswer* answer) {
+  change.done = [this, again, demand, done = std::move(done)](const CompleteAnswer* answer) {
     if (answer == nullptr || answer->status == kGone) {
-      // Its session expired before it was answered. It can be done twice, so it is done anew.
+      // Unanswered, or the session expired. The change is idempotent and is sent as a new one.
       SendPut(again, demand, done);
       return;
     }
     if (!Accepts(*answer)) return;
-    surroundings_.history.demands[demand].done = surroundings_.Now();
+    context_.history.demands[demand].done = context_.Now();
     const Revision revision = VersionIn(answer->headers);
-    Accepted(revision);
+    RecordAccepted(revision);
     done(revision);
   };
   Begin(std::move(change));
@@ -211,8 +209,8 @@
 
 void OperatorClient::NextNote() {
   const Duration wait = DrawDuration(random_, interval_ / 2, interval_ + interval_ / 2);
-  surroundings_.scheduler.Schedule(wait, [this] {
-    if (surroundings_.Now() >= until_) return;
+  context_.scheduler.Schedule(wait, [this] {
+    if (context_.Now() >= until_) return;
     NextNote();
     const auto note = static_cast<uint32_t>(DrawBelow(random_, notes_));
     if (DrawChance(random_, kReadShare)) {
@@ -240,25 +238,25 @@
   operation.action = action;
   operation.expected = expected;
   operation.value = std::move(value);
-  operation.invoked = surroundings_.Now();
-  surroundings_.history.resource_operations.push_back(std::move(operation));
-  return surroundings_.history.resource_operations.size() - 1;
+  operation.invoked = context_.Now();
+  context_.history.resource_operations.push_back(std::move(operation));
+  return context_.history.resource_operations.size() - 1;
 }
 
-void OperatorClient::RecordEnd(size_t index, const WholeAnswer* answer) {
-  checks::ResourceOperation& record = surroundings_.history.resource_operations[index];
-  if (answer == nullptr || answer->end != AnswerEnd::kWhole) return;
-  record.returned = surroundings_.Now();
+void OperatorClient::RecordEnd(size_t index, const CompleteAnswer* answer) {
+  checks::ResourceOperation& record = context_.history.resource_operations[index];
+  if (answer == nullptr || answer->end != AnswerEnd::kComplete) return;
+  record.returned = context_.Now();
   record.version = VersionIn(answer->headers);
   if (Accepts(*answer)) {
     record.end = ResourceEnd::kDone;
-    if (record.action != ResourceAction::kRead) Accepted(record.version);
+    if (record.action != ResourceAction::kRead) RecordAccepted(record.version);
   } else if (answer->status == kPreconditionFailed) {
     record.end = ResourceEnd::kConflict;
     ReadConflict(answer->body, record);
   } else if (answer->status == kNotFound) {
     record.end = ResourceEnd::kMissing;
-  } else if (OutcomeIn(answer->headers) == checks::ClaimedOutcome::kNotRun) {
+  } else if (ParseOutcome(answer->headers) == checks::ClaimedOutcome::kNotRun) {
     record.end = ResourceEnd::kRefused;
   } else {
     record.returned.reset();
@@ -268,10 +266,9 @@
 void OperatorClient::ReadNote(uint32_t note) {
   const size_t record = Record(ResourceAction::kRead, note, std::nullopt, "");
   client_.Send(DrawControl(), {"GET", "/v1/resources/TrafficGroup/" + NoteName(note), {}, ""},
-               kPatience, [this, record, note](const WholeAnswer& answer) {
+               kRequestTimeout, [this, record, note](const CompleteAnswer& answer) {
                  RecordEnd(record, &answer);
-                 checks::ResourceOperation& read =
-                     surroundings_.history.resource_operations[record];
+                 checks::ResourceOperation& read = context_.history.resource_operations[record];
                  if (read.end == ResourceEnd::kMissing) seen_[note] = Revision();
                  if (read.end != ResourceEnd::kDone) return;
                  boost::json::error_code error;
@@ -291,11 +288,12 @@
   } else {
     change.headers.push_back({"If-Match", fmt::format("\"{}\"", expected.value())});
   }
-  change.done = [this, record, note](const WholeAnswer* answer) {
+  change.done = [this, record, note](const CompleteAnswer* answer) {
     RecordEnd(record, answer);
-    const checks::ResourceOperation& put = surroundings_.history.resource_operations[record];
-    const bool told = put.end == ResourceEnd::kDone || put.end == ResourceEnd::kConflict;
-    if (told) seen_[note] = put.version;
+    const checks::ResourceOperation& put = context_.history.resource_operations[record];
+    const bool version_reported =
+        put.end == ResourceEnd::kDone || put.end == ResourceEnd::kConflict;
+    if (version_reported) seen_[note] = put.version;
   };
   Begin(std::move(change));
 }
@@ -305,9 +303,9 @@
   const size_t record = Record(ResourceAction::kDelete, note, expected, "");
   Change change{.method = "DELETE", .target = "/v1/resources/TrafficGroup/" + NoteName(note)};
   change.headers.push_back({"If-Match", fmt::format("\"{}\"", expected.value())});
-  change.done = [this, record, note](const WholeAnswer* answer) {
+  change.done = [this, record, note](const CompleteAnswer* answer) {
     RecordEnd(record, answer);
-    const checks::ResourceOperation& removed = surroundings_.history.resource_operations[record];
+    const checks::ResourceOperation& removed = context_.history.resource_operations[record];
     if (removed.end == ResourceEnd::kDone || removed.end == ResourceEnd::kMissing) {
       seen_[note] = Revision();
     } else if (removed.end == ResourceEnd::kConflict) {
--- a/simulator/clients/request_client.cc
+++ b/simulator/clients/request_client.cc
@@ -6,16 +6,16 @@
 
 struct RequestClient::Call : HttpCallObserver {
   Call(RequestClient& owner, Id id, Done done) : owner(owner), id(id), done(std::move(done)) {}
-  ~Call() override { owner.surroundings_.scheduler.Cancel(timer); }
+  ~Call() override { owner.context_.scheduler.Cancel(timer); }
 
   void OnHead(const HttpResponseHead& head) override {
     answer.status = head.status;
     answer.headers = head.headers;
-    answer.first_byte = owner.surroundings_.Now();
+    answer.first_byte = owner.context_.Now();
   }
   void OnBody(std::string bytes) override { answer.body += bytes; }
   void OnFinished() override {
-    answer.end = AnswerEnd::kWhole;
+    answer.end = AnswerEnd::kComplete;
     owner.End(id, std::move(answer));
   }
   void OnFailed(CallFailure failure, const std::string& reason) override {
@@ -29,12 +29,12 @@
   RequestClient& owner;
   Id id;
   Done done;
-  WholeAnswer answer;
+  CompleteAnswer answer;
   std::unique_ptr<CallHandle> handle;
   TimerId timer;
 };
 
-checks::ClaimedOutcome OutcomeIn(const HttpHeaders& headers) {
+checks::ClaimedOutcome ParseOutcome(const HttpHeaders& headers) {
   const auto outcome = FindHeader(headers, "Millstair-Outcome");
   if (!outcome) return checks::ClaimedOutcome::kNone;
   if (*outcome == "ran") return checks::ClaimedOutcome::kRan;
@@ -42,42 +42,41 @@
   return checks::ClaimedOutcome::kUnknown;
 }
 
-RequestClient::RequestClient(Surroundings& surroundings, HostId host)
-    : surroundings_(surroundings), host_(host) {}
-RequestClient::~RequestClient() { DropAll(); }
+RequestClient::RequestClient(RunContext& context, HostId host) : context_(context), host_(host) {}
+RequestClient::~RequestClient() { CancelAll(); }
 
 RequestClient::Id RequestClient::Send(const std::string& address, HttpRequest request,
                                       Duration time_limit, Done done) {
   const Id id = next_++;
   Call& call =
       *calls_.emplace(id, std::make_unique<Call>(*this, id, std::move(done))).first->second;
-  call.timer = surroundings_.scheduler.Schedule(time_limit, [this, id] {
+  call.timer = context_.scheduler.Schedule(time_limit, [this, id] {
     const auto found = calls_.find(id);
     if (found == calls_.end()) return;
-    WholeAnswer answer = std::move(found->second->answer);
+    CompleteAnswer answer = std::move(found->second->answer);
     answer.end = answer.status == 0 ? AnswerEnd::kNone : AnswerEnd::kCut;
     End(id, std::move(answer));
   });
-  call.handle = surroundings_.http.Start(host_, address, std::move(request), call);
+  call.handle = context_.http.Start(host_, address, std::move(request), call);
   return id;
 }
 
-void RequestClient::Drop(Id id) {
+void RequestClient::Cancel(Id id) {
   const auto call = calls_.extract(id);
   (void)call;
 }
 
-void RequestClient::DropAll() {
+void RequestClient::CancelAll() {
   const auto calls = std::move(calls_);
   calls_.clear();
 }
 
-void RequestClient::End(Id id, WholeAnswer answer) {
+void RequestClient::End(Id id, CompleteAnswer answer) {
   const auto call = calls_.extract(id);
   if (call.empty()) return;
-  if (answer_loss_ > 0 && answer.end == AnswerEnd::kWhole &&
-      DrawChance(surroundings_.scheduler.Random(), answer_loss_)) {
-    answer = WholeAnswer();
+  if (answer_loss_ > 0 && answer.end == AnswerEnd::kComplete &&
+      DrawChance(context_.scheduler.Random(), answer_loss_)) {
+    answer = CompleteAnswer();
   }
   call.mapped()->done(answer);
 }
--- a/simulator/clients/request_client.h
+++ b/simulator/clients/request_client.h
@@ -1,5 +1,5 @@
-/// An HTTP client of a party outside the system: sends requests, gathers whole answers, gives up
-/// after a time limit, and can lose answers on purpose.
+/// HTTP client of a party outside the system: sends requests with a timeout, collects complete
+/// responses, and can simulate the loss of responses.
 #pragma once
 
 #include <cstdint>
@@ -9,18 +9,18 @@
 #include <optional>
 #include <string>
 
-#include "simulator/fleet/surroundings.h"
+#include "simulator/fleet/run_context.h"
 
 namespace millstair::simulator {
 
 enum class AnswerEnd : uint8_t {
-  kWhole,    ///< a regular answer, whatever its status
-  kCut,      ///< began and broke off
-  kNone,     ///< no answer; the request may have run
-  kNotSent,  ///< no connection
+  kComplete,  ///< complete response with any status
+  kCut,       ///< the response began but was incomplete
+  kNone,      ///< no response; the request may have been executed
+  kNotSent,   ///< no connection was established
 };
 
-struct WholeAnswer {
+struct CompleteAnswer {
   AnswerEnd end = AnswerEnd::kNone;
   int status = 0;
   HttpHeaders headers;
@@ -28,34 +28,34 @@
   std::optional<Duration> first_byte;
 };
 
-/// What `Millstair-Outcome` says in an answer.
-checks::ClaimedOutcome OutcomeIn(const HttpHeaders& headers);
+/// Outcome reported by the `Millstair-Outcome` header.
+checks::ClaimedOutcome ParseOutcome(const HttpHeaders& headers);
 
 class RequestClient {
  public:
-  using Done = std::function<void(const WholeAnswer&)>;
-  /// Handle of a request under way; 0 is none.
+  using Done = std::function<void(const CompleteAnswer&)>;
+  /// Identifies a request in flight; 0 is none.
   using Id = uint64_t;
 
-  RequestClient(Surroundings& surroundings, HostId host);
+  RequestClient(RunContext& context, HostId host);
   ~RequestClient();
   RequestClient(const RequestClient&) = delete;
   RequestClient& operator=(const RequestClient&) = delete;
 
-  /// `done` runs once, never within this call; not after `Drop` or destruction.
+  /// `done` runs once, but never within this call nor after `Cancel` or destruction.
   Id Send(const std::string& address, HttpRequest request, Duration time_limit, Done done);
-  /// Goes away: closes the connection.
-  void Drop(Id id);
-  void DropAll();
-  /// Share of answers that are lost on the way; the client then sees none.
+  /// Abandons the request and closes its connection.
+  void Cancel(Id id);
+  void CancelAll();
+  /// Sets the share of complete responses that are dropped and reported as `kNone`.
   void SetAnswerLoss(double share) { answer_loss_ = share; }
 
  private:
   struct Call;
 
-  void End(Id id, WholeAnswer answer);
+  void End(Id id, CompleteAnswer answer);
 
-  Surroundings& surroundings_;
+  RunContext& context_;
   HostId host_;
   Id next_ = 1;
   double answer_loss_ = 0;
--- a/simulator/clients/trainer.cc
+++ b/simulator/clients/trainer.cc
@@ -10,13 +10,13 @@
 namespace millstair::simulator {
 namespace {
 
-constexpr Duration kPatience = std::chrono::seconds(15);
-constexpr Duration kRetry = std::chrono::milliseconds(500);
+constexpr Duration kRequestTimeout = std::chrono::seconds(15);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(500);
 constexpr int kReadWaitSeconds = 2;
 constexpr int kReadMaxSamples = 64;
 constexpr int kPrefixWords = 64;
-/// Share of reads that are done again before their answer is used.
-constexpr double kReadAgain = 0.05;
+/// Share of reads whose response is discarded and read again.
+constexpr double kRereadShare = 0.05;
 constexpr int kOk = 200;
 
 uint64_t StepNumberOf(const SampleId& sample) {
@@ -42,24 +42,23 @@
 
 }  // namespace
 
-Trainer::Trainer(Surroundings& surroundings, Platform& platform, const DeploymentPlan& plan,
+Trainer::Trainer(RunContext& context, Platform& platform, const DeploymentPlan& plan,
                  const StreamPlan& stream, const TrainerLoad& load, PromptRegistry& prompts)
-    : surroundings_(surroundings),
+    : context_(context),
       platform_(platform),
       plan_(plan),
       stream_(stream),
       load_(load),
       prompts_(prompts),
-      random_(surroundings.DrawSeed()),
-      client_(surroundings,
-              surroundings.network.AddHost("trainer-" + stream.name.value(), plan.zones[0])) {
-  surroundings_.history.streams.push_back({stream.name, stream.model, stream.staleness_bound});
+      random_(context.DrawSeed()),
+      client_(context, context.network.AddHost("trainer-" + stream.name.value(), plan.zones[0])) {
+  context_.history.streams.push_back({stream.name, stream.model, stream.staleness_bound});
 }
 
 void Trainer::Start(Duration until) {
   until_ = until;
   running_ = true;
-  waiting_since_ = surroundings_.Now();
+  waiting_since_ = context_.Now();
   if (stream_.publishes) {
     Publish(WeightVersion(1));
     return;
@@ -70,21 +69,20 @@
 void Trainer::TakeDown() {
   if (!running_) return;
   running_ = false;
-  ++life_;
-  client_.DropAll();
+  ++incarnation_;
+  client_.CancelAll();
 }
 
 void Trainer::BringUp() {
   if (running_) return;
   running_ = true;
-  // A step put without an answer is put again by id, whatever the trainer was at: steps are put
-  // ahead, and one that is lost while it trains or publishes is never asked for by anything else.
+  // Unacknowledged steps are resent in every state: nothing else would resend a step that was
+  // submitted ahead and lost while the trainer was training or publishing.
   for (const auto& [number, step] : steps_) {
     if (!step.acknowledged) SendStep(number);
   }
-  // The version being published likewise.
   if (training_) {
-    Trained();
+    OnTrained();
     return;
   }
   if (published_ < publishing_) {
@@ -95,9 +93,10 @@
 }
 
 void Trainer::After(Duration delay, std::function<void()> action) {
-  surroundings_.scheduler.Schedule(delay, [this, life = life_, action = std::move(action)] {
-    if (life == life_ && running_) action();
-  });
+  context_.scheduler.Schedule(delay,
+                              [this, incarnation = incarnation_, action = std::move(action)] {
+                                if (incarnation == incarnation_ && running_) action();
+                              });
 }
 
 const std::string& Trainer::DrawGateway() {
@@ -107,13 +106,13 @@
 void Trainer::Publish(WeightVersion version) {
   const WeightDigest digest = DigestOf(stream_.model, version);
   platform_.store().Put(LocationOf(stream_.model, version), digest, plan_.version_bytes);
-  surroundings_.history.publishes.push_back(
-      {stream_.model, version, digest, surroundings_.Now(), std::nullopt});
-  surroundings_.history.demands.push_back(
-      {fmt::format("publishing version {}", version.value()), surroundings_.Now(), std::nullopt});
+  context_.history.publishes.push_back(
+      {stream_.model, version, digest, context_.Now(), std::nullopt});
+  context_.history.demands.push_back(
+      {fmt::format("publishing version {}", version.value()), context_.Now(), std::nullopt});
   publishing_ = version;
-  publish_record_ = surroundings_.history.publishes.size() - 1;
-  publish_demand_ = surroundings_.history.demands.size() - 1;
+  publish_record_ = context_.history.publishes.size() - 1;
+  publish_demand_ = context_.history.demands.size() - 1;
   SendPublish();
 }
 
@@ -126,17 +125,18 @@
       boost::json::serialize(
           boost::json::object{{"digest", DigestOf(stream_.model, version).value()},
                               {"location", LocationOf(stream_.model, version)}})};
-  client_.Send(DrawGateway(), std::move(request), kPatience, [this](const WholeAnswer& answer) {
-    if (answer.end != AnswerEnd::kWhole || answer.status != kOk) {
-      After(kRetry, [this] { SendPublish(); });
-      return;
-    }
-    const Duration now = surroundings_.Now();
-    surroundings_.history.publishes[publish_record_].acknowledged = now;
-    surroundings_.history.demands[publish_demand_].done = now;
-    published_ = publishing_;
-    WaitForStep();
-  });
+  client_.Send(DrawGateway(), std::move(request), kRequestTimeout,
+               [this](const CompleteAnswer& answer) {
+                 if (answer.end != AnswerEnd::kComplete || answer.status != kOk) {
+                   After(kRetryDelay, [this] { SendPublish(); });
+                   return;
+                 }
+                 const Duration now = context_.Now();
+                 context_.history.publishes[publish_record_].acknowledged = now;
+                 context_.history.demands[publish_demand_].done = now;
+                 published_ = publishing_;
+                 WaitForStep();
+               });
 }
 
 void Trainer::PutStepsAhead() {
@@ -147,7 +147,7 @@
   checks::StepPut put;
   put.stream = stream_.name;
   put.step = StepId(fmt::format("step-{}", number));
-  put.sent = surroundings_.Now();
+  put.sent = context_.Now();
   Step& step = steps_[number];
   for (uint32_t i = 0; i < load_.prompts_per_step; ++i) {
     const uint32_t prefix = i / std::max(load_.prompts_per_prefix, 1U);
@@ -161,15 +161,15 @@
     step.missing.insert(sample);
     put.prompts.push_back({sample, std::move(text), load_.max_tokens});
   }
-  step.put_record = surroundings_.history.steps.size();
-  surroundings_.history.steps.push_back(std::move(put));
+  step.put_record = context_.history.steps.size();
+  context_.history.steps.push_back(std::move(put));
   SendStep(number);
 }
 
 void Trainer::SendStep(uint64_t number) {
   const auto found = steps_.find(number);
   if (found == steps_.end()) return;
-  const checks::StepPut& put = surroundings_.history.steps[found->second.put_record];
+  const checks::StepPut& put = context_.history.steps[found->second.put_record];
   boost::json::array prompts;
   for (const checks::StepPut::Prompt& prompt : put.prompts) {
     prompts.push_back(
@@ -180,33 +180,33 @@
       fmt::format("/v1/streams/{}/steps/{}", stream_.name.value(), put.step.value()),
       {{"Content-Type", "application/json"}},
       boost::json::serialize(boost::json::object{{"prompts", std::move(prompts)}})};
-  client_.Send(DrawGateway(), std::move(request), kPatience,
-               [this, number](const WholeAnswer& answer) {
+  client_.Send(DrawGateway(), std::move(request), kRequestTimeout,
+               [this, number](const CompleteAnswer& answer) {
                  const auto step = steps_.find(number);
                  if (step == steps_.end()) return;
-                 if (answer.end != AnswerEnd::kWhole || answer.status != kOk) {
-                   After(kRetry, [this, number] { SendStep(number); });
+                 if (answer.end != AnswerEnd::kComplete || answer.status != kOk) {
+                   After(kRetryDelay, [this, number] { SendStep(number); });
                    return;
                  }
                  step->second.acknowledged = true;
-                 checks::StepPut& record = surroundings_.history.steps[step->second.put_record];
-                 if (!record.acknowledged) record.acknowledged = surroundings_.Now();
+                 checks::StepPut& record = context_.history.steps[step->second.put_record];
+                 if (!record.acknowledged) record.acknowledged = context_.Now();
                });
 }
 
 void Trainer::WaitForStep() {
-  if (surroundings_.Now() >= until_) return;
+  if (context_.Now() >= until_) return;
   PutStepsAhead();
   Step& step = steps_.at(current_);
   if (!step.demand) {
-    waiting_since_ = surroundings_.Now();
-    step.demand = surroundings_.history.demands.size();
-    surroundings_.history.demands.push_back(
-        {fmt::format("step {} of {}", current_, stream_.name.value()), surroundings_.Now(),
+    waiting_since_ = context_.Now();
+    step.demand = context_.history.demands.size();
+    context_.history.demands.push_back(
+        {fmt::format("step {} of {}", current_, stream_.name.value()), context_.Now(),
          std::nullopt});
   }
   if (step.missing.empty()) {
-    StepWhole();
+    OnStepComplete();
     return;
   }
   Read();
@@ -220,59 +220,59 @@
       {},
       ""};
   client_.Send(
-      DrawGateway(), std::move(request), kPatience,
-      [this, sent = surroundings_.Now()](const WholeAnswer& answer) { TakeAnswer(answer, sent); });
+      DrawGateway(), std::move(request), kRequestTimeout,
+      [this, sent = context_.Now()](const CompleteAnswer& answer) { HandleAnswer(answer, sent); });
 }
 
-void Trainer::TakeAnswer(const WholeAnswer& answer, Duration sent) {
+void Trainer::HandleAnswer(const CompleteAnswer& answer, Duration sent) {
   boost::json::error_code error;
   boost::json::value value;
-  if (answer.end == AnswerEnd::kWhole && answer.status == kOk) {
+  if (answer.end == AnswerEnd::kComplete && answer.status == kOk) {
     value = boost::json::parse(answer.body, error);
   }
   if (error || !value.is_object()) {
-    After(kRetry, [this] { Read(); });
+    After(kRetryDelay, [this] { Read(); });
     return;
   }
-  TakeSamples(value.as_object(), sent);
+  HandleSamples(value.as_object(), sent);
   if (steps_.at(current_).missing.empty()) {
-    StepWhole();
+    OnStepComplete();
     return;
   }
-  // Also a faulty fleet that answers at once and empty must not stop the run.
+  // The delay lets virtual time advance even if a faulty fleet returns empty responses at once.
   After(std::chrono::milliseconds(1), [this] { Read(); });
 }
 
-void Trainer::TakeSamples(const boost::json::object& answer, Duration sent) {
+void Trainer::HandleSamples(const boost::json::object& answer, Duration sent) {
   checks::CursorRead read{stream_.name, cursor_, StreamOffset(NumberIn(answer, "next")),
-                          {},           sent,    surroundings_.Now()};
+                          {},           sent,    context_.Now()};
   const boost::json::value* samples = answer.if_contains("samples");
   if (samples != nullptr && samples->is_array()) {
     for (const boost::json::value& sample : samples->as_array()) {
       if (sample.is_object()) read.samples.push_back(ReadSample(sample.as_object()));
     }
   }
-  surroundings_.history.reads.push_back(read);
-  // An answer lost between receipt and use is read again at the same cursor.
-  if (DrawChance(random_, kReadAgain)) return;
-  for (const checks::ReceivedSample& sample : read.samples) TakeSample(sample);
+  context_.history.reads.push_back(read);
+  // Simulates a response lost between receipt and use; it is read again at the same cursor.
+  if (DrawChance(random_, kRereadShare)) return;
+  for (const checks::ReceivedSample& sample : read.samples) HandleSample(sample);
   cursor_ = std::max(cursor_, read.next);
 }
 
-void Trainer::TakeSample(const checks::ReceivedSample& sample) {
+void Trainer::HandleSample(const checks::ReceivedSample& sample) {
   const auto step = steps_.find(StepNumberOf(sample.sample));
   if (sample.withdrawn) {
     ++record_.withdrawn;
-    if (held_.erase(sample.offset) > 0 && step != steps_.end()) {
+    if (received_.erase(sample.offset) > 0 && step != steps_.end()) {
       step->second.missing.insert(sample.sample);
     }
     return;
   }
-  held_[sample.offset] = sample.sample;
+  received_[sample.offset] = sample.sample;
   if (step != steps_.end()) step->second.missing.erase(sample.sample);
   if (!seen_.insert(sample.sample).second) return;
   WeightVersion newest;
-  for (const checks::VersionPublish& publish : surroundings_.history.publishes) {
+  for (const checks::VersionPublish& publish : context_.history.publishes) {
     if (publish.acknowledged) newest = std::max(newest, publish.version);
   }
   WeightVersion oldest = newest;
@@ -280,21 +280,21 @@
   record_.staleness.push_back(newest.value() - oldest.value());
 }
 
-void Trainer::StepWhole() {
-  const Duration now = surroundings_.Now();
+void Trainer::OnStepComplete() {
+  const Duration now = context_.Now();
   Step& step = steps_.at(current_);
-  surroundings_.history.steps[step.put_record].whole = now;
-  surroundings_.history.demands[*step.demand].done = now;
+  context_.history.steps[step.put_record].completed = now;
+  context_.history.demands[*step.demand].done = now;
   const Duration waited = now - waiting_since_;
   record_.waited += waited;
-  ++record_.steps_whole;
+  ++record_.steps_completed;
   record_.steps_in_time += waited <= load_.in_time ? 1 : 0;
   record_.worked += load_.training_time;
   training_ = true;
-  After(load_.training_time, [this] { Trained(); });
+  After(load_.training_time, [this] { OnTrained(); });
 }
 
-void Trainer::Trained() {
+void Trainer::OnTrained() {
   training_ = false;
   steps_.erase(current_);
   ++current_;
--- a/simulator/faults/network_faults.cc
+++ b/simulator/faults/network_faults.cc
@@ -16,8 +16,8 @@
   fault.heal = [&network, links = std::move(links)] { network.Uncut(links); };
 }
 
-/// Both directions between `host` and all of `others`.
-std::vector<Link> Around(HostId host, const std::vector<HostId>& others) {
+/// Links in both directions between `host` and each of `others`.
+std::vector<Link> LinksAround(HostId host, const std::vector<HostId>& others) {
   std::vector<Link> links;
   for (const HostId other : others) {
     if (other == host) continue;
@@ -31,7 +31,7 @@
   return hosts[DrawBelow(fault.random, hosts.size())];
 }
 
-/// Two different hosts of nodes.
+/// Picks two different hosts of nodes.
 Link PickPair(FaultContext& fault) {
   std::vector<HostId> hosts = fault.world.NodeHosts();
   const HostId first = PickHost(fault, hosts);
@@ -54,15 +54,15 @@
 }  // namespace
 
 void IsolateControl(FaultContext& fault) {
-  // Clients still reach it: it must not answer from what it held.
+  // Clients still reach the machine, which must not serve stale state.
   const HostId host = fault.Pick(fault.world.controls()).host();
-  CutUntilHealed(fault, Around(host, fault.world.FleetHosts()));
+  CutUntilHealed(fault, LinksAround(host, fault.world.FleetHosts()));
 }
 
 void IsolateGateway(FaultContext& fault) {
   std::vector<HostId> controls;
   for (auto& control : fault.world.controls()) controls.push_back(control->host());
-  CutUntilHealed(fault, Around(fault.Pick(fault.world.gateways()).host(), controls));
+  CutUntilHealed(fault, LinksAround(fault.Pick(fault.world.gateways()).host(), controls));
 }
 
 void CutOneWay(FaultContext& fault) {
@@ -70,7 +70,7 @@
     CutUntilHealed(fault, {PickPair(fault)});
     return;
   }
-  // Everything that one node sends.
+  // All links from one node.
   const HostId host = PickHost(fault, fault.world.NodeHosts());
   std::vector<Link> links;
   for (const HostId other : fault.world.FleetHosts()) {
--- a/simulator/faults/node_faults.cc
+++ b/simulator/faults/node_faults.cc
@@ -15,14 +15,14 @@
 
 constexpr Duration kSyncMin = std::chrono::microseconds(200);
 constexpr Duration kSyncMax = std::chrono::microseconds(800);
-constexpr Duration kPoll = milliseconds(500);
+constexpr Duration kReplicationPollInterval = milliseconds(500);
 /// A planned restart keeps the process down for this long.
 constexpr Duration kRestartPause = milliseconds(800);
-/// Between the restarts of two nodes.
+/// Time between the restarts of two nodes.
 constexpr Duration kBetweenRestarts = milliseconds(1500);
-/// Users see the time of day jump by 2 to 8 s.
-constexpr Duration kSmallestStep = seconds(1);
-constexpr Duration kLargestStep = seconds(8);
+/// Range of wall-clock steps; covers the 2 to 8 s seen in the users' deployments.
+constexpr Duration kMinClockStep = seconds(1);
+constexpr Duration kMaxClockStep = seconds(8);
 constexpr int kChangesWhileDown = 500;
 constexpr int kWriters = 4;
 
@@ -33,7 +33,7 @@
   fault.heal = [&machine] { machine.BringUp(); };
 }
 
-/// A voter of the cluster group, as far as the leader says; any machine without a leader.
+/// Picks a voter of the cluster group in the view of its leader; without a leader, any machine.
 ControlMachine& PickVoter(FaultContext& fault) {
   World& world = fault.world;
   std::vector<ControlMachine*> voters;
@@ -54,7 +54,7 @@
   machine.LoseDisk();
 }
 
-/// Waits until every group has its voters, so that a loss is one that the design must survive.
+/// Waits until every group is fully replicated, so that the system must tolerate the loss.
 /// `lose` runs at most once, before the fault is healed.
 void WhenReplicated(FaultContext& fault, std::function<void()> lose) {
   if (fault.healed) return;
@@ -65,7 +65,7 @@
     return;
   }
   fault.world.scheduler().Schedule(
-      kPoll, [&fault, lose = std::move(lose)] { WhenReplicated(fault, lose); });
+      kReplicationPollInterval, [&fault, lose = std::move(lose)] { WhenReplicated(fault, lose); });
 }
 
 }  // namespace
@@ -76,7 +76,7 @@
 
 namespace {
 
-/// Crashes `machines` at one moment, with syncs so slow that some are likely to be under way.
+/// Crashes `machines` at once, with slow syncs, so that some are likely to be in progress.
 void CrashInSync(FaultContext& fault, const std::vector<ControlMachine*>& machines) {
   for (ControlMachine* machine : machines) {
     machine->disk().SetSyncTime(milliseconds(30), milliseconds(90));
@@ -110,7 +110,7 @@
   WhenReplicated(fault, [&fault] {
     ControlMachine& machine = PickVoter(fault);
     LoseDiskOf(machine);
-    fault.tried();
+    fault.on_applied();
     fault.heal = [&machine] { machine.BringUp(); };
   });
 }
@@ -121,11 +121,11 @@
     LoseDiskOf(first);
     fault.world.scheduler().Schedule(seconds(2), [&fault, &first] {
       first.BringUp();
-      // Right after the repair: nothing else is waited for.
+      // The second loss follows as soon as the groups are fully replicated again.
       WhenReplicated(fault, [&fault] {
         ControlMachine& second = PickVoter(fault);
         LoseDiskOf(second);
-        fault.tried();
+        fault.on_applied();
         fault.heal = [&second] { second.BringUp(); };
       });
     });
@@ -144,9 +144,9 @@
 }
 
 void DriftClocks(FaultContext& fault) {
-  constexpr double kLargestDrift = 0.02;
+  constexpr double kMaxDrift = 0.02;
   World& world = fault.world;
-  const auto draw = [&fault] { return 1.0 + kLargestDrift * (2 * DrawUnit(fault.random) - 1); };
+  const auto draw = [&fault] { return 1.0 + kMaxDrift * (2 * DrawUnit(fault.random) - 1); };
   for (auto& control : world.controls()) control->SetClockRate(draw());
   for (auto& gateway : world.gateways()) gateway->SetClockRate(draw());
   fault.heal = [&world] {
@@ -157,17 +157,17 @@
 
 namespace {
 
-/// Sets the time of day of `machine` to `first`, starts it again, and a moment later once more with
-/// `second`: its later life may begin earlier by its own clock.
+/// Restarts `machine` with wall-clock offset `first` and, shortly after, again with `second`. By
+/// its own clock, the later incarnation may have the earlier start time.
 template <class Machine>
 void RestartAcrossStep(FaultContext& fault, Machine& machine, Duration first, Duration second) {
-  const Duration life = DrawDuration(fault.random, milliseconds(100), seconds(2));
-  machine.SetTimeOfDay(first);
+  const Duration uptime = DrawDuration(fault.random, milliseconds(100), seconds(2));
+  machine.SetWallClockOffset(first);
   machine.TakeDown();
   machine.BringUp();
-  fault.world.scheduler().Schedule(life, [&fault, &machine, second] {
+  fault.world.scheduler().Schedule(uptime, [&fault, &machine, second] {
     if (fault.healed) return;
-    machine.SetTimeOfDay(second);
+    machine.SetWallClockOffset(second);
     machine.TakeDown();
     machine.BringUp();
   });
@@ -175,9 +175,9 @@
 
 template <class Machine>
 void StepClockOf(FaultContext& fault, Machine& machine) {
-  const Duration step = DrawDuration(fault.random, kSmallestStep, kLargestStep);
+  const Duration step = DrawDuration(fault.random, kMinClockStep, kMaxClockStep);
   if (DrawChance(fault.random, 0.5)) {
-    machine.SetTimeOfDay(DrawChance(fault.random, 0.5) ? step : -step);
+    machine.SetWallClockOffset(DrawChance(fault.random, 0.5) ? step : -step);
   } else if (DrawChance(fault.random, 0.5)) {
     RestartAcrossStep(fault, machine, step, Duration(0));
   } else {
@@ -194,8 +194,8 @@
   StepClockOf(fault, control);
   StepClockOf(fault, gateway);
   fault.heal = [&control, &gateway] {
-    control.SetTimeOfDay(Duration(0));
-    gateway.SetTimeOfDay(Duration(0));
+    control.SetWallClockOffset(Duration(0));
+    gateway.SetWallClockOffset(Duration(0));
   };
 }
 
@@ -213,7 +213,7 @@
   machine.Suspend();
   network.Cut(links);
   fault.heal = [&network, &machine, links = std::move(links)] {
-    // What came due in its sleep runs before anything new reaches it.
+    // Timers that expired during the suspension run before new messages arrive.
     machine.Wake();
     network.Uncut(links);
   };
@@ -261,7 +261,7 @@
 
 namespace {
 
-/// Restarts one node after the other.
+/// Restarts nodes one at a time.
 struct RollingRestart {
   FaultContext& fault;
   std::vector<std::function<void(std::function<void()>)>> restarts;
--- a/simulator/fleet/control_machine.h
+++ b/simulator/fleet/control_machine.h
@@ -1,4 +1,4 @@
-/// A control machine of the fleet: its disk, which survives its processes, and the process.
+/// A control machine of the fleet: its process, and its disk, which outlives the process.
 #pragma once
 
 #include <functional>
@@ -8,23 +8,23 @@
 #include "common/virtual_environment.h"
 #include "simulator/fleet/deployment.h"
 #include "simulator/fleet/product_faults.h"
-#include "simulator/fleet/surroundings.h"
+#include "simulator/fleet/run_context.h"
 #include "storage/memory_file_system.h"
 
 namespace millstair::simulator {
 
 class ControlMachine {
  public:
-  ControlMachine(Surroundings& surroundings, const DeploymentPlan& plan, size_t index,
+  ControlMachine(RunContext& context, const DeploymentPlan& plan, size_t index,
                  const FleetOptions& options);
   ~ControlMachine();
 
-  /// Reasons to be down add up; the process runs while there is none.
+  /// Calls nest: the process runs again after as many calls of BringUp as of TakeDown.
   void TakeDown();
   void BringUp();
-  /// Planned stop: drains, ends the process, starts it again after `pause`; `done` follows.
+  /// Planned restart: drains and ends the process, starts it again after `pause`, calls `done`.
   void RestartPlanned(Duration pause, std::function<void()> done);
-  /// The disk is replaced by an empty one. Only while down.
+  /// Replaces the disk with an empty one. Only allowed while down.
   void LoseDisk();
 
   bool running() const { return node_ != nullptr; }
@@ -36,10 +36,9 @@
   HostId host() const { return host_; }
   Incarnation incarnation() const { return incarnation_; }
   void SetClockRate(double rate);
-  /// The time of day is off by so much, also in the lives to come.
-  void SetTimeOfDay(Duration ahead);
-  /// The process stands still, its clocks go on. What reaches it meanwhile is for the caller to
-  /// hold.
+  /// Sets the offset of the wall clock for this and all later incarnations.
+  void SetWallClockOffset(Duration offset);
+  /// Pauses the process while its clocks go on. The caller must hold back incoming messages.
   void Suspend();
   void Wake();
 
@@ -48,19 +47,19 @@
   void KillProcess();
   ControlNodeOptions Options() const;
 
-  Surroundings& surroundings_;
+  RunContext& context_;
   const DeploymentPlan& deployment_;
   NodePlan plan_;
   std::shared_ptr<const ProductFaults> faults_;
   bool tail_handling_;
   uint64_t snapshot_after_entries_;
   HostId host_;
-  /// Of the time before the first start, for the disk.
+  /// Used by the disk while no process runs.
   VirtualEnvironment boot_environment_;
   MemoryFileSystem disk_;
   Incarnation incarnation_;
   double clock_rate_ = 1.0;
-  Duration time_of_day_ahead_{0};
+  Duration wall_clock_offset_{0};
   bool suspended_ = false;
   int down_reasons_ = 1;
   std::unique_ptr<VirtualEnvironment> environment_;
--- a/simulator/run/show_history.h
+++ b/simulator/run/show_history.h
@@ -1,4 +1,4 @@
-/// Writes a history as text, one line a record, for people who look for the cause of a failure.
+/// Writes a history as text, one line per record, for the analysis of failures.
 #pragma once
 
 #include <ostream>
@@ -7,7 +7,7 @@
 
 namespace millstair::simulator {
 
-/// Faults, calls that did not complete, demands, operators' changes and the trainers' reads.
+/// Writes faults, incomplete calls, demands, operators' changes and trainers' reads.
 void ShowHistory(const checks::History& history, std::ostream& out);
 
 }  // namespace millstair::simulator
--- a/test/simulator/broken_variants_test.cc
+++ b/test/simulator/broken_variants_test.cc
@@ -1,4 +1,4 @@
-/// Each check is proved by a product that is broken on purpose: some seed must catch it.
+/// Verifies the checks by fault injection: each faulty variant of the product must be detected.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <functional>
@@ -12,22 +12,22 @@
 
 struct Variant {
   std::string name;
-  std::function<void(ProductFaults&)> break_it;
-  /// Checks that may catch it; one of them must.
-  std::vector<std::string> caught_by;
-  /// Faults that bring it to light.
+  std::function<void(ProductFaults&)> inject;
+  /// At least one of these checks must detect the variant.
+  std::vector<std::string> detected_by;
+  /// Faults under which the variant shows.
   std::vector<FaultKind> faults;
-  /// Makes what the variant breaks happen more often.
+  /// Makes the affected operations more frequent.
   std::function<void(FleetOptions&)> tune = nullptr;
 };
 
 constexpr uint64_t kSeeds = 16;
 constexpr Duration kLength = std::chrono::seconds(80);
 
-/// First seed whose run is caught by one of the variant's checks; none if no seed is.
-std::optional<uint64_t> FindCaught(const Variant& variant) {
+/// First seed whose run breaks one of the variant's checks; nullopt if there is none.
+std::optional<uint64_t> FindDetectingSeed(const Variant& variant) {
   auto faults = std::make_shared<ProductFaults>();
-  variant.break_it(*faults);
+  variant.inject(*faults);
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     FleetOptions options;
     options.seed = seed;
@@ -36,9 +36,9 @@
     options.product_faults = faults;
     if (variant.tune) variant.tune(options);
     for (const checks::CheckResult& check : RunFleet(options).checks) {
-      const bool due = std::find(variant.caught_by.begin(), variant.caught_by.end(), check.name) !=
-                       variant.caught_by.end();
-      if (due && check.broken > 0) return seed;
+      const bool expected = std::find(variant.detected_by.begin(), variant.detected_by.end(),
+                                      check.name) != variant.detected_by.end();
+      if (expected && check.broken > 0) return seed;
     }
   }
   return std::nullopt;
@@ -112,11 +112,11 @@
 
 }  // namespace
 
-TEST_CASE("Every product variant that is broken on purpose is caught", "[simulator][variants]") {
+TEST_CASE("Every faulty variant of the product is detected", "[simulator][variants]") {
   DisableEventLog();
   for (const Variant& variant : Variants()) {
     INFO(variant.name);
-    CHECK(FindCaught(variant).has_value());
+    CHECK(FindDetectingSeed(variant).has_value());
   }
 }
 
--- a/test/simulator/trace_test.cc
+++ b/test/simulator/trace_test.cc
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("Faults in a trace are told with their line", "[simulator]") {
+TEST_CASE("Errors in a trace are reported with their line", "[simulator]") {
   const auto unknown = ParseTrace("name: a\nreplays: b\nwrong: c\n");
   REQUIRE_FALSE(unknown.ok());
   CHECK(std::string(unknown.status().message()) == "line 3: unknown key 'wrong'");
@@ -37,16 +37,16 @@
       "name: a\nreplays: b\ndeployment: khosa\nseed: 1\nseconds: 80\nfaults:\n"
       "  - {kind: earthquake, at: 1, for: 2}\noutcome: {}\n");
   REQUIRE_FALSE(fault.ok());
-  CHECK(std::string(fault.status().message()).starts_with("line 7: no fault"));
+  CHECK(std::string(fault.status().message()).starts_with("line 7: unknown fault"));
 }
 
-TEST_CASE("An outcome that differs is told", "[simulator]") {
+TEST_CASE("Differences from the stated outcome are reported", "[simulator]") {
   FleetResult result;
   result.checks.push_back({.name = "staleness", .tried = 3, .broken = 1, .first_example = "old"});
-  result.measures.steps_whole = 2;
+  result.measures.steps_completed = 2;
   result.measures.cut = 1;
   const StatedOutcome stated{
-      .faults = {{"delay", 1}}, .tried = {{"staleness", 4}}, .steps_whole = 3, .cut = 0};
+      .faults = {{"delay", 1}}, .tried = {{"staleness", 4}}, .steps_completed = 3, .cut = 0};
   CHECK(CompareOutcome(stated, result) ==
         std::vector<std::string>{
             "staleness broken: old", "cases of staleness: 3 instead of at least 4",
@@ -54,7 +54,7 @@
             "1 answers cut instead of at most 0"});
 }
 
-TEST_CASE("Every recorded trace can be read", "[simulator]") {
+TEST_CASE("Every recorded trace can be parsed", "[simulator]") {
   REQUIRE(TraceFiles().size() >= 9);
   for (const std::filesystem::path& path : TraceFiles()) {
     INFO(path.filename().string());
