--- a/emulator/model/batch_scheduler.cc
+++ b/emulator/model/batch_scheduler.cc
@@ -98,7 +98,7 @@
 }
 
 void BatchScheduler::ReleaseMemory(Sequence& sequence) {
-  // Later blocks first, so that a prefix outlives what follows it.
+  // Releases later blocks first, so that a prefix is evicted after the blocks that extend it.
   while (!sequence.blocks.empty()) {
     cache_.Release(sequence.blocks.back());
     sequence.blocks.pop_back();
@@ -122,7 +122,7 @@
   for (uint32_t i = 0; i < missing; ++i) sequence.blocks.push_back(*cache_.Allocate());
   sequence.published = hits;
   sequence.spans_swap = false;
-  // The last token is always processed, as its result is needed.
+  // The last token is always processed, as its output is needed.
   const uint32_t known = sequence.text.tokens();
   sequence.prefill_left = std::max(1U, known - std::min(known, hits * kPrefixBlockTokens));
   counts_.prefix_blocks_reused += hits;
@@ -219,7 +219,7 @@
   counts_.steps += plan.steps;
   counts_.prefill_tokens += plan.prefill_tokens;
   for (Sequence* sequence : batch) {
-    // Preempted by an earlier one of this batch.
+    // Preempted by an earlier sequence of this batch.
     if (!sequence->running) continue;
     uint32_t tokens = plan.steps;
     if (sequence->prefill_left > 0) {
--- a/emulator/model/batch_scheduler.h
+++ b/emulator/model/batch_scheduler.h
@@ -1,5 +1,5 @@
-/// Continuous batching: which sequences run, wait or are preempted, and what one run of batch
-/// steps does to them. Pure: time and callbacks lie with the engine model.
+/// Continuous batching: selects which sequences run, wait or are preempted, and applies batch steps
+/// to them. No timers or callbacks; the engine model provides those.
 #pragma once
 
 #include <cstdint>
@@ -19,39 +19,39 @@
 
 namespace millstair {
 
-/// Handle of a sequence; the same number as its GenerationId.
+/// Identifies a sequence; equal to its GenerationId.
 using SequenceId = uint64_t;
 
-/// One generation as the batch sees it.
+/// Scheduling state of one generation.
 struct Sequence {
   SequenceId id = 0;
   std::string request_id;
   RequestPriority priority = RequestPriority::kLive;
   PromptSeed seed;
-  /// Tokens of the whole generation, resumed ones included.
+  /// Tokens of the complete generation, including resumed ones.
   uint32_t length = 0;
-  /// Tokens of the generation so far, resumed ones included.
+  /// Tokens generated so far, including resumed ones.
   uint32_t generated = 0;
-  /// Hashes of all whole blocks of prompt and generated tokens.
+  /// Hashes of all full blocks of prompt and generated tokens.
   PrefixHasher text;
 
   bool running = false;
-  /// Tokens still to be processed before the next one can be generated.
+  /// Tokens to process before the next one can be generated.
   uint32_t prefill_left = 0;
-  /// KV blocks held, in the order of the text.
+  /// KV blocks held, in text order.
   std::vector<BlockIndex> blocks;
-  /// How many leading ones of `blocks` have their content in the cache.
+  /// Number of leading `blocks` whose content is in the cache.
   uint32_t published = 0;
-  /// The weights changed under the blocks held: what follows is not shared either.
+  /// The weights changed while blocks were held, so later blocks are not shared either.
   bool spans_swap = false;
 
-  /// Tokens that have not been sent yet; all of one version.
+  /// Tokens not sent yet; all of one version.
   std::vector<std::string> unsent;
 
   bool finished() const { return generated >= length; }
 };
 
-/// What the next run of batch steps consists of.
+/// The next run of batch steps.
 struct StepPlan {
   uint32_t steps = 0;
   uint32_t decoding = 0;
@@ -59,33 +59,34 @@
   bool empty() const { return steps == 0; }
 };
 
-/// Time of the whole run.
+/// Duration of the complete run.
 Duration TimeOf(const StepPlan& plan, const StepTimeOptions& times);
 
 class BatchScheduler {
  public:
   BatchScheduler(const EngineModelOptions& options, KvCache& cache, EngineCounts& counts);
 
-  /// Whether a sequence of that many tokens fits in the memory at all.
+  /// Whether a sequence of `tokens` tokens fits in the memory when it is otherwise empty.
   bool Fits(uint64_t tokens) const;
-  /// Puts a sequence at the end of those of its priority.
+  /// Enqueues a sequence behind those of the same priority.
   void Add(std::unique_ptr<Sequence> sequence);
-  /// None if there is no such sequence.
+  /// Null if there is no such sequence.
   Sequence* Find(SequenceId id);
-  /// Gives up the sequence and its memory.
+  /// Removes the sequence and releases its memory.
   std::unique_ptr<Sequence> Remove(SequenceId id);
-  /// Ids of all sequences, in the order of their arrival.
+  /// Ids of all sequences, in arrival order.
   std::vector<SequenceId> All() const;
 
-  /// Ids of the sequences with tokens that were not sent, in the order of their arrival.
+  /// Ids of the sequences with unsent tokens, in arrival order.
   std::vector<SequenceId> WithUnsent() const;
 
-  /// Lets waiting sequences in, preempting others for more urgent ones, and plans the next run.
+  /// Admits waiting sequences, preempting less urgent ones, and plans the next run.
   StepPlan Plan();
-  /// Does the planned run with weights that generate `version`; ids of the sequences with a chunk
-  /// to send, in the order in which they run.
+  /// Executes the planned run with weights that generate `version`. Returns the ids of the
+  /// sequences with a chunk to send, in the order in which they run.
   std::vector<SequenceId> Apply(const StepPlan& plan, WeightVersion version);
-  /// The weights change: what running sequences hold, and what follows it, is not shared any more.
+  /// Called on a weight change: the blocks of running sequences, and later ones, are no longer
+  /// shared.
   void StopSharing();
 
   uint32_t running() const { return static_cast<uint32_t>(running_.size()); }
@@ -94,7 +95,7 @@
   bool empty() const { return sequences_.empty(); }
 
  private:
-  /// Order of waiting: more urgent first, then by arrival.
+  /// Queue order: more urgent first, then by arrival.
   struct WaitKey {
     uint8_t reverse_priority = 0;
     SequenceId id = 0;
@@ -105,18 +106,18 @@
   void Wait(Sequence& sequence);
   void StopWaiting(Sequence& sequence);
   void AdmitWaiting();
-  /// Takes memory for the tokens known so far and one more. False if there is not enough.
+  /// Allocates memory for the known tokens and one more. False if there is not enough.
   bool TakeMemory(Sequence& sequence);
   void ReleaseMemory(Sequence& sequence);
-  /// The least urgent, latest running sequence; none if nothing runs.
+  /// The least urgent running sequence, the latest among equals; null if nothing runs.
   Sequence* Victim() const;
   void Preempt(Sequence& sequence);
   void StopRunning(const Sequence& sequence);
 
   uint32_t Prefill(Sequence& sequence, uint32_t budget);
   void Decode(Sequence& sequence, uint32_t tokens, WeightVersion version);
-  /// Shares whole blocks through the cache and takes a block for the next token, preempting if
-  /// there is none. False if the sequence itself was preempted.
+  /// Publishes full blocks to the cache and allocates a block for the next token, preempting if
+  /// none is free. False if the sequence itself was preempted.
   bool ExtendMemory(Sequence& sequence);
   void PublishWholeBlocks(Sequence& sequence);
 
--- a/emulator/model/cache_event_log.h
+++ b/emulator/model/cache_event_log.h
@@ -1,4 +1,4 @@
-/// Numbered cache events of one engine life: readable after a delay, some lost.
+/// Numbered cache events of one engine incarnation: readable after a delay, some lost.
 #pragma once
 
 #include <cstdint>
@@ -15,11 +15,11 @@
   CacheEventLog(Environment& environment, const EngineModelOptions& options);
 
   void Append(bool stored, BlockHash block);
-  /// Events later than `after` that can be read now; `gap` if a number among them is missing.
+  /// Readable events later than `after`; sets `gap` if a number among them is missing.
   CacheEvents Read(uint64_t after, Incarnation incarnation) const;
-  /// Number of the newest event, readable or not.
+  /// Number of the newest event, including those not readable yet.
   uint64_t newest() const { return newest_; }
-  /// Forgets everything and counts from 1 again.
+  /// Removes all events and restarts numbering at 1.
   void Reset();
 
  private:
@@ -27,7 +27,7 @@
     CacheEvent event;
     TimePoint readable_at;
   };
-  /// Longest answer to one reading.
+  /// Maximum number of events returned by one read.
   static constexpr size_t kMaxEventsPerRead = 8192;
 
   Environment& environment_;
--- a/emulator/model/engine_generate.cc
+++ b/emulator/model/engine_generate.cc
@@ -24,7 +24,7 @@
     return fmt::format("adapter {} is not loaded", request.adapter);
   }
   if (memory_->batch.waiting() >= options_.max_waiting) return "too many requests wait";
-  // A word takes at least two bytes, so most prompts need not be counted.
+  // A token takes at least two bytes of text, so the tokens of most prompts need not be counted.
   uint64_t most_tokens = request.prompt.size() / 2 + 1 + request.max_tokens;
   if (!memory_->batch.Fits(most_tokens)) {
     most_tokens = uint64_t{CountTokens(request.prompt)} + request.max_tokens;
@@ -104,7 +104,7 @@
 
 void EngineModel::Impl::AddToBatch(std::unique_ptr<Sequence> sequence) {
   if (sequence->finished()) {
-    // Resumed at its end: only the finishing chunk is missing.
+    // Resumed when all tokens were generated: only the finishing chunk is missing.
     const SequenceId id = sequence->id;
     memory_->batch.Add(std::move(sequence));
     After(Duration(0), [this, id] { Send({id}); });
@@ -190,7 +190,7 @@
     observer->OnChunk(chunk);
     if (life_ != life) return false;
   }
-  // Callbacks may have brought work while no tick could be scheduled.
+  // Callbacks may have added work while no tick could be scheduled.
   if (!was_busy) After(Duration(0), [this] { StartTick(); });
   return true;
 }
--- a/emulator/model/engine_model.cc
+++ b/emulator/model/engine_model.cc
@@ -1,4 +1,4 @@
-// Life, state and reports of an engine model, and the public face of it.
+// State, restarts and reports of an engine model, and its public interface.
 #include "emulator/model/engine_model.h"
 
 #include <utility>
--- a/emulator/model/engine_model.h
+++ b/emulator/model/engine_model.h
@@ -1,7 +1,7 @@
-/// Model of a model engine: continuous batching, KV memory with shared prefix blocks, priorities
-/// with preemption, fenced orders. No I/O and no clock of its own: it runs on an Environment, in
-/// virtual time (simulator) or real time (emulator). All calls and callbacks happen on the
-/// environment's serial executor. Callbacks may call back into the model.
+/// Simulates an inference engine: continuous batching, KV memory with shared prefix blocks,
+/// priorities with preemption, and fenced orders. No I/O and no clock of its own: it runs on an
+/// Environment, in virtual time (simulator) or real time (emulator). All calls and callbacks run on
+/// the environment's serial executor. Callbacks may call back into the model.
 #pragma once
 
 #include <cstdint>
@@ -20,10 +20,10 @@
 
 namespace millstair {
 
-/// Handle of one generation in one model; 0 is none.
+/// Identifies a generation within one model; 0 is none.
 using GenerationId = StrongId<struct GenerationIdTag, uint64_t>;
 
-/// KV blocks handed from one engine to another. Content-addressed: the leading blocks of a text.
+/// KV blocks transferred between engines, identified by content: the leading blocks of a text.
 struct KvExport {
   Incarnation incarnation;
   ModelName model;
@@ -31,15 +31,15 @@
   std::vector<BlockHash> blocks;
 };
 
-/// What an engine needs from outside. An empty function has a default.
+/// External dependencies of an engine. An empty function has a default.
 struct EngineModelLinks {
-  /// Fetches `location` from the weight store and gives the digest of its bytes (empty: unknown).
-  /// Default: takes default_fetch_time and succeeds.
+  /// Fetches `location` from the weight store and returns the digest of its bytes (empty: unknown).
+  /// Default: succeeds after default_fetch_time.
   std::function<void(const std::string& location,
                      std::function<void(absl::StatusOr<WeightDigest>)> done)>
       fetch_weights;
-  /// Asks the engine at `address` which leading ones of `blocks` it can export. Default: fails, and
-  /// the blocks are recomputed.
+  /// Requests the leading `blocks` that the engine at `address` can export. Default: fails, and the
+  /// blocks are recomputed.
   std::function<void(const std::string& address, const std::vector<BlockHash>& blocks,
                      std::function<void(absl::StatusOr<KvExport>)> done)>
       fetch_kv;
@@ -52,52 +52,52 @@
   EngineModel(const EngineModel&) = delete;
   EngineModel& operator=(const EngineModel&) = delete;
 
-  /// Starts a generation. `observer` hears of it until a finishing chunk, OnFailed, or Cancel;
-  /// never from within this call. A refusal comes as OnFailed(kRefused), with `leaving` set while
-  /// draining; a crashed engine answers kNotSent.
+  /// Starts a generation. `observer` is called until a finishing chunk, OnFailed, or Cancel, but
+  /// never from within this call. A refusal is reported as OnFailed(kRefused), with `leaving` set
+  /// while draining; a crashed engine reports kNotSent.
   GenerationId Generate(GenerateRequest request, GenerateObserver& observer);
-  /// Ends a generation; its observer hears no more. No effect on one that has ended.
+  /// Ends a generation; its observer is not called again. No effect if it has ended.
   void Cancel(GenerationId id);
 
-  /// `done` gets OK; FailedPrecondition for a smaller fence or an impossible order; Aborted for a
-  /// swap that failed partway; DataLoss for a digest that does not match; Unavailable when
-  /// crashed (also for orders under way in a crash).
+  /// `done` receives OK; FailedPrecondition for a smaller fence or an order that cannot be applied;
+  /// Aborted for a swap that failed partway; DataLoss for a digest mismatch; Unavailable when
+  /// crashed (also for orders in progress at a crash).
   void ApplyOrder(const EngineOrder& order, std::function<void(absl::Status)> done);
 
-  /// State as it was `report_lag` ago. Unavailable when crashed.
+  /// State as of `report_lag` ago. Unavailable when crashed.
   absl::StatusOr<EngineReport> Report() const;
-  /// Cache events later than `after` that have become readable; with `resync` the blocks held now.
+  /// Readable cache events later than `after`; with `resync`, the blocks held now.
   absl::StatusOr<CacheEvents> CacheEventsAfter(uint64_t after, bool resync) const;
 
-  /// The leading ones of `blocks` that the cache holds.
+  /// The leading `blocks` that are in the cache.
   absl::StatusOr<KvExport> ExportKv(const std::vector<BlockHash>& blocks) const;
-  /// Takes exported blocks into the cache. FailedPrecondition if they are of other weights.
+  /// Adds exported blocks to the cache. FailedPrecondition if they belong to other weights.
   absl::Status ImportKv(const KvExport& exported);
 
-  /// Refuses new generations from now on and finishes those under way.
+  /// Refuses new generations and completes those in progress.
   void Drain();
-  /// Takes a drain back.
+  /// Cancels a drain.
   void Undrain();
   bool draining() const;
-  /// Nothing runs or waits.
+  /// True if no generation runs or waits.
   bool Idle() const;
 
-  /// Ends the process: streams fail (kCut, or kUnknown before their first chunk), cache, staged
-  /// weights, adapters and fence are lost.
+  /// Simulates a process crash: streams fail (kCut, or kUnknown before their first chunk); cache,
+  /// staged weights, adapters and fence are lost.
   void Crash();
-  /// Starts again with a new incarnation and the initial weights.
+  /// Starts a new incarnation with the initial weights.
   void Restart();
   bool running() const;
 
-  /// The next Activate fails after half of the shards.
+  /// Makes the next Activate fail after half of the shards.
   void FailNextActivation();
-  /// Changes step times from the next step on.
+  /// Takes effect from the next step.
   void SetStepTime(const StepTimeOptions& step_time);
 
   Incarnation incarnation() const;
   const TruthLog& truth() const;
   const EngineCounts& counts() const;
-  /// State as it is now, without the lag; for checkers and tests.
+  /// Current state, without the lag; for checkers and tests.
   EngineReport CurrentReport() const;
 
  private:
--- a/emulator/model/engine_model_impl.h
+++ b/emulator/model/engine_model_impl.h
@@ -1,4 +1,5 @@
-/// Inside of EngineModel: joins batching, memory, weights and reports to time and callbacks.
+/// Implementation of EngineModel: drives batching, memory, weights and reports by timers and
+/// callbacks.
 #pragma once
 
 #include <cstdint>
@@ -34,7 +35,7 @@
   void SetDraining(bool draining);
   void Crash();
   void Restart();
-  /// The owner has gone: no callback runs any more.
+  /// Called when the owner is destroyed: no callback runs afterwards.
   void Close();
   EngineReport CurrentReport() const;
 
@@ -48,7 +49,7 @@
   const EngineCounts& counts() const { return counts_; }
 
  private:
-  /// A generation whose observer waits.
+  /// A generation that has not ended.
   struct Open {
     GenerateObserver* observer = nullptr;
     std::string request_id;
@@ -56,12 +57,12 @@
     bool chunk_sent = false;
   };
   using OrderId = uint64_t;
-  /// A weight fetch under way and the orders that wait for it.
+  /// A weight fetch in progress and the orders that wait for it.
   struct Fetch {
     WeightsId weights;
     std::vector<OrderId> orders;
   };
-  /// Everything that a crash wipes out.
+  /// State that is lost in a crash.
   struct Memory {
     Memory(Environment& environment, const EngineModelOptions& options, EngineCounts& counts);
     CacheEventLog cache_events;
@@ -72,7 +73,7 @@
     std::optional<OrderId> swap_order;
   };
 
-  /// Runs `callback` after `delay` unless the engine crashed or went in between.
+  /// Runs `callback` after `delay` unless the engine has crashed or been destroyed by then.
   void After(Duration delay, std::function<void()> callback);
 
   // Generations (engine_generate.cc).
@@ -84,7 +85,7 @@
   void EnsureTick();
   void StartTick();
   void FinishTick();
-  /// Sends the chunks of `ids`; false if a callback ended this life of the engine.
+  /// Sends the chunks of `ids`; false if a callback ended this incarnation of the engine.
   bool Send(const std::vector<SequenceId>& ids);
   GenerateChunk TakeChunk(Sequence& sequence);
 
@@ -117,7 +118,7 @@
   std::shared_ptr<const EngineReport> state_;
 
   Incarnation incarnation_;
-  /// Counts up at each crash; callbacks of earlier lives do nothing.
+  /// Incremented at each crash and by Close; callbacks scheduled before that do nothing.
   uint64_t life_ = 1;
   bool running_ = true;
   bool draining_ = false;
@@ -129,10 +130,10 @@
   std::map<OrderId, OrderDone> orders_;
 
   StepPlan plan_;
-  /// A run of steps is under way, a start is scheduled, or chunks are being sent.
+  /// A run of steps is in progress, a start is scheduled, or chunks are being sent.
   bool tick_busy_ = false;
   Duration smoothed_step_{0};
-  /// Blocks evicted in earlier lives.
+  /// Blocks evicted in earlier incarnations.
   uint64_t evicted_before_ = 0;
 };
 
--- a/emulator/model/engine_orders.cc
+++ b/emulator/model/engine_orders.cc
@@ -125,7 +125,7 @@
   absl::Status begun = weights.BeginSwap({order.model, order.version, order.digest});
   if (!begun.ok()) return CloseOrderLater(id, std::move(begun));
   memory_->swap_order = id;
-  // Steps under way end first; the swap then begins in place of the next ones.
+  // Steps in progress complete first; the swap starts before the next ones.
   if (tick_busy_) return;
   tick_busy_ = true;
   After(Duration(0), [this] { StartTick(); });
--- a/emulator/model/generated_text.cc
+++ b/emulator/model/generated_text.cc
@@ -28,7 +28,7 @@
   return static_cast<double>(hash >> 11) / static_cast<double>(1ULL << 53);
 }
 
-/// Share of max_tokens that a generation uses.
+/// Fraction of max_tokens that a generation uses.
 double LengthShare(uint64_t hash) {
   const double kind = UnitOf(hash);
   const double position = UnitOf(Scramble(hash + kIndexStep));
--- a/emulator/model/http_answers.cc
+++ b/emulator/model/http_answers.cc
@@ -9,7 +9,7 @@
 namespace millstair {
 namespace {
 
-/// A body on its way out. Kept alive by the writer's callback until all is sent.
+/// A response body being sent. The writer's callback owns it until all is sent.
 struct PendingBody {
   std::shared_ptr<ResponseWriter> writer;
   std::string body;
--- a/emulator/model/http_answers.h
+++ b/emulator/model/http_answers.h
@@ -1,4 +1,4 @@
-/// Answers that the models of HTTP servers share.
+/// Responses shared by the models of HTTP servers.
 #pragma once
 
 #include <memory>
@@ -16,13 +16,13 @@
 
 /// 200 with a JSON body.
 void RespondJson(const std::shared_ptr<ResponseWriter>& writer, std::string json);
-/// Problem answer of a request that was refused before it ran.
+/// Problem response for a request that was refused before it ran.
 void RespondNotRun(const std::shared_ptr<ResponseWriter>& writer, int status, bool draining,
                    const std::string& detail);
 /// 404 for a path that is not served.
 void RespondNotFound(const std::shared_ptr<ResponseWriter>& writer, std::string_view target);
 
-/// Sends head and body as room appears, then finishes.
+/// Sends head and body as the writer has capacity, then finishes.
 void SendWhole(std::shared_ptr<ResponseWriter> writer, HttpResponseHead head, std::string body);
 
 }  // namespace millstair
--- a/emulator/model/kv_cache.h
+++ b/emulator/model/kv_cache.h
@@ -1,5 +1,5 @@
-/// KV memory of an engine model: blocks of kPrefixBlockTokens tokens, shared by content, with the
-/// least recently used unreferenced ones given up first.
+/// KV memory of an engine model: blocks of kPrefixBlockTokens tokens, shared by content; evicts the
+/// least recently used unreferenced blocks first.
 #pragma once
 
 #include <cstdint>
@@ -12,38 +12,40 @@
 
 namespace millstair {
 
-/// Position of a block in the memory.
+/// Index of a block in the memory.
 using BlockIndex = uint32_t;
 
 class KvCache {
  public:
-  /// Hears of each prefix block that enters (`stored`) or leaves the cache.
+  /// Called for each prefix block that enters (`stored`) or leaves the cache.
   using Listener = std::function<void(bool stored, BlockHash hash)>;
 
   KvCache(uint32_t total_blocks, Listener listener);
 
-  /// A block without content, held once by the caller; evicts if needed. None if all are held.
+  /// Allocates a block without content, with one reference; evicts if needed. nullopt if all are
+  /// referenced.
   std::optional<BlockIndex> Allocate();
   /// Whether `count` blocks can be allocated now.
   bool CanAllocate(uint32_t count) const { return count <= available(); }
-  /// Holds the block with content `hash` once more. None if it is not cached.
+  /// Adds a reference to the block with content `hash`. nullopt if it is not cached.
   std::optional<BlockIndex> Share(BlockHash hash);
-  /// Gives a held block its content. If another block has it already, that one is held instead;
-  /// the block to hold from now on is returned.
+  /// Sets the content of a referenced block. If another block already has it, the reference moves
+  /// to that one. Returns the block to use from now on.
   BlockIndex Publish(BlockIndex index, BlockHash hash);
-  /// Gives up one hold. A cached block stays until it is evicted.
+  /// Releases one reference. A cached block stays until it is evicted.
   void Release(BlockIndex index);
-  /// Forgets all contents, as their weights have gone. Held blocks stay held, without content.
+  /// Discards all contents after a weight change. Referenced blocks stay allocated, without
+  /// content.
   void ForgetContents();
 
   bool Contains(BlockHash hash) const { return by_hash_.contains(hash); }
-  /// How many leading ones of `hashes` are cached.
+  /// Number of leading `hashes` that are cached.
   uint32_t LeadingHits(const std::vector<BlockHash>& hashes) const;
-  /// All cached hashes, in the order of their blocks.
+  /// All cached hashes, in block order.
   std::vector<BlockHash> Contents() const;
 
   uint32_t total() const { return static_cast<uint32_t>(blocks_.size()); }
-  /// Blocks that nobody holds: free or evictable.
+  /// Number of unreferenced blocks: free or evictable.
   uint32_t available() const { return static_cast<uint32_t>(free_.size()) + evictable_; }
   uint64_t evicted() const { return evicted_; }
 
--- a/emulator/model/machine_list_model.cc
+++ b/emulator/model/machine_list_model.cc
@@ -44,7 +44,7 @@
     std::vector<MachineEntry> listed;
     const TimePoint now = environment_.Now();
     for (const auto& [address, changes] : machines_) {
-      // The last change that shows wins, also over an earlier one that shows later.
+      // The latest change that is visible wins, even if an earlier one becomes visible after it.
       for (auto change = changes.rbegin(); change != changes.rend(); ++change) {
         if (change->shows_at > now) continue;
         listed.push_back({address, change->state});
--- a/emulator/model/plain_server_model.cc
+++ b/emulator/model/plain_server_model.cc
@@ -34,7 +34,7 @@
  private:
   using ExchangeId = uint64_t;
 
-  /// Counts the execution; its number for this key.
+  /// Records the execution and returns its number for this key.
   uint64_t Execute(const HttpRequest& request);
   std::string AnswerTo(const HttpRequest& request, uint64_t execution) const;
   void Answer(ExchangeId id, std::string body);
@@ -43,7 +43,7 @@
   Environment& environment_;
   PlainServerOptions options_;
   ExchangeId next_exchange_ = 1;
-  /// Requests that ran and await their answer.
+  /// Requests that ran and whose response is pending.
   std::map<ExchangeId, std::shared_ptr<ResponseWriter>> exchanges_;
 };
 
@@ -60,7 +60,7 @@
 void PlainServerModel::Impl::Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) {
   if (!running_) return writer->Abort();
   if (PathOf(request.target) == kReadinessPath) {
-    // A question about the server is not work for it, so it is not counted.
+    // Readiness probes are not counted as requests.
     if (draining_) return RespondNotRun(writer, 503, true, "the server is leaving");
     return RespondJson(writer, R"({"ready":true})");
   }
--- a/emulator/model/report_history.h
+++ b/emulator/model/report_history.h
@@ -1,4 +1,4 @@
-/// Figures of an engine model over the last moments, so that reports can lag.
+/// Recent load figures of an engine model, so that reports can lag behind.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace millstair {
 
-/// The figures that change with every batch step.
+/// Figures that change with every batch step.
 struct LoadFigures {
   uint32_t running_sequences = 0;
   uint32_t waiting_sequences = 0;
@@ -20,17 +20,17 @@
   uint64_t newest_cache_event = 0;
 };
 
-/// `report` with the figures of `load`.
+/// Returns `report` with the figures of `load`.
 EngineReport WithLoad(EngineReport report, const LoadFigures& load);
 
 class ReportHistory {
  public:
   explicit ReportHistory(Duration lag) : lag_(lag) {}
 
-  /// Notes the figures as they are from `now` on. `state` holds all else of a report and is shared
-  /// between entries.
+  /// Records the figures from `now` on. `state` contains the other fields of the report and is
+  /// shared between entries.
   void Record(TimePoint now, const LoadFigures& load, std::shared_ptr<const EngineReport> state);
-  /// The report as it was `lag` before `now`, or the oldest one. Needs one recorded entry.
+  /// The report as of `lag` before `now`, or the oldest one. Requires at least one entry.
   EngineReport At(TimePoint now) const;
   void Clear() { entries_.clear(); }
 
--- a/emulator/model/weight_state.cc
+++ b/emulator/model/weight_state.cc
@@ -54,7 +54,7 @@
   if (Holds(weights)) return;
   staged_.push_back(std::move(weights));
   if (staged_.size() <= max_staged_) return;
-  // The target of a swap under way is never the one dropped.
+  // The target of a swap in progress is never dropped.
   const bool front_is_target = swapping() && staged_.front() == swap_target_;
   staged_.erase(staged_.begin() + (front_is_target ? 1 : 0));
 }
--- a/emulator/model/weight_state.h
+++ b/emulator/model/weight_state.h
@@ -1,5 +1,5 @@
-/// Weights, adapters and role that an engine model holds, and the rules by which orders change
-/// them. No time passes here: the engine model calls it when fetches and swaps end.
+/// Weights, adapters and role of an engine model, and the rules by which orders change them. Has no
+/// timers: the engine model calls it when fetches and swaps end.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace millstair {
 
-/// One set of weights.
+/// Identifies one set of weights.
 struct WeightsId {
   ModelName model;
   WeightVersion version;
@@ -26,23 +26,24 @@
  public:
   WeightState(const InitialWeights& initial, std::string role, uint32_t max_staged);
 
-  /// Refuses a fence smaller than the largest one seen; else notes it. FailedPrecondition.
+  /// Records the fence; FailedPrecondition if it is smaller than the largest one seen.
   absl::Status AcceptFence(Revision fence);
 
-  /// Whether the weights are held, staged or active.
+  /// True if the weights are staged or active.
   bool Holds(const WeightsId& weights) const;
   bool IsActive(const WeightsId& weights) const;
-  /// Fails if other bytes are known under the same model and version. FailedPrecondition.
+  /// FailedPrecondition if the same model and version is held with another digest, or for version
+  /// 0.
   absl::Status CheckStage(const WeightsId& weights) const;
   void AddStaged(WeightsId weights);
   void Unload(const ModelName& model, WeightVersion version);
 
-  /// Begins a swap to staged weights. FailedPrecondition if they are not staged or a swap is under
-  /// way; DataLoss if the staged bytes have another digest. An empty digest fits all.
+  /// Starts a swap to staged weights. FailedPrecondition if they are not staged or a swap is in
+  /// progress; DataLoss if they are staged with another digest. An empty digest matches any.
   absl::Status BeginSwap(const WeightsId& weights);
-  /// All shards hold the new weights.
+  /// Called when all shards hold the new weights.
   void FinishSwap();
-  /// Some shards hold the new weights and the others the old.
+  /// Called when only some shards hold the new weights.
   void FailSwap();
 
   void AddAdapter(const std::string& name) { adapters_.insert(name); }
@@ -50,16 +51,16 @@
   bool HasAdapter(const std::string& name) const { return adapters_.contains(name); }
   void SetRole(std::string role) { role_ = std::move(role); }
 
-  /// What the engine says that it serves. While mixed: the version it was to swap to, with a mixed
-  /// digest.
+  /// The weights that the engine reports. While mixed: the target version of the failed swap, with
+  /// a mixed digest.
   const WeightsId& active() const { return active_; }
-  /// Version whose tokens come out; a mixed version while the shards differ.
+  /// Version of the generated tokens; a mixed version while the shards differ.
   WeightVersion generating_version() const;
   ShardState shards() const { return shards_; }
   bool swapping() const { return shards_ == ShardState::kSwapping; }
   bool mixed() const { return mixed_; }
 
-  /// Puts the weights, shards, fence and role into `report`.
+  /// Sets the weights, shards, fence and role in `report`.
   void Describe(EngineReport& report) const;
 
  private:
--- a/emulator/model/weight_store_model.cc
+++ b/emulator/model/weight_store_model.cc
@@ -44,9 +44,9 @@
   };
 
   Version Find(const std::string& location) const;
-  /// Fills the bucket up to now.
+  /// Refills the bucket for the time since the last call.
   void Refill();
-  /// Time until the bucket is out of debt.
+  /// Time until the bucket level is no longer negative.
   Duration TimeToClear() const;
   void HandleGet(const std::string& location, std::shared_ptr<ResponseWriter> writer);
   void HandlePut(const std::string& location, const std::string& body,
@@ -55,7 +55,7 @@
   Environment& environment_;
   WeightStoreOptions options_;
   std::map<std::string, Version> versions_;
-  /// Bytes in the bucket; below zero are those promised to waiting readings.
+  /// Bytes in the bucket; a negative level is reserved for waiting reads.
   double level_;
   TimePoint level_at_;
   uint32_t waiting_ = 0;
