--- a/emulator/delay_pipe.cc
+++ b/emulator/delay_pipe.cc
@@ -33,7 +33,7 @@
   timer_.cancel();
   queue_.clear();
   ended_ = nullptr;
-  // Handlers under way hold the pipe; the owner must not be held by it any longer.
+  // Pending handlers hold the pipe; the pipe must no longer hold its owner.
   owner_.reset();
 }
 
@@ -66,7 +66,7 @@
   timer_.async_wait([self = shared_from_this(), owner = owner_](error_code) {
     if (self->closed_) return;
     self->writing_ = false;
-    // Stalled while it waited: the piece goes out after the stall.
+    // If the pipe was stalled meanwhile, the piece is sent after the stall.
     if (!self->stalled_) self->WritePiece();
   });
 }
--- a/emulator/delay_pipe.h
+++ b/emulator/delay_pipe.h
@@ -1,4 +1,4 @@
-/// One direction of a relayed TCP connection: bytes come out `latency` after they went in.
+/// One direction of a relayed TCP connection: bytes are forwarded `latency` after they were read.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -16,27 +16,27 @@
 class DelayPipe : public std::enable_shared_from_this<DelayPipe> {
  public:
   using Socket = boost::asio::ip::tcp::socket;
-  /// Called once: `broken` is false for an end of stream that was passed on.
+  /// Called once; `broken` is false if the end of the stream was forwarded.
   using Ended = std::function<void(bool broken)>;
 
-  /// The sockets outlive the pipe's handlers, as `owner` holds them.
+  /// Handlers hold `owner`, which keeps the sockets alive.
   DelayPipe(std::shared_ptr<void> owner, Socket& from, Socket& to,
             std::chrono::microseconds latency, Ended ended);
 
-  /// Begins to read.
+  /// Starts reading.
   void Start();
-  /// While stalled nothing is read or written; bytes wait.
+  /// While stalled, nothing is read or written; queued bytes wait.
   void SetStalled(bool stalled);
-  /// For bytes that go in from now on.
+  /// Applies to bytes read from now on.
   void SetLatency(std::chrono::microseconds latency) { latency_ = latency; }
-  /// No handler does anything any more.
+  /// Handlers have no effect after this call.
   void Close();
 
  private:
   using Clock = std::chrono::steady_clock;
   struct Piece {
     Clock::time_point due;
-    /// Empty is the end of the stream.
+    /// Empty for the end of the stream.
     std::vector<char> bytes;
   };
   static constexpr size_t kReadBytes = 64 * 1024;
--- a/emulator/engine_flags.cc
+++ b/emulator/engine_flags.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A later process has a larger incarnation.
+/// Increases from process to process.
 uint64_t IncarnationFromClock() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
--- a/emulator/engine_flags.h
+++ b/emulator/engine_flags.h
@@ -10,7 +10,7 @@
 
 struct EngineFlags {
   std::string listen;
-  /// Address of the weight store; empty takes the default fetch time.
+  /// Address of the weight store; if empty, fetches take the default time.
   std::string store;
   Duration drain_timeout{0};
   EngineModelOptions model;
@@ -18,7 +18,7 @@
 
 boost::program_options::options_description DescribeEngineFlags();
 
-/// Values of parsed flags.
+/// Converts parsed flags to options.
 EngineFlags EngineFlagsFrom(const boost::program_options::variables_map& values);
 
 }  // namespace millstair
--- a/emulator/engine_links.cc
+++ b/emulator/engine_links.cc
@@ -9,7 +9,7 @@
 namespace millstair {
 namespace {
 
-/// One call whose whole answer is wanted. Owns itself until the answer is there.
+/// A call that collects the complete response. Owns itself until the response arrives.
 class WholeCall : public HttpCallObserver, public std::enable_shared_from_this<WholeCall> {
  public:
   using Done = std::function<void(absl::Status, const HttpResponseHead&, const std::string& body)>;
--- a/emulator/engine_links.h
+++ b/emulator/engine_links.h
@@ -1,4 +1,5 @@
-/// What an engine process gets from outside: weights from the store, KV blocks from other engines.
+/// External dependencies of an engine process: weights from the store, KV blocks from other
+/// engines.
 #pragma once
 
 #include <memory>
@@ -9,8 +10,8 @@
 
 namespace millstair {
 
-/// Links over HTTP. Without a `store` address (ip:port) weights take their default time. `caller`
-/// outlives the links and the engine model.
+/// Links over HTTP. Without a `store` address (ip:port), weight fetches take the default time.
+/// `caller` must outlive the links and the engine model.
 EngineModelLinks MakeHttpLinks(HttpCaller& caller, const std::string& store);
 
 }  // namespace millstair
--- a/emulator/engine_service.cc
+++ b/emulator/engine_service.cc
@@ -20,7 +20,7 @@
   return number;
 }
 
-/// Problem answer for a status that is not OK.
+/// Sends a problem response for an error status.
 void RespondStatus(ResponseWriter& writer, const absl::Status& status) {
   const bool partial = absl::IsAborted(status);
   RespondProblem(writer, {.status = HttpStatusOfOrder(status),
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-/// One stream: chunks wait here while the caller reads slowly.
+/// A response stream; buffers chunks while the caller reads slowly.
 class EngineService::Generation : public GenerateObserver {
  public:
   Generation(EngineService& service, uint64_t id, WriterPointer writer)
@@ -72,7 +72,7 @@
   }
 
   void set_generation(GenerationId generation) { generation_ = generation; }
-  /// None once it has ended.
+  /// 0 once the generation has ended.
   GenerationId generation() const { return generation_; }
 
  private:
--- a/emulator/engine_service.h
+++ b/emulator/engine_service.h
@@ -1,5 +1,5 @@
-/// The HTTP side of an engine model: generations as chunked JSON lines, orders, reports, cache
-/// events, KV export, and the test hooks /truth and /fault.
+/// HTTP API of an engine model: generations as chunked JSON lines, orders, reports, cache events,
+/// KV export, and the test hooks /truth and /fault.
 #pragma once
 
 #include <map>
@@ -15,18 +15,18 @@
 
 class EngineService : public RequestHandler {
  public:
-  /// Both outlive the service.
+  /// Both must outlive the service.
   EngineService(Environment& environment, EngineModel& engine);
   ~EngineService() override;
   void Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) override;
-  /// All streams have been handed to their writers.
+  /// True if all streams have been passed to their writers completely.
   bool Idle() const { return generations_.empty(); }
 
  private:
   class Generation;
   using WriterPointer = std::shared_ptr<ResponseWriter>;
 
-  /// False if the path is none of the test hooks.
+  /// False if the path is not a test hook.
   bool HandleHook(const HttpRequest& request, const WriterPointer& writer);
   void HandleGenerate(const HttpRequest& request, const WriterPointer& writer);
   void HandleOrder(const HttpRequest& request, const WriterPointer& writer);
@@ -41,7 +41,7 @@
   EngineModel& engine_;
   uint64_t next_generation_ = 1;
   std::map<uint64_t, std::shared_ptr<Generation>> generations_;
-  /// Callbacks that outlive the service do nothing.
+  /// Expires with the service; callbacks that run later do nothing.
   std::shared_ptr<char> alive_ = std::make_shared<char>(0);
 };
 
--- a/emulator/fault_request.h
+++ b/emulator/fault_request.h
@@ -10,13 +10,13 @@
 
 namespace millstair {
 
-/// One fault for a stand-in. Members that its kind does not use are ignored.
+/// A fault to inject into a stand-in. Members that its kind does not use are ignored.
 struct FaultRequest {
-  /// All but the store, scorer and list: "crash", "restart", "drain", "undrain". Engines:
+  /// Engines and plain servers: "crash", "restart", "drain", "undrain". Engines:
   /// "fail-next-activation", "step-time". Plain servers: "chances". Stores: "down", "up". Machine
   /// list: "machine".
   std::string kind;
-  /// "crash": restart on its own after so long; 0 stays down.
+  /// "crash": delay until the automatic restart; 0 for none.
   Duration restart_after{0};
   /// "step-time".
   Duration base{0};
@@ -30,7 +30,7 @@
   std::string state;
 };
 
-/// InvalidArgument with every faulty member.
+/// InvalidArgument, with a message that names every invalid member.
 absl::StatusOr<FaultRequest> DecodeFaultRequest(std::string_view json);
 
 }  // namespace millstair
--- a/emulator/link_relay.cc
+++ b/emulator/link_relay.cc
@@ -44,13 +44,13 @@
   return options;
 }
 
-/// A relayed connection: two sockets and a pipe each way.
+/// A relayed connection: two sockets and a pipe in each direction.
 class LinkRelay::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(LinkRelay& relay, Socket client)
       : relay_(&relay), client_(std::move(client)), target_(relay.io_) {}
 
-  /// Connects to the target unless that way is stalled.
+  /// Connects to the target unless the forward direction is stalled.
   void Start() {
     if (relay_ == nullptr || started_ || relay_->stall_.forward) return;
     started_ = true;
@@ -74,7 +74,7 @@
     backward_->SetLatency(latency);
   }
 
-  /// Resets both sides and leaves the relay.
+  /// Resets both sockets and removes the connection from the relay.
   void Break() {
     const std::shared_ptr<Connection> self = shared_from_this();
     ClosePipes();
@@ -124,7 +124,7 @@
     if (relay != nullptr) relay->connections_.erase(shared_from_this());
   }
 
-  /// Null once it has left.
+  /// Null after the removal from the relay.
   LinkRelay* relay_;
   Socket client_;
   Socket target_;
--- a/emulator/link_relay.h
+++ b/emulator/link_relay.h
@@ -1,4 +1,4 @@
-/// A TCP relay that stands for the network between two places: it delays, stalls and resets.
+/// A TCP relay that simulates a network link: it delays, stalls and resets connections.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,17 +15,17 @@
 
 struct LinkOptions {
   std::string name;
-  /// Both "ip:port"; port 0 of `listen` picks a free one.
+  /// Both "ip:port"; port 0 of `listen` selects a free one.
   std::string listen;
   std::string target;
-  /// One way.
+  /// One-way latency.
   std::chrono::microseconds latency{0};
 };
 
-/// Parses "listen,target,latency-ms[,name]"; the name is "listen" if it is left out.
+/// Parses "listen,target,latency-ms[,name]"; the name defaults to "listen".
 absl::StatusOr<LinkOptions> ParseLinkOptions(const std::string& text);
 
-/// Which directions carry nothing. Forward is from the one who connects.
+/// Directions that are stalled. Forward is from the connecting side to the target.
 struct LinkStall {
   bool forward = false;
   bool backward = false;
@@ -36,24 +36,25 @@
 /// All calls and handlers run on the one thread of `io`.
 class LinkRelay {
  public:
-  /// Binds and accepts. InvalidArgument for bad addresses, Unavailable if it can't bind.
+  /// Binds and starts to accept. InvalidArgument for invalid addresses, Unavailable if binding
+  /// fails.
   static absl::StatusOr<std::unique_ptr<LinkRelay>> Listen(boost::asio::io_context& io,
                                                            const LinkOptions& options);
   /// Closes the listener and resets all connections.
   ~LinkRelay();
 
   const LinkOptions& options() const { return options_; }
-  /// Where it listens, with the port picked.
+  /// The listening address, with the selected port.
   const std::string& address() const { return options_.listen; }
   size_t connections() const;
   const LinkStall& stall() const { return stall_; }
 
-  /// Stalls directions, or lets them flow again. While the forward direction is stalled, new
-  /// connections wait; they reach the target when it flows again.
+  /// Stalls or resumes directions. Connections accepted while the forward direction is stalled are
+  /// connected to the target when it resumes.
   void SetStall(const LinkStall& stall);
-  /// For bytes that come in from now on.
+  /// Applies to bytes read from now on.
   void SetLatency(std::chrono::microseconds latency);
-  /// Breaks all connections by RST; new ones work.
+  /// Resets all connections by RST; new ones are accepted.
   void Reset();
 
  private:
--- a/emulator/link_service.h
+++ b/emulator/link_service.h
@@ -1,7 +1,7 @@
-/// Control over the relays of one process. POST /fault {"kind","name"} with kind "cut" and "stall"
-/// (nothing passes either way), "half-cut" with "direction" "forward" or "backward", "reset",
-/// "latency" with "latency_us", "heal". A name that ends in '*' stands for all that begin so; no
-/// name for all. GET /links lists them.
+/// HTTP control API for the relays of one process. POST /fault {"kind","name"} with kind "cut" or
+/// "stall" (both directions stalled), "half-cut" with "direction" "forward" or "backward", "reset",
+/// "latency" with "latency_us", "heal". A name that ends in '*' matches by prefix; an empty name
+/// matches all. GET /links lists the relays.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,29 +22,29 @@
   uint32_t latency_us = 0;
 };
 
-/// InvalidArgument with every faulty member, or for an unknown kind or direction.
+/// InvalidArgument, with a message that names every invalid member.
 absl::StatusOr<LinkFault> DecodeLinkFault(std::string_view json);
 
-/// Does `fault` to the relays that it names; their number. On the relays' thread.
+/// Applies `fault` to the matching relays and returns their number. Runs on the relays' thread.
 size_t ApplyLinkFault(const std::vector<std::unique_ptr<LinkRelay>>& relays,
                       const LinkFault& fault);
 
-/// {"links":[{"name","listen","target","latency_us","forward","backward","connections"}]}. On the
-/// relays' thread.
+/// {"links":[{"name","listen","target","latency_us","forward","backward","connections"}]}. Runs on
+/// the relays' thread.
 std::string LinksJson(const std::vector<std::unique_ptr<LinkRelay>>& relays);
 
 class LinkService : public RequestHandler {
  public:
-  /// Runs a function on the executor that calls `Handle`.
+  /// Runs a function on the executor on which `Handle` is called.
   using Post = std::function<void(std::function<void()>)>;
 
-  /// All outlive the service, and `io` its last answer.
+  /// All must outlive the service, and `io` its last response.
   LinkService(boost::asio::io_context& io, const std::vector<std::unique_ptr<LinkRelay>>& relays,
               Post post);
   void Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) override;
 
  private:
-  /// Runs `work` on the relays' thread and answers with its JSON.
+  /// Runs `work` on the relays' thread and responds with the JSON that it returns.
   void AnswerFromRelays(std::shared_ptr<ResponseWriter> writer, std::function<std::string()> work);
 
   boost::asio::io_context& io_;
--- a/emulator/main.cc
+++ b/emulator/main.cc
@@ -1,4 +1,4 @@
-// millstair-emulator: stand-ins for what stands around the system, in real time.
+// millstair-emulator: real-time stand-ins for the external systems of the service.
 #include <string>
 #include <vector>
 
--- a/emulator/platform_services.h
+++ b/emulator/platform_services.h
@@ -1,4 +1,4 @@
-/// The models of the platform with the test hooks GET /truth and POST /fault in front.
+/// HTTP services of the platform models, with the test hooks GET /truth and POST /fault.
 #pragma once
 
 #include <memory>
@@ -10,7 +10,7 @@
 
 namespace millstair {
 
-/// Takes the hooks and hands all else to the model.
+/// Handles the test hooks and passes all other requests to the model.
 class HookedService : public RequestHandler {
  public:
   explicit HookedService(RequestHandler& model) : model_(model) {}
@@ -18,7 +18,7 @@
 
  protected:
   virtual std::string TruthJson() const { return "{}"; }
-  /// InvalidArgument for a kind that the stand-in does not know.
+  /// InvalidArgument for a kind that the stand-in does not support.
   virtual absl::Status Apply(const FaultRequest& fault);
 
  private:
@@ -61,7 +61,7 @@
   MachineListModel& model_;
 };
 
-/// "live", "leaving" or "gone"; InvalidArgument for others.
+/// Accepts "live", "leaving" and "gone"; InvalidArgument otherwise.
 absl::StatusOr<MachineState> MachineStateFromName(std::string_view name);
 
 }  // namespace millstair
--- a/emulator/stand_in_commands.cc
+++ b/emulator/stand_in_commands.cc
@@ -27,7 +27,7 @@
 using std::chrono::milliseconds;
 using Flags = std::vector<std::string>;
 
-/// Parsed flags, or the exit code where nothing is to be run.
+/// Parsed flags, or the exit code if the command must not run.
 struct ParsedFlags {
   po::variables_map values;
   std::optional<int> exit_code;
--- a/emulator/stand_in_commands.h
+++ b/emulator/stand_in_commands.h
@@ -11,10 +11,11 @@
 inline constexpr int kExitUsage = 2;
 inline constexpr int kExitFailed = 1;
 
-/// Runs "engine", "plain", "store", "scorer", "machines" or "link" with its flags; the exit code.
+/// Runs "engine", "plain", "store", "scorer", "machines" or "link" with its flags and returns the
+/// exit code.
 int RunStandIn(const std::string& command, const std::vector<std::string>& flags);
 
-/// One line for each subcommand.
+/// Usage text with one line per subcommand.
 std::string StandInUsage();
 
 }  // namespace millstair
--- a/emulator/stand_in_process.cc
+++ b/emulator/stand_in_process.cc
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kIdlePoll(20);
-/// For the last answers to leave the send buffers.
+/// Time for the last responses to leave the send buffers.
 constexpr std::chrono::milliseconds kFlushTime(100);
 
 }  // namespace
--- a/emulator/stand_in_process.h
+++ b/emulator/stand_in_process.h
@@ -1,4 +1,4 @@
-/// What each stand-in process has in common: threads, a clock, an HTTP listener and an orderly end.
+/// Common parts of the stand-in processes: threads, clock, HTTP listener and graceful shutdown.
 ///
 /// The handler and the models live on the serial executor; only `Run` blocks the calling thread.
 #pragma once
@@ -22,21 +22,21 @@
 
   Runtime& runtime() { return runtime_; }
   const std::shared_ptr<SerialExecutor>& executor() { return executor_; }
-  /// Used on the executor, or before `Run`.
+  /// Use only on the executor, or before `Run`.
   Environment& environment() { return *environment_; }
 
   struct Plan {
-    /// For the log: "engine", "store" and so on.
+    /// Role in the log: "engine", "store" and so on.
     std::string role;
     std::string listen;
     RequestHandler* handler = nullptr;
-    /// Called on the executor when the process is told to stop; may be empty.
+    /// Called on the executor when a termination signal arrives; may be empty.
     std::function<void()> drain;
-    /// Whether all work has been finished; polled on the executor. Empty: nothing to wait for.
+    /// True when all work is finished; polled on the executor. If empty, the process does not wait.
     std::function<bool()> idle;
     Duration drain_timeout = std::chrono::seconds(60);
   };
-  /// Serves until SIGTERM or SIGINT, then drains and ends. Unavailable if it can't bind.
+  /// Serves until SIGTERM or SIGINT, then drains and returns. Unavailable if binding fails.
   absl::Status Run(const Plan& plan);
 
   /// Runs `work` on the executor and waits for it.
--- a/emulator/truth_json.h
+++ b/emulator/truth_json.h
@@ -1,4 +1,4 @@
-/// JSON of what the models truly did, for GET /truth.
+/// JSON of the models' ground truth, for GET /truth.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace millstair {
 
-/// {"incarnation","running","draining","counts":{...},"records":[...]}. `request_id` limits the
-/// records to that one; with `counts_only` there are none.
+/// {"incarnation","running","draining","counts":{...},"records":[...]}. A non-empty `request_id`
+/// limits the records to that request; `counts_only` omits them.
 std::string EngineTruthJson(const EngineModel& engine, const std::string& request_id,
                             bool counts_only);
 
--- a/test/emulator/engine_batching_test.cc
+++ b/test/emulator/engine_batching_test.cc
@@ -17,7 +17,7 @@
   REQUIRE(fixture.RunUntilEnded(observer));
   REQUIRE(observer.finished);
   CHECK(observer.tokens == Expected(prompt, 0, 10, 1));
-  // Prefill: 10 ms + 20 * 100 us, and the first token with it; then 9 steps of 11 ms.
+  // Prefill: 10 ms + 20 * 100 us, which includes the first token; then 9 steps of 11 ms.
   CHECK(observer.times.front() == milliseconds(12));
   CHECK(observer.times.back() == milliseconds(12 + 9 * 11));
   CHECK(fixture.engine.counts().steps == 10);
--- a/test/emulator/engine_cache_test.cc
+++ b/test/emulator/engine_cache_test.cc
@@ -131,7 +131,7 @@
   CHECK(asked == "10.0.0.1:80");
   CHECK(second.tokens == Expected(prompt, 20, 40, 1));
   CHECK(target.engine.counts().kv_blocks_imported == 11);
-  // 180 tokens are known, 176 of them came as blocks.
+  // 180 tokens are known, 176 of which were imported as blocks.
   CHECK(target.engine.counts().prefill_tokens == 4);
 }
 
@@ -152,7 +152,7 @@
   REQUIRE(fixture.RunUntilEnded(observer));
   CHECK(observer.tokens == Expected(prompt, 0, 10, 1));
   CHECK(fixture.engine.counts().prefill_tokens == 32);
-  // A late answer changes nothing.
+  // A late reply has no effect.
   answer(KvExport{Incarnation(9), ModelName("m"), WeightVersion(1), PrefixBlocks(prompt)});
   fixture.scheduler.RunFor(std::chrono::seconds(5));
   CHECK(observer.tokens.size() == 10);
--- a/test/emulator/engine_fixture.h
+++ b/test/emulator/engine_fixture.h
@@ -1,4 +1,4 @@
-/// An engine model in virtual time, and observers that record what they hear.
+/// An engine model in virtual time, and observers that record its callbacks.
 #pragma once
 
 #include <memory>
@@ -11,7 +11,7 @@
 
 namespace millstair::testing {
 
-/// Records one generation.
+/// Records the callbacks of one generation.
 struct RecordingObserver : GenerateObserver {
   explicit RecordingObserver(VirtualScheduler& scheduler) : scheduler(scheduler) {}
   void OnChunk(const GenerateChunk& chunk) override {
@@ -59,7 +59,7 @@
   return prompt;
 }
 
-/// A prompt of `words` words whose generation has exactly `length` tokens of `max_tokens`.
+/// A prompt of `words` words whose generation has exactly `length` tokens out of `max_tokens`.
 inline std::string PromptOfLength(uint32_t words, uint32_t max_tokens, uint32_t length) {
   for (int i = 0;; ++i) {
     std::string prompt = PromptOf("p" + std::to_string(i), words);
@@ -67,7 +67,7 @@
   }
 }
 
-/// Words that `version` generates for the prompt, from token `from` up to `to`.
+/// Tokens [from, to) that `version` generates for the prompt.
 inline std::vector<std::string> Expected(const std::string& prompt, uint32_t from, uint32_t to,
                                          uint64_t version) {
   std::vector<std::string> tokens;
@@ -77,7 +77,7 @@
   return tokens;
 }
 
-/// One engine and what it takes to drive it.
+/// An engine with its scheduler and observers.
 struct EngineFixture {
   explicit EngineFixture(EngineModelOptions options = ExactOptions(), EngineModelLinks links = {})
       : scheduler(7), environment(scheduler, 11), engine(environment, options, links) {}
@@ -108,7 +108,7 @@
     return order;
   }
 
-  /// Applies an order and waits for its answer.
+  /// Applies an order and waits for its status.
   absl::Status Apply(const EngineOrder& order) {
     auto answer = std::make_shared<std::optional<absl::Status>>();
     engine.ApplyOrder(order, [answer](absl::Status status) { *answer = std::move(status); });
--- a/test/emulator/engine_orders_test.cc
+++ b/test/emulator/engine_orders_test.cc
@@ -138,7 +138,7 @@
   CHECK(fixture.engine.truth().Find("r")->spans.front().mixed);
   CHECK(fixture.engine.counts().mixed_tokens == 10);
   CHECK_FALSE(fixture.engine.ExportKv(PrefixBlocks(prompt)).ok());
-  // A second try heals it.
+  // A second attempt makes the shards consistent.
   REQUIRE(fixture.Apply(fixture.Order(OrderKind::kActivate, 6, 2)).ok());
   CHECK(fixture.engine.CurrentReport().shards == ShardState::kConsistent);
   CHECK(fixture.engine.CurrentReport().active_digest == WeightDigest("d2"));
--- a/test/emulator/engine_process_test.cc
+++ b/test/emulator/engine_process_test.cc
@@ -15,10 +15,10 @@
 
 using std::chrono::milliseconds;
 
-/// Longest wait for an answer; reached only in a failing run.
+/// Maximum wait for a response; reached only in a failing run.
 constexpr std::chrono::seconds kPatience(30);
 
-/// One engine behind a socket, and a client, on one executor.
+/// An engine behind a socket, and a client, on one executor.
 class EngineProcess {
  public:
   explicit EngineProcess(EngineModelOptions options) {
@@ -69,7 +69,7 @@
     leaving = is_leaving;
     ended.set_value(kind);
   }
-  /// How it failed; none if it is whole.
+  /// The failure; nullopt if the generation is complete.
   std::optional<CallFailure> Wait() {
     auto result = ended.get_future();
     REQUIRE(result.wait_for(kPatience) == std::future_status::ready);
--- a/test/emulator/engine_service_test.cc
+++ b/test/emulator/engine_service_test.cc
@@ -164,7 +164,7 @@
   CHECK(Send(fixture.service, "GET", "/truth?counts=1")->json().at("records").as_array().empty());
 }
 
-/// Hands calls to a handler in the same environment.
+/// Passes calls to a handler in the same environment.
 class LocalCaller : public HttpCaller {
  public:
   explicit LocalCaller(RequestHandler& handler) : handler_(handler) {}
--- a/test/emulator/link_relay_test.cc
+++ b/test/emulator/link_relay_test.cc
@@ -18,10 +18,10 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-/// Longest wait for a condition; reached only in a failing run.
+/// Maximum wait for a condition; reached only in a failing run.
 constexpr std::chrono::seconds kPatience(20);
 
-/// An echo server, a relay in front of it, and clients, all on one thread.
+/// An echo server, a relay to it, and clients, all on one thread.
 struct LinkFixture {
   explicit LinkFixture(std::chrono::microseconds latency = milliseconds(0))
       : acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {
@@ -63,7 +63,7 @@
     return true;
   }
 
-  /// Lets everything that can happen now happen.
+  /// Runs the pending handlers for `span`.
   void Settle(milliseconds span = milliseconds(100)) { io.run_for(span); }
 
   size_t Fault(const LinkFault& fault) { return ApplyLinkFault(relays, fault); }
--- a/test/emulator/platform_models_test.cc
+++ b/test/emulator/platform_models_test.cc
@@ -110,7 +110,7 @@
     });
   }
   fixture.scheduler.RunFor(seconds(10));
-  // The bucket holds one version; then one a second.
+  // The bucket covers one version; after that, one version per second.
   CHECK(done == std::vector<Duration>{Duration(0), seconds(1), seconds(2)});
   CHECK(refused == 1);
   CHECK(store.fetches() == 3);
--- a/test/emulator/recording_writer.h
+++ b/test/emulator/recording_writer.h
@@ -1,4 +1,4 @@
-/// A ResponseWriter that records the answer.
+/// A ResponseWriter that records the response.
 #pragma once
 
 #include <memory>
@@ -33,7 +33,7 @@
   std::string Header(std::string_view name) const {
     return std::string(FindHeader(head.headers, name).value_or(""));
   }
-  /// Gives the handler room again.
+  /// Sets the writable capacity and notifies the handler.
   void MakeRoom(size_t bytes) {
     room = bytes;
     if (on_writable) on_writable();
@@ -49,7 +49,7 @@
   std::function<void()> on_gone;
 };
 
-/// Hands a request to `handler`; the writer that gets the answer.
+/// Passes a request to `handler`; returns the writer that records the response.
 inline std::shared_ptr<RecordingWriter> Send(RequestHandler& handler, std::string method,
                                              std::string target, std::string body = "",
                                              HttpHeaders headers = {}) {
