--- a/bench/demo/demo_command.cc
+++ b/bench/demo/demo_command.cc
@@ -25,7 +25,7 @@
 
 constexpr int kBroken = 1;
 constexpr int kUsage = 2;
-/// No run is longer, whatever the script does.
+/// Upper bound on a run, even if the script never sends "finish".
 constexpr Duration kLongestRun = std::chrono::minutes(10);
 constexpr Duration kFirstAnswerLimit = std::chrono::seconds(30);
 constexpr Duration kTrainerGrace = std::chrono::seconds(30);
@@ -36,7 +36,7 @@
   return bounds;
 }
 
-/// Waits until the fleet answers a completion, so that the load starts on a whole fleet.
+/// Waits until the fleet serves a completion, so that the load starts on a fleet that is up.
 bool WaitForFirstCompletion(DemoRun& run) {
   LiveCall call;
   call.kind = checks::CallKind::kCompletion;
@@ -53,7 +53,7 @@
   return false;
 }
 
-/// Drives the fleet while the script's lines come in. False when the script failed.
+/// Runs the workload while the fault script is executed. False if the script failed.
 bool Drive(DemoRun& run, Trainer& trainer, LiveLatencies& latencies) {
   std::thread traffic([&] { RunLiveTraffic(run, kLongestRun, latencies); });
   std::thread operators([&] { RunOperators(run); });
--- a/bench/demo/demo_command.h
+++ b/bench/demo/demo_command.h
@@ -1,4 +1,5 @@
-/// `millstair-bench demo`: drives a running fleet, checks it and prints the closing table.
+/// `millstair-bench demo`: runs a workload on a running fleet, checks the recorded history and
+/// prints a summary.
 #pragma once
 
 #include <string>
@@ -6,7 +7,8 @@
 
 namespace millstair {
 
-/// Exit codes: 0 every check held, 1 one is broken, 2 wrong command line or fleet file.
+/// Exit codes: 0 all checks held, 1 the run or a check failed, 2 invalid command line or fleet
+/// file.
 int RunDemoCommand(const std::vector<std::string>& arguments);
 
 }  // namespace millstair
--- a/bench/demo/demo_report.h
+++ b/bench/demo/demo_report.h
@@ -1,4 +1,4 @@
-/// The closing table of the demo.
+/// Summary tables of a demo run.
 #pragma once
 
 #include <string>
@@ -11,14 +11,14 @@
 
 namespace millstair {
 
-/// One row per check: tried, held, broken; first examples below.
+/// One row per check with the numbers tried, held and broken, followed by the first violations.
 std::string CheckTable(const std::vector<checks::CheckResult>& results);
 
-/// Trainer idle share, staleness, live p50 and p99, and how calls ended.
+/// Trainer idle share, staleness, live p50 and p99, and outcomes of calls.
 std::string MeasureTable(const checks::History& history, const TrainerReport& trainer,
                          const LiveLatencies& latencies);
 
-/// Each check held, and each had something to try.
+/// True if every check was tried and none was broken or undecided.
 bool AllHeld(const std::vector<checks::CheckResult>& results);
 
 }  // namespace millstair
--- a/bench/demo/demo_run.h
+++ b/bench/demo/demo_run.h
@@ -1,5 +1,4 @@
-/// What the threads of the demo's driver share: the fleet, the clock, the history, which gateways
-/// are ready.
+/// State shared by the threads of the demo driver: fleet, clock, recorded history, node readiness.
 #pragma once
 
 #include <atomic>
@@ -27,22 +26,22 @@
   const RunClock& clock() const { return clock_; }
   BlockingCaller& caller() { return client_; }
 
-  /// No new work is begun any more.
+  /// Once true, no new work is started.
   bool stopping() const { return stopping_; }
   void Stop() { stopping_ = true; }
-  /// Sleeps, but not beyond the stop.
+  /// Sleeps for `time` or until Stop().
   void Sleep(Duration time) const;
 
-  /// Runs `change` on the history.
+  /// Runs `change` on the history under the lock.
   void Record(const std::function<void(checks::History&)>& change);
-  /// Ends the recording; only then may the history be read freely.
+  /// Moves the history out; call it after all recording has ended.
   checks::History TakeHistory();
 
   void SetReady(const std::string& node, bool ready);
-  /// A ready gateway, taken in turn; any if none is ready.
+  /// The next ready gateway, round-robin; any gateway if none is ready.
   GatewayTarget PickGateway();
 
-  /// Lives of a node, counted by its starts.
+  /// Incarnation of a node, counted by its restarts during the run.
   uint64_t LifeOf(const std::string& node);
   void BeginNextLife(const std::string& node);
 
--- a/bench/demo/fault_script.cc
+++ b/bench/demo/fault_script.cc
@@ -48,8 +48,8 @@
   } else if (command == "killing") {
     Begin("kill", argument, false);
   } else if (command == "stopped" || command == "killed") {
-    // The window stays open until the node is ready again; what it shows from now on is of its next
-    // life.
+    // The fault window stays open until the node is ready again; later observations belong to its
+    // next incarnation.
     run_.BeginNextLife(argument);
   } else if (command == "started") {
     End(argument);
--- a/bench/demo/fleet_file.h
+++ b/bench/demo/fleet_file.h
@@ -1,4 +1,4 @@
-/// Description of a running fleet for the demo's driver (deploy/*/fleet.yaml).
+/// Description of a running fleet for the demo driver (deploy/*/fleet.yaml).
 #pragma once
 
 #include <string>
@@ -13,9 +13,9 @@
 struct FleetNode {
   std::string name;
   std::string zone;
-  /// HTTP listener itself.
+  /// HTTP listener of the process.
   std::string address;
-  /// HTTP as callers reach it (through the link to clients); the listener itself if empty.
+  /// Address that callers use, behind the client link; `address` if empty.
   std::string client_address;
   bool gateway = false;
 };
@@ -25,12 +25,12 @@
   std::string address;
 };
 
-/// One kind of plain live traffic.
+/// Live traffic of one kind other than completions.
 struct FleetTraffic {
   checks::CallKind kind = checks::CallKind::kPage;
   std::string host;
   std::string path;
-  /// Calls a second.
+  /// Calls per second.
   double rate = 1;
 };
 
@@ -41,9 +41,9 @@
   uint64_t staleness_bound = 2;
   uint64_t samples_per_step = 24;
   uint64_t max_tokens = 64;
-  /// Time the trainer computes on a step.
+  /// Simulated training time per step.
   Duration train_time = std::chrono::milliseconds(1500);
-  /// Live completions a second.
+  /// Live completions per second.
   double completion_rate = 10;
   std::string link_control;
   std::vector<std::string> zones;
--- a/bench/demo/live_traffic.cc
+++ b/bench/demo/live_traffic.cc
@@ -29,7 +29,7 @@
   return prompt + fmt::format("live{}", index);
 }
 
-/// Whether the caller of a booking may ask again: the answer is not known yet.
+/// Whether a booking may be retried: no final response was received.
 bool AsksAgain(const CallTry& call) {
   if (call.end == CallEnd::kComplete) return false;
   return call.outcome == ClaimedOutcome::kNotRun || call.outcome == ClaimedOutcome::kNone;
@@ -70,8 +70,8 @@
   }
 
  private:
-  /// Sends a booking and, when no final answer came, sends it again elsewhere under its key. Every
-  /// eighth one is sent to two gateways at once.
+  /// Sends a booking and, without a final response, retries it at another gateway with the same
+  /// idempotency key. Every eighth one is sent to two gateways concurrently.
   void Book(LiveCall call, size_t index, Duration due) {
     std::thread twin;
     if (index % 8 == 0) {
--- a/bench/demo/live_traffic.h
+++ b/bench/demo/live_traffic.h
@@ -1,4 +1,4 @@
-/// Callers: completions, pages, lookups and bookings at a steady rate, open loop.
+/// Open-loop live traffic: completions, pages, lookups and bookings at constant rates.
 #pragma once
 
 #include "bench/demo/demo_run.h"
@@ -6,13 +6,13 @@
 
 namespace millstair {
 
-/// Latencies of complete calls, from their due time.
+/// Latencies of complete calls, measured from their due time.
 struct LiveLatencies {
   LatencyHistogram completions;
   LatencyHistogram plain;
 };
 
-/// Calls until the run stops, at most for `length`. Blocks.
+/// Generates traffic until the run stops, at most for `length`. Blocks.
 void RunLiveTraffic(DemoRun& run, Duration length, LiveLatencies& latencies);
 
 }  // namespace millstair
--- a/bench/demo/node_probe.cc
+++ b/bench/demo/node_probe.cc
@@ -8,7 +8,8 @@
 
 constexpr Duration kProbePause = std::chrono::milliseconds(150);
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(1000);
-/// A gateway names the revision that it holds, a control node the one that it applied.
+/// Metric with the configuration revision: the one in use at a gateway, the one applied at a
+/// control node.
 constexpr const char* kGatewayRevision = "millstair_configuration_revision";
 constexpr const char* kControlRevision = "millstair_cluster_revision";
 constexpr int kOk = 200;
--- a/bench/demo/node_probe.h
+++ b/bench/demo/node_probe.h
@@ -1,4 +1,4 @@
-/// Watches readiness and configuration revision of every node, as a load balancer and a monitoring
+/// Polls readiness and configuration revision of every node, as a load balancer and a monitoring
 /// system would.
 #pragma once
 
@@ -9,10 +9,10 @@
 
 namespace millstair {
 
-/// Probes until the run stops. Call on a thread of its own.
+/// Probes until the run stops. Blocks.
 void ProbeNodes(DemoRun& run);
 
-/// Value of the series `name` on a Prometheus page; none if absent.
+/// Value of the series `name` in Prometheus text format; nullopt if absent.
 std::optional<double> MetricValue(const std::string& page, const std::string& name);
 
 }  // namespace millstair
--- a/bench/demo/operators.cc
+++ b/bench/demo/operators.cc
@@ -73,7 +73,7 @@
     });
   }
 
-  /// The version stored now; the last one known if nobody answered.
+  /// The stored version; 0 if the resource is missing, `known` if the request failed otherwise.
   Revision Read(Revision known) {
     ResourceOperation operation = Begin(ResourceAction::kRead);
     const absl::StatusOr<Resource> resource = api_.Get({ResourceKind::kMatch, kContested});
--- a/bench/demo/operators.h
+++ b/bench/demo/operators.h
@@ -1,11 +1,11 @@
-/// Two operators who change the same resource at the same time, through different control nodes.
+/// Two operators that concurrently change the same resource through different control nodes.
 #pragma once
 
 #include "bench/demo/demo_run.h"
 
 namespace millstair {
 
-/// Changes and reads until the run stops. Blocks.
+/// Reads and writes the resource until the run stops. Blocks.
 void RunOperators(DemoRun& run);
 
 }  // namespace millstair
--- a/bench/demo/trainer.cc
+++ b/bench/demo/trainer.cc
@@ -17,9 +17,9 @@
 constexpr int kReadWaitSeconds = 2;
 constexpr int kReadMax = 16;
 constexpr Duration kRetryPause = std::chrono::milliseconds(200);
-/// Steps asked for at once, so that the next is under way while one is trained on.
+/// Steps in flight, so that the next one is generated while the trainer computes.
 constexpr size_t kStepsAhead = 2;
-/// Every so many reads the cursor is read again.
+/// Every n-th read leaves the cursor unchanged, to test repeated delivery.
 constexpr uint64_t kRereadEvery = 5;
 constexpr int kSharedWords = 32;
 
@@ -64,7 +64,7 @@
   return sample;
 }
 
-/// Fills `read` from the answer; false if it is none.
+/// Parses a response body into `read`; false if it is malformed.
 bool ParseRead(const std::string& body, checks::CursorRead& read) {
   json::error_code error;
   const json::value page = json::parse(body, error);
@@ -137,7 +137,7 @@
   ++next_step_;
   const std::string body = json::serialize(json::object{{"prompts", std::move(prompts)}});
   const std::string target = fmt::format("/v1/streams/{}/steps/{}", fleet.stream, open.id);
-  // A step whose answer was lost is put again under the same id; it is created once.
+  // Retries with the same id are idempotent: the step is created once even if a response is lost.
   while (true) {
     const BlockingReply reply =
         CallJson(run_, run_.PickGateway().address, "PUT", target, body, kPutTimeout);
@@ -160,7 +160,7 @@
     const std::string id = sample.sample.value();
     if (sample.withdrawn) {
       ++report_.withdrawn;
-      // Only what was handed on at this very offset is taken back.
+      // A withdrawal applies only to the sample delivered at the same offset.
       if (by_offset_.erase(sample.offset.value()) > 0) {
         for (OpenStep& step : open_) {
           if (step.id == sample.step.value()) step.missing.insert(id);
@@ -193,7 +193,7 @@
   if (!reply.whole() || reply.status != kOk || !ParseRead(reply.body, read)) return false;
   run_.Record([&](checks::History& history) { history.reads.push_back(read); });
   TakeSamples(read);
-  // Not moving the cursor on reads the same samples again.
+  // An unchanged cursor reads the same samples again.
   if (++reads_ % kRereadEvery != 0) cursor_ = read.next;
   return true;
 }
--- a/bench/demo/trainer.h
+++ b/bench/demo/trainer.h
@@ -1,4 +1,4 @@
-/// A trainer: puts steps of prompts, reads samples by cursor, trains, publishes weights.
+/// A simulated trainer: submits steps of prompts, reads samples by cursor, publishes weights.
 #pragma once
 
 #include <map>
@@ -15,21 +15,21 @@
   uint64_t samples = 0;
   uint64_t withdrawn = 0;
   uint64_t versions = 0;
-  /// Time without a whole step to train on, and all time since the first step was asked for.
+  /// Time spent waiting for a complete step, and total time since the first step was submitted.
   Duration idle{0};
   Duration total{0};
-  /// Newest acknowledged version minus the oldest in the sample, at each hand-on.
+  /// Latest version of the trainer minus the oldest one in the sample, at each delivery.
   std::vector<double> staleness;
 };
 
-/// Lives on one thread.
+/// Not thread-safe.
 class Trainer {
  public:
   explicit Trainer(DemoRun& run) : run_(run) {}
 
-  /// Publishes the first weights; true once a gateway took them. Gives up after `limit`.
+  /// Publishes the first weights; true once a gateway accepted them. Gives up after `limit`.
   bool PublishFirst(Duration limit);
-  /// Step after step until the run stops; steps under way are then finished, for at most `grace`.
+  /// Processes steps until the run stops, then waits at most `grace` for the open ones.
   void Run(Duration grace);
   const TrainerReport& report() const { return report_; }
 
@@ -37,13 +37,13 @@
   struct OpenStep {
     std::string id;
     std::set<std::string> missing;
-    /// Position in the history's steps and demands.
+    /// Positions in the steps and demands of the history.
     size_t step_index = 0;
     size_t demand_index = 0;
   };
 
   bool PutStep();
-  /// Reads until the oldest open step is whole. False when time is over.
+  /// Reads until the oldest open step is complete. False if `give_up` passed first.
   bool CollectOldest(Duration give_up);
   bool ReadOnce();
   void TakeSamples(const checks::CursorRead& read);
--- a/bench/demo/truth_reader.cc
+++ b/bench/demo/truth_reader.cc
@@ -61,7 +61,7 @@
   }
 }
 
-/// Tries of each once-only key.
+/// Attempts by idempotency key.
 using TriesByKey = std::map<std::string, std::vector<const checks::CallTry*>>;
 
 TriesByKey GroupTries(const checks::History& history) {
@@ -72,8 +72,8 @@
   return tries;
 }
 
-/// The back end counts per key, not per try. If every try of a key was told "not-run" the execution
-/// belongs to one of them; otherwise to one that was not.
+/// Back ends count executions per key, not per attempt. Attributes an execution to the first
+/// attempt that was not reported as "not-run", or to the first attempt if all were.
 std::string TryThatRan(const TriesByKey& tries, const std::string& key) {
   const auto found = tries.find(key);
   if (found == tries.end()) return "";
@@ -89,7 +89,7 @@
     const json::object& entry = item.get_object();
     const std::string path(entry.at("path").get_string());
     const std::string key(entry.at("key").get_string());
-    // A page's path ends with its try; a booking's with its key.
+    // The path of a page ends with the attempt id, that of a booking with its key.
     const std::string last = path.substr(path.rfind('/') + 1);
     const std::string try_id = key.empty() ? last : TryThatRan(tries, key);
     const auto count = entry.at("count").to_number<uint64_t>();
--- a/bench/demo/truth_reader.h
+++ b/bench/demo/truth_reader.h
@@ -1,4 +1,4 @@
-/// Reads what the stand-ins truly did (their /truth pages) into the history.
+/// Reads what the emulators executed (their /truth pages) into the history.
 #pragma once
 
 #include <string>
@@ -7,12 +7,12 @@
 
 namespace millstair {
 
-/// Adds the engines' generations and the plain servers' executions. False if a stand-in does not
-/// answer; `fault` then says which.
+/// Adds the generations of the engines and the executions of the plain servers. False if an
+/// emulator does not respond; `fault` then names it.
 bool ReadTruth(DemoRun& run, checks::History& history, std::string& fault);
 
-/// Watches an engine that is leaving: each rise of its count of requests, taken or refused, is an
-/// arrival. Returns when the run stops. Call on a thread of its own.
+/// Polls an engine that is being drained and records an arrival whenever its count of accepted and
+/// refused requests grows. Blocks until the run stops.
 void WatchLeavingEngine(DemoRun& run, const FleetBackend& engine);
 
 }  // namespace millstair
