--- a/bench/demo/demo_command.cc
+++ b/bench/demo/demo_command.cc
@@ -61,7 +61,7 @@
   FaultScript script(run);
   std::string fault;
   const bool followed = script.Follow(std::cin, fault);
-  if (!followed) fmt::print(stderr, "the fault script failed at '{}'\n", fault);
+  if (!followed) fmt::print(stderr, "fault script failed at command '{}'\n", fault);
   run.Record([&](checks::History& history) { history.end = run.clock().Now(); });
   run.Stop();
   traffic.join();
@@ -94,7 +94,7 @@
   Trainer trainer(run);
   run.Sleep(std::chrono::milliseconds(500));
   const bool up = trainer.PublishFirst(kFirstAnswerLimit) && WaitForFirstCompletion(run);
-  if (!up) fmt::print("the fleet did not answer a first completion in time\n");
+  if (!up) fmt::print("the fleet did not accept weights and serve a completion in time\n");
   const bool driven = up && Drive(run, trainer, latencies);
   run.Stop();
   probe.join();
--- a/bench/demo/demo_report.cc
+++ b/bench/demo/demo_report.cc
@@ -71,9 +71,9 @@
                          const LiveLatencies& latencies) {
   const double total = std::max(ToSeconds(trainer.total), 0.001);
   Table table({"MEASURE", "VALUE"});
-  table.Add({"trainer steps whole", std::to_string(trainer.steps)});
+  table.Add({"trainer steps completed", std::to_string(trainer.steps)});
   table.Add(
-      {"samples handed on", fmt::format("{} ({} withdrawn)", trainer.samples, trainer.withdrawn)});
+      {"samples delivered", fmt::format("{} ({} withdrawn)", trainer.samples, trainer.withdrawn)});
   table.Add({"weight versions published", std::to_string(trainer.versions)});
   table.Add(
       {"trainer idle share", fmt::format("{:.1f} %", 100.0 * ToSeconds(trainer.idle) / total)});
--- a/bench/demo/fleet_file.cc
+++ b/bench/demo/fleet_file.cc
@@ -77,7 +77,8 @@
   FleetFile fleet;
   const std::vector<YAML::Node> documents = LoadYamlDocuments(file, text, findings);
   if (documents.size() != 1) {
-    findings.Add(Location{file}, fmt::format("one document is due, not {}", documents.size()));
+    findings.Add(Location{file},
+                 fmt::format("expected one YAML document, found {}", documents.size()));
     return fleet;
   }
   YamlFields fields(file, documents.front(), "the fleet", findings);
--- a/bench/demo/truth_reader.cc
+++ b/bench/demo/truth_reader.cc
@@ -106,7 +106,7 @@
   for (const FleetBackend& engine : run.fleet().engines) {
     const std::optional<json::object> page = FetchTruth(run, engine.address, "");
     if (!page) {
-      fault = fmt::format("engine {} does not tell what it did", engine.name);
+      fault = fmt::format("engine {} did not return a valid /truth page", engine.name);
       return false;
     }
     for (const json::value& record : page->at("records").get_array()) {
@@ -117,7 +117,7 @@
   for (const FleetBackend& server : run.fleet().plain_servers) {
     const std::optional<json::object> page = FetchTruth(run, server.address, "");
     if (!page) {
-      fault = fmt::format("server {} does not tell what it did", server.name);
+      fault = fmt::format("server {} did not return a valid /truth page", server.name);
       return false;
     }
     AddExecutions(*page, server.name, tries, history);
