--- a/bench/load/completion_stream.cc
+++ b/bench/load/completion_stream.cc
@@ -30,7 +30,7 @@
          last.first_token + last.token_count == next.first_token;
 }
 
-/// Adds one event or body; true if it is the last part.
+/// Appends one event or body; true if its finish reason is "stop".
 bool AppendPart(const json::object& part, CompletionAnswer& answer) {
   const json::value* choices = part.if_contains("choices");
   if (choices == nullptr || !choices->is_array() || choices->get_array().empty() ||
--- a/bench/load/completion_stream.h
+++ b/bench/load/completion_stream.h
@@ -1,4 +1,4 @@
-/// Reads the answers of /v1/completions: server-sent events or one JSON body.
+/// Parses responses of /v1/completions: server-sent events or one JSON body.
 #pragma once
 
 #include <string>
@@ -13,14 +13,14 @@
 struct CompletionAnswer {
   std::vector<std::string> tokens;
   std::vector<checks::ClaimedSpan> spans;
-  /// The last part said "stop" and, in a stream, `[DONE]` followed.
+  /// The finish reason was "stop" and, in a stream, `[DONE]` followed.
   bool finished = false;
 };
 
 CompletionAnswer ReadCompletionStream(std::string_view body);
 CompletionAnswer ReadCompletionBody(std::string_view body);
 
-/// Spans of a JSON array; adjoining ones of the same weights are joined.
+/// Appends the spans of a JSON array; merges adjacent spans of the same incarnation and weights.
 void AppendSpans(const boost::json::array& array, std::vector<checks::ClaimedSpan>& spans);
 
 }  // namespace millstair
--- a/bench/load/latency_histogram.h
+++ b/bench/load/latency_histogram.h
@@ -1,4 +1,4 @@
-/// Latencies on a logarithmic axis.
+/// Latency histogram with logarithmic bins.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace millstair {
 
-/// Thread-safe. Holds 0.05 ms to 1,000 s with bins about 2.5 % wide.
+/// Thread-safe. Covers 0.05 ms to 1,000 s with bins about 2.5 % wide.
 class LatencyHistogram {
  public:
   LatencyHistogram();
@@ -16,7 +16,7 @@
 
   void Add(Duration latency);
   uint64_t count() const;
-  /// Upper edge of the bin that holds the quantile (0..1); 0 if empty.
+  /// Upper edge of the bin that contains the quantile (0..1); 0 if empty.
   Duration Quantile(double quantile) const;
   Duration Largest() const;
 
--- a/bench/load/live_call.cc
+++ b/bench/load/live_call.cc
@@ -64,7 +64,7 @@
          std::string_view(found->get_string().data(), found->get_string().size()) == value;
 }
 
-/// Whether the plain server's answer belongs to `call`.
+/// Whether the response of the plain server echoes `call`.
 bool IsEchoOf(const LiveCall& call, const std::string& body) {
   json::error_code error;
   const json::value page = json::parse(body, error);
--- a/bench/load/live_call.h
+++ b/bench/load/live_call.h
@@ -1,5 +1,4 @@
-/// One live call of a caller: what is asked, how it is sent, and what came of it, as a record for
-/// the history checks.
+/// Sends a live call to a gateway and records its result for the history checks.
 #pragma once
 
 #include <string>
@@ -11,7 +10,7 @@
 
 namespace millstair {
 
-/// A gateway as callers reach it.
+/// A gateway and the address that callers use.
 struct GatewayTarget {
   std::string node;
   /// "ip:port".
@@ -20,30 +19,30 @@
 
 struct LiveCall {
   checks::CallKind kind = checks::CallKind::kPage;
-  /// Unique per try; sent as X-Request-Id.
+  /// Unique per attempt; sent as X-Request-Id.
   std::string try_id;
-  /// Host header; empty sends the gateway's address.
+  /// Host header; the address of the gateway if empty.
   std::string host;
   /// Path of a plain call.
   std::string path;
   std::string body;
-  /// Once-only key of a booking, shared by its resends.
+  /// Idempotency key of a booking, shared by its retries.
   std::string key;
   std::string model;
   std::string prompt;
   uint32_t max_tokens = 0;
   bool stream = true;
-  /// 1..3; 0 leaves it to the traffic group.
+  /// 1..3; 0 uses the priority of the traffic group.
   int priority = 0;
   Duration timeout = std::chrono::seconds(30);
 };
 
-/// Sends `call` and waits for its end. For plain calls, `body` of the record equals `expected_body`
-/// exactly if the answer is the echo of this request.
+/// Sends `call` and blocks until it ends. For plain calls, `body` of the record equals
+/// `expected_body` if and only if the response echoes this request.
 checks::CallTry PlaceCall(BlockingCaller& caller, const GatewayTarget& gateway,
                           const LiveCall& call, const RunClock& clock);
 
-/// The text that the engine model generates.
+/// Computes the text that the engine model must generate.
 checks::TextOracle EngineOracle();
 
 }  // namespace millstair
--- a/bench/load/load_command.cc
+++ b/bench/load/load_command.cc
@@ -37,7 +37,7 @@
   Duration timeout = std::chrono::seconds(30);
 };
 
-/// A trace that asks for completions at a steady rate.
+/// A trace of completions at a constant average rate.
 std::vector<TraceCall> SteadyTrace(double rate, Duration length, uint32_t max_tokens,
                                    uint64_t seed) {
   constexpr uint32_t kPromptTokens = 64;
@@ -49,7 +49,7 @@
 }
 
 std::string PromptOf(uint64_t seed, size_t index, uint32_t tokens) {
-  // Prompts of a group of calls share their beginning, as album pages share their preamble.
+  // Prompts of one group share a prefix, so that prefix caching has an effect.
   constexpr size_t kGroups = 8;
   std::string prompt;
   for (uint32_t i = 1; i < tokens; ++i) {
@@ -90,7 +90,7 @@
         [] { return false; });
   }
 
-  /// Prints the report; true if every answer was right.
+  /// Prints the report; true if no response was wrong or truncated.
   bool Report() const;
 
  private:
@@ -142,17 +142,17 @@
 po::options_description Describe() {
   po::options_description description("millstair-bench load");
   auto add = description.add_options();
-  add("help", "print this page");
-  add("gateway", po::value<std::vector<std::string>>(), "ip:port of a gateway; repeat");
+  add("help", "print this help");
+  add("gateway", po::value<std::vector<std::string>>(), "ip:port of a gateway; may be repeated");
   add("model", po::value<std::string>()->default_value(""), "model of the completions");
-  add("rate", po::value<double>()->default_value(20), "completions a second");
+  add("rate", po::value<double>()->default_value(20), "completions per second");
   add("seconds", po::value<uint32_t>()->default_value(10), "length of the run");
-  add("max-tokens", po::value<uint32_t>()->default_value(64), "of a completion");
+  add("max-tokens", po::value<uint32_t>()->default_value(64), "token limit of a completion");
   add("trace", po::value<std::string>(), "replay this recorded trace instead");
   add("record", po::value<std::string>(), "write the calls as a trace");
-  add("threads", po::value<int>()->default_value(64), "calls under way at once");
+  add("threads", po::value<int>()->default_value(64), "maximum number of concurrent calls");
   add("timeout-ms", po::value<uint32_t>()->default_value(30000), "deadline of a call");
-  add("seed", po::value<uint64_t>()->default_value(1), "of arrivals and prompts");
+  add("seed", po::value<uint64_t>()->default_value(1), "random seed for arrivals and prompts");
   return description;
 }
 
--- a/bench/load/load_command.h
+++ b/bench/load/load_command.h
@@ -1,4 +1,4 @@
-/// `millstair-bench load`: open-loop load on running gateways, with every answer checked.
+/// `millstair-bench load`: open-loop load on running gateways; checks every response.
 #pragma once
 
 #include <string>
@@ -6,7 +6,8 @@
 
 namespace millstair {
 
-/// Exit codes: 0 all answers were right, 1 some were wrong or cut, 2 wrong command line or trace.
+/// Exit codes: 0 success, 1 some responses were wrong or truncated, 2 invalid command line or
+/// trace.
 int RunLoadCommand(const std::vector<std::string>& arguments);
 
 }  // namespace millstair
--- a/bench/load/open_loop.h
+++ b/bench/load/open_loop.h
@@ -1,4 +1,4 @@
-/// Open-loop schedule: work begins when it is due, whether or not earlier work has ended.
+/// Open-loop schedule: work starts at its due time, whether or not earlier work has ended.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,9 @@
 std::vector<Duration> PoissonArrivals(double per_second, Duration begin, Duration length,
                                       uint64_t seed);
 
-/// Calls `work(index)` for each due time on one of `threads` threads and waits for all. When every
-/// thread is busy, work begins late; its latency must be taken from the due time, so that a slow
-/// server does not hide the requests that it held up. Stops early when `stopped` says so.
+/// Calls `work(index)` at each due time on one of `threads` threads and waits for all. Work starts
+/// late when all threads are busy: measure latency from the due time to avoid coordinated omission.
+/// Returns early once `stopped` returns true.
 void RunOpenLoop(const RunClock& clock, const std::vector<Duration>& due, int threads,
                  const std::function<void(size_t index)>& work,
                  const std::function<bool()>& stopped);
--- a/bench/load/run_clock.h
+++ b/bench/load/run_clock.h
@@ -1,4 +1,4 @@
-/// Time since the start of a run, shared by all threads of the bench.
+/// Time since the start of a run; shared by all threads.
 #pragma once
 
 #include <chrono>
--- a/bench/load/trace.cc
+++ b/bench/load/trace.cc
@@ -36,7 +36,7 @@
     if (error == std::errc() && end == text.data() + text.size() && number <= kMaxNumber) {
       return number;
     }
-    Fault(fmt::format("{} '{}' is no whole number up to {}", column, text, kMaxNumber));
+    Fault(fmt::format("{} '{}' is not an integer from 0 to {}", column, text, kMaxNumber));
     return 0;
   }
 
--- a/bench/load/trace.h
+++ b/bench/load/trace.h
@@ -27,7 +27,7 @@
 std::string_view CallKindName(checks::CallKind kind);
 
 std::string WriteTrace(const std::vector<TraceCall>& calls);
-/// In the order of time. Faults go to `findings`.
+/// Returns the calls sorted by time. Errors are added to `findings`.
 std::vector<TraceCall> ReadTrace(const std::string& file, const std::string& text,
                                  Findings& findings);
 
