--- a/bench/experiment/experiment_command.cc
+++ b/bench/experiment/experiment_command.cc
@@ -19,21 +19,22 @@
 constexpr const char* kDefaultPolicies =
     "product,round-robin,least-outstanding,no-prefix,no-tail,live-only";
 constexpr const char* kDefaultStepTimes = "8,15,30";
-/// Progress is shown about this many times a run.
+/// Approximate number of progress lines per experiment.
 constexpr size_t kProgressLines = 10;
 
 po::options_description Options() {
   po::options_description options("millstair-bench experiment");
-  options.add_options()("help", "show this")  //
+  options.add_options()("help", "print this help")  //
       ("deployment", po::value<std::string>()->default_value("association"),
        "association or khosa")                                                                    //
       ("policies", po::value<std::string>()->default_value(kDefaultPolicies), "comma-separated")  //
       ("seeds", po::value<uint64_t>()->default_value(5), "seeds per policy and step time")        //
       ("step-ms", po::value<std::string>()->default_value(kDefaultStepTimes),
-       "base step times of the engines, milliseconds, comma-separated")                      //
-      ("seconds", po::value<uint64_t>()->default_value(240), "virtual time of a run")        //
-      ("threads", po::value<int>()->default_value(4), "runs at once")                        //
-      ("live-scale", po::value<double>()->default_value(1.0), "factor on live completions")  //
+       "base step times of the engines, milliseconds, comma-separated")                //
+      ("seconds", po::value<uint64_t>()->default_value(240), "virtual time of a run")  //
+      ("threads", po::value<int>()->default_value(4), "concurrent runs")               //
+      ("live-scale", po::value<double>()->default_value(1.0),
+       "multiplier of the live completion rate")  //
       ("output", po::value<std::string>()->default_value("experiment-output"),
        "folder for results.csv, summary.dat and plot.gnuplot");
   return options;
@@ -87,7 +88,7 @@
     fmt::print(stderr, "{}\n", std::string(written.message()));
     return kExitNotWritten;
   }
-  fmt::print("written to {}; plots: gnuplot plot.gnuplot there\n", folder);
+  fmt::print("results written to {}; run 'gnuplot plot.gnuplot' there to draw the plots\n", folder);
   return 0;
 }
 
--- a/bench/experiment/experiment_report.h
+++ b/bench/experiment/experiment_report.h
@@ -11,7 +11,7 @@
 
 namespace millstair {
 
-/// What one simulated run measured. Shares are 0..1; times in milliseconds.
+/// Measurements of one simulated run. Shares are 0..1; times are in milliseconds.
 struct ExperimentMeasures {
   double trainer_idle_share = 0;
   double staleness_mean = 0;
@@ -42,7 +42,7 @@
 /// All columns, in the order of the CSV file.
 const std::vector<MeasureColumn>& MeasureColumns();
 
-/// Mean and spread of one measure over the seeds of one policy and step time.
+/// Mean and spread of one measure over the seeds of a policy and step time.
 struct MeasureSummary {
   double mean = 0;
   double smallest = 0;
@@ -50,12 +50,12 @@
   size_t seeds = 0;
 };
 
-/// A stated goal: the product's measure over a reference's, at most `limit`.
+/// A goal: the measure of the policy divided by that of the reference is at most `limit`.
 struct VerdictGoal {
   std::string title;
   double ExperimentMeasures::*field = nullptr;
   std::string policy;
-  /// The reference is the smallest mean among these.
+  /// The one with the smallest mean is the reference.
   std::vector<std::string> references;
   double limit = 1;
 };
@@ -75,7 +75,7 @@
   void Add(ExperimentRow row);
 
   const std::vector<ExperimentRow>& rows() const { return rows_; }
-  /// Policies and step times in the order of their first row.
+  /// In the order in which policies and step times first appear in the rows.
   std::vector<std::string> Policies() const;
   std::vector<double> StepTimes() const;
 
--- a/bench/experiment/experiment_runner.h
+++ b/bench/experiment/experiment_runner.h
@@ -18,9 +18,9 @@
   uint64_t seeds = 5;
   /// Virtual time of each run.
   Duration length = std::chrono::seconds(240);
-  /// Runs at once.
+  /// Concurrent runs.
   int threads = 4;
-  /// Live load is multiplied by this.
+  /// Multiplier of the live completion rate.
   double live_scale = 1.0;
 };
 
@@ -29,8 +29,8 @@
                                         double step_ms, uint64_t seed);
 ExperimentMeasures ToExperimentMeasures(const simulator::FleetMeasures& measures);
 
-/// Runs all of `plan`; rows come in the order of policies, step times and seeds whatever the
-/// threads do. `progress` hears (runs done, runs in all), on any thread, one at a time.
+/// Executes `plan`. Rows are ordered by policy, step time and seed regardless of threading. Calls
+/// `progress(completed runs, total runs)` on any thread, never concurrently.
 ExperimentReport RunExperiment(const ExperimentPlan& plan,
                                const std::function<void(size_t, size_t)>& progress);
 
--- a/bench/experiment/policies.cc
+++ b/bench/experiment/policies.cc
@@ -43,7 +43,7 @@
     }
     if (!known) return absl::InvalidArgumentError(fmt::format("unknown policy '{}'", name));
   }
-  if (chosen.empty()) return absl::InvalidArgumentError("no policy is named");
+  if (chosen.empty()) return absl::InvalidArgumentError("the list of policies is empty");
   return chosen;
 }
 
--- a/bench/experiment/policies.h
+++ b/bench/experiment/policies.h
@@ -1,4 +1,4 @@
-/// The policies that an experiment compares: the product, baselines, and the live load alone.
+/// Policies compared by an experiment: the product, the baselines, and live load without rollouts.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace millstair {
 
-/// One way to run the fleet under the same load and seeds.
+/// Configuration of the fleet for runs under the same load and seeds.
 struct ExperimentPolicy {
   std::string name;
   RoutingPolicy routing = RoutingPolicy::kEstimate;
@@ -25,10 +25,11 @@
 /// All policies by name: "product", "round-robin", "least-outstanding", "no-prefix", "no-tail" and
 /// "live-only".
 const std::vector<ExperimentPolicy>& AllPolicies();
-/// The policies named in a comma-separated list; InvalidArgument names the unknown one.
+/// The policies named in a comma-separated list; InvalidArgument if one is unknown or none is
+/// given.
 absl::StatusOr<std::vector<ExperimentPolicy>> ParsePolicies(std::string_view list);
 
-/// What the deployment's owners ask of the product against the best baseline.
+/// Goals of a deployment for the product, relative to the reference policies.
 std::vector<VerdictGoal> GoalsOf(simulator::DeploymentName deployment);
 
 }  // namespace millstair
