--- a/bench/command_line/command_line.h
+++ b/bench/command_line/command_line.h
@@ -1,4 +1,4 @@
-/// Reads the arguments of a subcommand in the same way everywhere.
+/// Argument parsing shared by the subcommands.
 #pragma once
 
 #include <boost/program_options.hpp>
@@ -8,11 +8,11 @@
 
 namespace millstair {
 
-/// Exit code for arguments that can't be read.
+/// Exit code for invalid arguments.
 inline constexpr int kExitBadArguments = 2;
 
-/// Parses `arguments` (without program and subcommand name) into `values`. None if the subcommand
-/// is to run; else the exit code, after the fault or, for "--help", the description was printed.
+/// Parses `arguments` (without program and subcommand name) into `values`. Returns nullopt if the
+/// subcommand should run, else the exit code after printing an error or, for "--help", the options.
 std::optional<int> ParseArguments(const std::vector<std::string>& arguments,
                                   const boost::program_options::options_description& description,
                                   boost::program_options::variables_map& values);
--- a/bench/engine_model/engine_model_bench.cc
+++ b/bench/engine_model/engine_model_bench.cc
@@ -1,5 +1,5 @@
-/// How much faster than real time the engine model runs: engines under full load, each with as many
-/// callers as its batch holds, all sharing the first words of their prompts.
+/// Measures how much faster than real time the engine model runs under full load: one closed-loop
+/// caller per batch slot, with a prompt prefix shared by all callers.
 #include <benchmark/benchmark.h>
 
 #include <memory>
@@ -19,7 +19,7 @@
 constexpr uint32_t kMaxTokens = 512;
 constexpr Duration kSpan = std::chrono::seconds(60);
 
-/// Asks again as soon as it has its answer.
+/// Sends the next request as soon as the previous one has finished.
 class ClosedLoopCaller : public GenerateObserver {
  public:
   ClosedLoopCaller(EngineModel& engine, int number) : engine_(engine), number_(number) {}
@@ -46,7 +46,7 @@
   int asked_ = 0;
 };
 
-/// Engines and their callers in one virtual world.
+/// Engines and their callers on one virtual scheduler.
 struct LoadedEngines {
   explicit LoadedEngines(int count) : scheduler(1), environment(scheduler, 2) {
     EngineModelOptions options;
--- a/bench/main.cc
+++ b/bench/main.cc
@@ -1,4 +1,4 @@
-// millstair-bench: load, the demo's driver, experiments.
+// millstair-bench: load generator, demo driver, experiments.
 #include <array>
 #include <string>
 #include <string_view>
@@ -21,7 +21,8 @@
 
 constexpr std::array kSubcommands = {
     Subcommand{"load", "open-loop load on running gateways", millstair::RunLoadCommand},
-    Subcommand{"demo", "drives and checks a running fleet", millstair::RunDemoCommand},
+    Subcommand{"demo", "runs a workload on a running fleet and checks it",
+               millstair::RunDemoCommand},
     Subcommand{"experiment", "compares policies in virtual time", millstair::RunExperimentCommand},
 };
 
--- a/bench/micro/directory_benchmark.cc
+++ b/bench/micro/directory_benchmark.cc
@@ -1,6 +1,5 @@
-/// What one changed back end costs a gateway that knows many, and the choice of one of a service.
-/// At 100, 1,000 and 10,000 back ends, before changes were handed on as changes: 28, 696 and 9,507
-/// us for one that changes, 0.57, 4.8 and 132 us for a choice.
+/// Times applying a change of one back end to the directory of a gateway, and picking a back end of
+/// a service, by the number of back ends.
 #include <benchmark/benchmark.h>
 
 #include "common/virtual_environment.h"
@@ -26,7 +25,7 @@
   return instance;
 }
 
-/// A directory that knows `servers` back ends.
+/// A directory with `servers` back ends.
 struct KnownServers {
   explicit KnownServers(int servers) {
     for (int i = 0; i < servers; ++i) {
--- a/bench/micro/path_benchmark.cc
+++ b/bench/micro/path_benchmark.cc
@@ -1,4 +1,4 @@
-/// Times of an admission, a frame decode and a log append.
+/// Times admission, frame decoding and log appends.
 #include <benchmark/benchmark.h>
 
 #include "common/virtual_environment.h"
--- a/bench/micro/routing_benchmark.cc
+++ b/bench/micro/routing_benchmark.cc
@@ -1,4 +1,4 @@
-/// Times of a routing decision, and of taking over a configuration, at the target size.
+/// Times routing decisions and configuration updates at the target size.
 #include <benchmark/benchmark.h>
 #include <fmt/core.h>
 
@@ -26,7 +26,7 @@
   configuration.resources.emplace(key, std::move(resource));
 }
 
-/// `engines` model engines of one zone that all serve one pool.
+/// `engines` model engines in one zone that serve one pool.
 Configuration MakeConfiguration(int64_t engines) {
   Configuration configuration;
   configuration.revision = Revision(1);
@@ -54,7 +54,7 @@
   return configuration;
 }
 
-/// Adds `gateways` live gateways in the zone.
+/// Adds `gateways` gateways in the zone.
 void AddGateways(Configuration& configuration, int64_t gateways) {
   for (int64_t i = 0; i < gateways; ++i) {
     NodeRecord node;
@@ -104,11 +104,11 @@
       router.End(placement->id, PlacementOutcome{});
     }
   }
-  if (placed == 0) state.SkipWithError("no engine took the work");
+  if (placed == 0) state.SkipWithError("no engine accepted the request");
 }
 BENCHMARK(MeasureRoutingDecision)->Arg(9)->Arg(131)->Arg(920);
 
-/// A new revision reaches the router: with new resources every time, or with other changes only.
+/// Times applying a new revision without other changes, for (engines, gateways).
 void MeasureConfigurationChange(benchmark::State& state) {
   VirtualScheduler scheduler(1);
   VirtualEnvironment environment(scheduler, 2);
