--- a/test/bench/load_test.cc
+++ b/test/bench/load_test.cc
@@ -16,7 +16,7 @@
 using checks::CallEnd;
 using checks::CallKind;
 
-/// Answers every call with the same reply.
+/// Fake caller that returns a fixed reply and saves the last request.
 class FixedCaller : public BlockingCaller {
  public:
   BlockingReply Call(const std::string&, const HttpRequest& request, Duration,
@@ -42,7 +42,7 @@
       text, last ? "\"stop\"" : "null", span);
 }
 
-/// The whole stream for `prompt`, in two events.
+/// Complete response stream for `prompt` in two events; `[DONE]` follows if `done`.
 std::string StreamFor(const std::string& prompt, uint32_t max_tokens, bool done) {
   const uint32_t length = GenerationLength(prompt, max_tokens);
   std::string rest;
