--- a/emulator/model/batch_scheduler.cc
+++ b/emulator/model/batch_scheduler.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-Duration TimeOf(const StepPlan& plan, const StepTimeOptions& times) {
+Duration DurationOf(const StepPlan& plan, const StepTimeOptions& times) {
   return plan.steps * (times.base + plan.decoding * times.per_sequence) +
          plan.prefill_tokens * times.per_prefill_token;
 }
@@ -30,7 +30,7 @@
 void BatchScheduler::Add(std::unique_ptr<Sequence> sequence) {
   Sequence& added = *sequence;
   sequences_[added.id] = std::move(sequence);
-  Wait(added);
+  Enqueue(added);
 }
 
 Sequence* BatchScheduler::Find(SequenceId id) {
@@ -47,7 +47,7 @@
     StopRunning(*sequence);
     ReleaseMemory(*sequence);
   } else {
-    StopWaiting(*sequence);
+    Dequeue(*sequence);
   }
   return sequence;
 }
@@ -66,19 +66,19 @@
   return ids;
 }
 
-void BatchScheduler::Wait(Sequence& sequence) {
+void BatchScheduler::Enqueue(Sequence& sequence) {
   sequence.running = false;
   sequence.prefill_left = sequence.text.tokens();
   waiting_[KeyOf(sequence)] = &sequence;
   waiting_prefill_tokens_ += sequence.prefill_left;
 }
 
-void BatchScheduler::StopWaiting(Sequence& sequence) {
+void BatchScheduler::Dequeue(Sequence& sequence) {
   waiting_.erase(KeyOf(sequence));
   waiting_prefill_tokens_ -= sequence.text.tokens();
 }
 
-Sequence* BatchScheduler::Victim() const {
+Sequence* BatchScheduler::SelectVictim() const {
   Sequence* victim = nullptr;
   for (Sequence* candidate : running_) {
     if (victim == nullptr || KeyOf(*victim) < KeyOf(*candidate)) victim = candidate;
@@ -94,7 +94,7 @@
   ++counts_.preempted;
   StopRunning(sequence);
   ReleaseMemory(sequence);
-  Wait(sequence);
+  Enqueue(sequence);
 }
 
 void BatchScheduler::ReleaseMemory(Sequence& sequence) {
@@ -106,7 +106,7 @@
   sequence.published = 0;
 }
 
-bool BatchScheduler::TakeMemory(Sequence& sequence) {
+bool BatchScheduler::AllocateMemory(Sequence& sequence) {
   const std::vector<BlockHash>& hashes = sequence.text.blocks();
   for (const BlockHash hash : hashes) {
     const std::optional<BlockIndex> shared = cache_.Share(hash);
@@ -133,16 +133,16 @@
 void BatchScheduler::AdmitWaiting() {
   while (!waiting_.empty()) {
     Sequence& next = *waiting_.begin()->second;
-    const bool room = running_.size() < options_.max_sequences;
-    if (room && TakeMemory(next)) {
+    const bool has_slot = running_.size() < options_.max_sequences;
+    if (has_slot && AllocateMemory(next)) {
       const uint32_t prefill_left = next.prefill_left;
-      StopWaiting(next);
+      Dequeue(next);
       next.running = true;
       next.prefill_left = prefill_left;
       running_.push_back(&next);
       continue;
     }
-    Sequence* victim = Victim();
+    Sequence* victim = SelectVictim();
     if (victim == nullptr || victim->priority >= next.priority) return;
     Preempt(*victim);
   }
@@ -185,27 +185,27 @@
   counts_.tokens += produced;
 }
 
-void BatchScheduler::PublishWholeBlocks(Sequence& sequence) {
+void BatchScheduler::PublishFullBlocks(Sequence& sequence) {
   if (sequence.spans_swap) return;
   const std::vector<BlockHash>& hashes = sequence.text.blocks();
-  const size_t whole = std::min(hashes.size(), sequence.blocks.size());
-  for (size_t i = sequence.published; i < whole; ++i) {
+  const size_t full_blocks = std::min(hashes.size(), sequence.blocks.size());
+  for (size_t i = sequence.published; i < full_blocks; ++i) {
     sequence.blocks[i] = cache_.Publish(sequence.blocks[i], hashes[i]);
   }
-  sequence.published = std::max(sequence.published, static_cast<uint32_t>(whole));
+  sequence.published = std::max(sequence.published, static_cast<uint32_t>(full_blocks));
 }
 
 bool BatchScheduler::ExtendMemory(Sequence& sequence) {
-  PublishWholeBlocks(sequence);
+  PublishFullBlocks(sequence);
   if (sequence.finished()) return true;
   const uint32_t needed = BlocksFor(sequence.text.tokens() + 1);
   while (sequence.blocks.size() < needed) {
     if (const std::optional<BlockIndex> block = cache_.Allocate()) {
       sequence.blocks.push_back(*block);
-      PublishWholeBlocks(sequence);
+      PublishFullBlocks(sequence);
       continue;
     }
-    Sequence* victim = Victim();
+    Sequence* victim = SelectVictim();
     Preempt(*victim);
     if (victim == &sequence) return false;
   }
--- a/emulator/model/batch_scheduler.h
+++ b/emulator/model/batch_scheduler.h
@@ -60,7 +60,7 @@
 };
 
 /// Duration of the complete run.
-Duration TimeOf(const StepPlan& plan, const StepTimeOptions& times);
+Duration DurationOf(const StepPlan& plan, const StepTimeOptions& times);
 
 class BatchScheduler {
  public:
@@ -103,14 +103,14 @@
   };
   static WaitKey KeyOf(const Sequence& sequence);
 
-  void Wait(Sequence& sequence);
-  void StopWaiting(Sequence& sequence);
+  void Enqueue(Sequence& sequence);
+  void Dequeue(Sequence& sequence);
   void AdmitWaiting();
   /// Allocates memory for the known tokens and one more. False if there is not enough.
-  bool TakeMemory(Sequence& sequence);
+  bool AllocateMemory(Sequence& sequence);
   void ReleaseMemory(Sequence& sequence);
   /// The least urgent running sequence, the latest among equals; null if nothing runs.
-  Sequence* Victim() const;
+  Sequence* SelectVictim() const;
   void Preempt(Sequence& sequence);
   void StopRunning(const Sequence& sequence);
 
@@ -119,7 +119,7 @@
   /// Publishes full blocks to the cache and allocates a block for the next token, preempting if
   /// none is free. False if the sequence itself was preempted.
   bool ExtendMemory(Sequence& sequence);
-  void PublishWholeBlocks(Sequence& sequence);
+  void PublishFullBlocks(Sequence& sequence);
 
   const EngineModelOptions& options_;
   KvCache& cache_;
--- a/emulator/model/engine_generate.cc
+++ b/emulator/model/engine_generate.cc
@@ -25,11 +25,11 @@
   }
   if (memory_->batch.waiting() >= options_.max_waiting) return "too many requests wait";
   // A token takes at least two bytes of text, so the tokens of most prompts need not be counted.
-  uint64_t most_tokens = request.prompt.size() / 2 + 1 + request.max_tokens;
-  if (!memory_->batch.Fits(most_tokens)) {
-    most_tokens = uint64_t{CountTokens(request.prompt)} + request.max_tokens;
+  uint64_t max_total_tokens = request.prompt.size() / 2 + 1 + request.max_tokens;
+  if (!memory_->batch.Fits(max_total_tokens)) {
+    max_total_tokens = uint64_t{CountTokens(request.prompt)} + request.max_tokens;
   }
-  if (!memory_->batch.Fits(most_tokens)) return "too long for the KV memory";
+  if (!memory_->batch.Fits(max_total_tokens)) return "too long for the KV memory";
   return std::nullopt;
 }
 
@@ -62,7 +62,7 @@
   ++counts_.accepted;
   open_[id].accepted = true;
   std::unique_ptr<Sequence> sequence = MakeSequence(id, request);
-  truth_.Started(request.request_id, sequence->seed, environment_.Now());
+  truth_.RecordStart(request.request_id, sequence->seed, environment_.Now());
   if (!request.kv_source.empty() && links_.fetch_kv) {
     FetchKvThenAdd(std::move(sequence), request.kv_source);
   } else {
@@ -92,14 +92,15 @@
     if (*held != nullptr && open_.contains(id)) AddToBatch(std::move(*held));
   };
   After(options_.kv_fetch_timeout, add);
-  links_.fetch_kv(source, blocks,
-                  [weak = weak_from_this(), life = life_, add](absl::StatusOr<KvExport> exported) {
-                    const std::shared_ptr<Impl> self = weak.lock();
-                    if (self == nullptr || self->life_ != life) return;
-                    if (!exported.ok() || !self->ImportKv(*exported).ok()) return add();
-                    const auto count = static_cast<Duration::rep>(exported->blocks.size());
-                    self->After(count * self->options_.kv_transfer_per_block, add);
-                  });
+  links_.fetch_kv(
+      source, blocks,
+      [weak = weak_from_this(), epoch = epoch_, add](absl::StatusOr<KvExport> exported) {
+        const std::shared_ptr<Impl> self = weak.lock();
+        if (self == nullptr || self->epoch_ != epoch) return;
+        if (!exported.ok() || !self->ImportKv(*exported).ok()) return add();
+        const auto count = static_cast<Duration::rep>(exported->blocks.size());
+        self->After(count * self->options_.kv_transfer_per_block, add);
+      });
 }
 
 void EngineModel::Impl::AddToBatch(std::unique_ptr<Sequence> sequence) {
@@ -120,7 +121,7 @@
   if (found == open_.end()) return;
   if (found->second.accepted) {
     ++counts_.cancelled;
-    truth_.Cancelled(found->second.request_id);
+    truth_.RecordCancel(found->second.request_id);
   }
   open_.erase(found);
   if (!running_) return;
@@ -141,18 +142,18 @@
   RecordFigures();
   if (plan_.empty()) return;
   tick_busy_ = true;
-  After(TimeOf(plan_, options_.step_time), [this] { FinishTick(); });
+  After(DurationOf(plan_, options_.step_time), [this] { FinishTick(); });
 }
 
 void EngineModel::Impl::FinishTick() {
-  const Duration step = TimeOf(plan_, options_.step_time) / plan_.steps;
+  const Duration step = DurationOf(plan_, options_.step_time) / plan_.steps;
   smoothed_step_ += smoothed_step_ == Duration(0) ? step : (step - smoothed_step_) / kStepSmoothing;
   const std::vector<SequenceId> ids =
       memory_->batch.Apply(plan_, memory_->weights.generating_version());
   if (Send(ids)) StartTick();
 }
 
-GenerateChunk EngineModel::Impl::TakeChunk(Sequence& sequence) {
+GenerateChunk EngineModel::Impl::MakeChunk(Sequence& sequence) {
   const WeightsId& active = memory_->weights.active();
   GenerateChunk chunk;
   chunk.tokens = std::move(sequence.unsent);
@@ -165,30 +166,31 @@
   chunk.finished = sequence.finished();
   const bool mixed = memory_->weights.mixed();
   if (mixed) counts_.mixed_tokens += count;
-  truth_.Produced(sequence.request_id,
-                  {{chunk.version, chunk.digest, incarnation_, chunk.first_token, count}, mixed});
+  truth_.RecordTokens(
+      sequence.request_id,
+      {{chunk.version, chunk.digest, incarnation_, chunk.first_token, count}, mixed});
   return chunk;
 }
 
 bool EngineModel::Impl::Send(const std::vector<SequenceId>& ids) {
   const std::shared_ptr<Impl> self = shared_from_this();
-  const uint64_t life = life_;
+  const uint64_t epoch = epoch_;
   const bool was_busy = std::exchange(tick_busy_, true);
   for (const SequenceId id : ids) {
     Sequence* sequence = memory_->batch.Find(id);
     const auto open = open_.find(id);
     if (sequence == nullptr || open == open_.end()) continue;
     GenerateObserver* observer = open->second.observer;
-    const GenerateChunk chunk = TakeChunk(*sequence);
+    const GenerateChunk chunk = MakeChunk(*sequence);
     open->second.chunk_sent = true;
     if (chunk.finished) {
       ++counts_.finished;
-      truth_.Finished(open->second.request_id);
+      truth_.RecordFinish(open->second.request_id);
       open_.erase(open);
       memory_->batch.Remove(id);
     }
     observer->OnChunk(chunk);
-    if (life_ != life) return false;
+    if (epoch_ != epoch) return false;
   }
   // Callbacks may have added work while no tick could be scheduled.
   if (!was_busy) After(Duration(0), [this] { StartTick(); });
--- a/emulator/model/engine_model.cc
+++ b/emulator/model/engine_model.cc
@@ -29,9 +29,9 @@
 
 void EngineModel::Impl::After(Duration delay, std::function<void()> callback) {
   environment_.Schedule(delay,
-                        [weak = weak_from_this(), life = life_, callback = std::move(callback)] {
+                        [weak = weak_from_this(), epoch = epoch_, callback = std::move(callback)] {
                           const std::shared_ptr<Impl> self = weak.lock();
-                          if (self != nullptr && self->life_ == life) callback();
+                          if (self != nullptr && self->epoch_ == epoch) callback();
                         });
 }
 
@@ -45,7 +45,7 @@
 }
 
 void EngineModel::Impl::RecordFigures() {
-  counts_.blocks_evicted = evicted_before_ + memory_->cache.evicted();
+  counts_.blocks_evicted = evicted_earlier_ + memory_->cache.evicted();
   history_.Record(environment_.Now(), Figures(), state_);
 }
 
@@ -124,11 +124,11 @@
   const std::shared_ptr<Impl> self = shared_from_this();
   running_ = false;
   draining_ = false;
-  ++life_;
+  ++epoch_;
   tick_busy_ = false;
   const std::map<SequenceId, Open> open = std::exchange(open_, {});
   const std::map<OrderId, OrderDone> orders = std::exchange(orders_, {});
-  evicted_before_ += memory_->cache.evicted();
+  evicted_earlier_ += memory_->cache.evicted();
   memory_ = std::make_unique<Memory>(environment_, options_, counts_);
   history_.Clear();
   smoothed_step_ = Duration(0);
@@ -152,7 +152,7 @@
 
 void EngineModel::Impl::Close() {
   running_ = false;
-  ++life_;
+  ++epoch_;
   open_.clear();
   orders_.clear();
 }
--- a/emulator/model/engine_model_impl.h
+++ b/emulator/model/engine_model_impl.h
@@ -87,7 +87,7 @@
   void FinishTick();
   /// Sends the chunks of `ids`; false if a callback ended this incarnation of the engine.
   bool Send(const std::vector<SequenceId>& ids);
-  GenerateChunk TakeChunk(Sequence& sequence);
+  GenerateChunk MakeChunk(Sequence& sequence);
 
   // Orders (engine_orders.cc).
   OrderId OpenOrder(OrderDone done);
@@ -119,7 +119,7 @@
 
   Incarnation incarnation_;
   /// Incremented at each crash and by Close; callbacks scheduled before that do nothing.
-  uint64_t life_ = 1;
+  uint64_t epoch_ = 1;
   bool running_ = true;
   bool draining_ = false;
   bool fail_next_activation_ = false;
@@ -134,7 +134,7 @@
   bool tick_busy_ = false;
   Duration smoothed_step_{0};
   /// Blocks evicted in earlier incarnations.
-  uint64_t evicted_before_ = 0;
+  uint64_t evicted_earlier_ = 0;
 };
 
 }  // namespace millstair
--- a/emulator/model/engine_orders.cc
+++ b/emulator/model/engine_orders.cc
@@ -66,10 +66,10 @@
   if (!links_.fetch_weights) {
     return After(options_.default_fetch_time, [done = std::move(done)] { done(WeightDigest()); });
   }
-  links_.fetch_weights(location, [weak = weak_from_this(), life = life_,
+  links_.fetch_weights(location, [weak = weak_from_this(), epoch = epoch_,
                                   done = std::move(done)](absl::StatusOr<WeightDigest> digest) {
     const std::shared_ptr<Impl> self = weak.lock();
-    if (self != nullptr && self->life_ == life) done(std::move(digest));
+    if (self != nullptr && self->epoch_ == epoch) done(std::move(digest));
   });
 }
 
@@ -148,7 +148,7 @@
   } else {
     memory_->weights.FinishSwap();
   }
-  memory_->cache.ForgetContents();
+  memory_->cache.DiscardContents();
   memory_->batch.StopSharing();
   RecordState();
   const std::optional<OrderId> order = std::exchange(memory_->swap_order, std::nullopt);
--- a/emulator/model/http_answers.cc
+++ b/emulator/model/http_answers.cc
@@ -18,9 +18,9 @@
 
 void SendMore(const std::shared_ptr<PendingBody>& pending) {
   while (pending->sent < pending->body.size()) {
-    const size_t room = pending->writer->WritableBytes();
-    if (room == 0) return;
-    const size_t size = std::min(room, pending->body.size() - pending->sent);
+    const size_t capacity = pending->writer->WritableBytes();
+    if (capacity == 0) return;
+    const size_t size = std::min(capacity, pending->body.size() - pending->sent);
     pending->writer->SendBody(pending->body.substr(pending->sent, size));
     pending->sent += size;
   }
@@ -49,7 +49,7 @@
 void RespondJson(const std::shared_ptr<ResponseWriter>& writer, std::string json) {
   HttpResponseHead head;
   head.headers.push_back({"Content-Type", "application/json"});
-  SendWhole(writer, std::move(head), std::move(json));
+  SendResponse(writer, std::move(head), std::move(json));
 }
 
 void RespondNotRun(const std::shared_ptr<ResponseWriter>& writer, int status, bool draining,
@@ -67,7 +67,7 @@
   RespondNotRun(writer, 404, false, "no such path: " + std::string(PathOf(target)));
 }
 
-void SendWhole(std::shared_ptr<ResponseWriter> writer, HttpResponseHead head, std::string body) {
+void SendResponse(std::shared_ptr<ResponseWriter> writer, HttpResponseHead head, std::string body) {
   head.headers.push_back({"Content-Length", std::to_string(body.size())});
   writer->SendHead(std::move(head));
   auto pending = std::make_shared<PendingBody>(PendingBody{writer, std::move(body)});
--- a/emulator/model/http_answers.h
+++ b/emulator/model/http_answers.h
@@ -23,6 +23,6 @@
 void RespondNotFound(const std::shared_ptr<ResponseWriter>& writer, std::string_view target);
 
 /// Sends head and body as the writer has capacity, then finishes.
-void SendWhole(std::shared_ptr<ResponseWriter> writer, HttpResponseHead head, std::string body);
+void SendResponse(std::shared_ptr<ResponseWriter> writer, HttpResponseHead head, std::string body);
 
 }  // namespace millstair
--- a/emulator/model/kv_cache.cc
+++ b/emulator/model/kv_cache.cc
@@ -17,7 +17,7 @@
   }
   const BlockIndex index = free_.back();
   free_.pop_back();
-  blocks_[index].holders = 1;
+  blocks_[index].ref_count = 1;
   return index;
 }
 
@@ -25,7 +25,7 @@
   const auto found = by_hash_.find(hash);
   if (found == by_hash_.end()) return std::nullopt;
   Block& block = blocks_[found->second];
-  if (block.holders++ == 0) Unlink(found->second);
+  if (block.ref_count++ == 0) Unlink(found->second);
   return found->second;
 }
 
@@ -43,7 +43,7 @@
 
 void KvCache::Release(BlockIndex index) {
   Block& block = blocks_[index];
-  if (--block.holders > 0) return;
+  if (--block.ref_count > 0) return;
   if (block.cached) {
     PushRecent(index);
   } else {
@@ -51,13 +51,13 @@
   }
 }
 
-void KvCache::ForgetContents() {
+void KvCache::DiscardContents() {
   for (BlockIndex index = 0; index < blocks_.size(); ++index) {
     Block& block = blocks_[index];
     if (!block.cached) continue;
     listener_(false, block.hash);
     block.cached = false;
-    if (block.holders > 0) continue;
+    if (block.ref_count > 0) continue;
     Unlink(index);
     free_.push_back(index);
   }
--- a/emulator/model/kv_cache.h
+++ b/emulator/model/kv_cache.h
@@ -36,7 +36,7 @@
   void Release(BlockIndex index);
   /// Discards all contents after a weight change. Referenced blocks stay allocated, without
   /// content.
-  void ForgetContents();
+  void DiscardContents();
 
   bool Contains(BlockHash hash) const { return by_hash_.contains(hash); }
   /// Number of leading `hashes` that are cached.
@@ -54,7 +54,7 @@
 
   struct Block {
     BlockHash hash = 0;
-    uint32_t holders = 0;
+    uint32_t ref_count = 0;
     bool cached = false;
     /// Neighbours in the list of unreferenced cached blocks, least recently used first.
     BlockIndex previous = kNoBlock;
--- a/emulator/model/plain_server_model.cc
+++ b/emulator/model/plain_server_model.cc
@@ -122,7 +122,7 @@
   if (DrawChance(environment_.Random(), options_.cut_answer)) {
     return CutAnswer(*writer, std::move(head), body);
   }
-  SendWhole(writer, std::move(head), std::move(body));
+  SendResponse(writer, std::move(head), std::move(body));
 }
 
 void PlainServerModel::Impl::CutAnswer(ResponseWriter& writer, HttpResponseHead head,
--- a/emulator/model/truth_log.cc
+++ b/emulator/model/truth_log.cc
@@ -22,7 +22,7 @@
   return const_cast<TruthLog*>(this)->FindMutable(request_id);
 }
 
-void TruthLog::Started(const std::string& request_id, PromptSeed prompt, TimePoint now) {
+void TruthLog::RecordStart(const std::string& request_id, PromptSeed prompt, TimePoint now) {
   if (TruthRecord* known = FindMutable(request_id)) {
     ++known->executions;
     return;
@@ -38,7 +38,7 @@
       {.request_id = request_id, .prompt = prompt, .executions = 1, .accepted_at = now});
 }
 
-void TruthLog::Produced(const std::string& request_id, const TruthSpan& span) {
+void TruthLog::RecordTokens(const std::string& request_id, const TruthSpan& span) {
   TruthRecord* record = FindMutable(request_id);
   if (record == nullptr || span.span.token_count == 0) return;
   if (!record->spans.empty() && Continues(record->spans.back(), span)) {
@@ -48,11 +48,11 @@
   record->spans.push_back(span);
 }
 
-void TruthLog::Finished(const std::string& request_id) {
+void TruthLog::RecordFinish(const std::string& request_id) {
   if (TruthRecord* record = FindMutable(request_id)) record->finished = true;
 }
 
-void TruthLog::Cancelled(const std::string& request_id) {
+void TruthLog::RecordCancel(const std::string& request_id) {
   if (TruthRecord* record = FindMutable(request_id)) record->cancelled = true;
 }
 
--- a/emulator/model/truth_log.h
+++ b/emulator/model/truth_log.h
@@ -61,11 +61,11 @@
   explicit TruthLog(uint32_t limit) : limit_(limit) {}
 
   /// Records the start of a request.
-  void Started(const std::string& request_id, PromptSeed prompt, TimePoint now);
+  void RecordStart(const std::string& request_id, PromptSeed prompt, TimePoint now);
   /// Records tokens; extends the last span if they continue it.
-  void Produced(const std::string& request_id, const TruthSpan& span);
-  void Finished(const std::string& request_id);
-  void Cancelled(const std::string& request_id);
+  void RecordTokens(const std::string& request_id, const TruthSpan& span);
+  void RecordFinish(const std::string& request_id);
+  void RecordCancel(const std::string& request_id);
 
   /// Null if unknown.
   const TruthRecord* Find(const std::string& request_id) const;
