--- a/emulator/engine_flags.cc
+++ b/emulator/engine_flags.cc
@@ -30,28 +30,33 @@
   add("model", po::value<std::string>()->default_value(""), "model served from the start");
   add("version", po::value<uint64_t>()->default_value(0), "its version; 0 serves none");
   add("digest", po::value<std::string>()->default_value(""), "its digest");
-  add("role", po::value<std::string>()->default_value(""), "role reported at first");
+  add("role", po::value<std::string>()->default_value(""), "initial role");
   add("incarnation", po::value<uint64_t>()->default_value(0), "0 takes the wall clock");
   add("step-base-us", po::value<uint32_t>()->default_value(15000), "time of a batch step");
-  add("step-per-sequence-us", po::value<uint32_t>()->default_value(250), "and of each sequence");
+  add("step-per-sequence-us", po::value<uint32_t>()->default_value(250),
+      "additional time per sequence");
   add("step-per-prefill-token-us", po::value<uint32_t>()->default_value(20),
-      "and of each prompt token");
-  add("max-sequences", po::value<uint32_t>()->default_value(32), "largest batch");
-  add("max-waiting", po::value<uint32_t>()->default_value(1024), "requests beyond are refused");
+      "additional time per prompt token");
+  add("max-sequences", po::value<uint32_t>()->default_value(32), "maximum batch size");
+  add("max-waiting", po::value<uint32_t>()->default_value(1024),
+      "maximum number of waiting requests");
   add("kv-blocks", po::value<uint32_t>()->default_value(4096), "KV memory, blocks of 16 tokens");
-  add("max-prefill-tokens", po::value<uint32_t>()->default_value(2048), "prompt tokens a step");
-  add("chunk-tokens", po::value<uint32_t>()->default_value(8), "tokens sent together");
+  add("max-prefill-tokens", po::value<uint32_t>()->default_value(2048),
+      "maximum number of prompt tokens per step");
+  add("chunk-tokens", po::value<uint32_t>()->default_value(8), "tokens per chunk");
   add("report-lag-ms", po::value<uint32_t>()->default_value(250), "age of reports");
-  add("cache-event-delay-ms", po::value<uint32_t>()->default_value(100), "age of cache events");
-  add("cache-event-loss", po::value<double>()->default_value(0), "share of events lost, 0..1");
+  add("cache-event-delay-ms", po::value<uint32_t>()->default_value(100), "delay of cache events");
+  add("cache-event-loss", po::value<double>()->default_value(0), "fraction of events lost, 0..1");
   add("activate-ms", po::value<uint32_t>()->default_value(300), "time of a weight swap");
-  add("activate-failure", po::value<double>()->default_value(0), "share of swaps that fail, 0..1");
-  add("max-staged", po::value<uint32_t>()->default_value(2), "versions held ready");
+  add("activate-failure", po::value<double>()->default_value(0),
+      "fraction of swaps that fail, 0..1");
+  add("max-staged", po::value<uint32_t>()->default_value(2), "maximum number of staged versions");
   add("fetch-ms", po::value<uint32_t>()->default_value(500), "time of a fetch without a store");
-  add("kv-transfer-us", po::value<uint32_t>()->default_value(50), "time to take a KV block");
-  add("truth-limit", po::value<uint32_t>()->default_value(1000000), "requests remembered");
+  add("kv-transfer-us", po::value<uint32_t>()->default_value(50), "time to import a KV block");
+  add("truth-limit", po::value<uint32_t>()->default_value(1000000),
+      "maximum number of requests in the truth log");
   add("drain-timeout-ms", po::value<uint32_t>()->default_value(60000),
-      "how long a stop waits for running requests");
+      "maximum wait for running requests on shutdown");
   return flags;
 }
 
--- a/emulator/engine_links.cc
+++ b/emulator/engine_links.cc
@@ -10,13 +10,13 @@
 namespace {
 
 /// A call that collects the complete response. Owns itself until the response arrives.
-class WholeCall : public HttpCallObserver, public std::enable_shared_from_this<WholeCall> {
+class CollectedCall : public HttpCallObserver, public std::enable_shared_from_this<CollectedCall> {
  public:
   using Done = std::function<void(absl::Status, const HttpResponseHead&, const std::string& body)>;
 
   static void Start(HttpCaller& caller, const std::string& address, HttpRequest request,
                     Done done) {
-    auto call = std::make_shared<WholeCall>();
+    auto call = std::make_shared<CollectedCall>();
     call->done_ = std::move(done);
     call->self_ = call;
     call->handle_ = caller.Start(address, std::move(request), *call);
@@ -35,12 +35,12 @@
 
  private:
   void End(const absl::Status& status) {
-    const std::shared_ptr<WholeCall> self = std::move(self_);
+    const std::shared_ptr<CollectedCall> self = std::move(self_);
     const std::unique_ptr<CallHandle> handle = std::move(handle_);
     done_(status, head_, body_);
   }
 
-  std::shared_ptr<WholeCall> self_;
+  std::shared_ptr<CollectedCall> self_;
   std::unique_ptr<CallHandle> handle_;
   Done done_;
   HttpResponseHead head_;
@@ -50,7 +50,7 @@
 void FetchWeights(HttpCaller& caller, const std::string& store, const std::string& location,
                   std::function<void(absl::StatusOr<WeightDigest>)> done) {
   HttpRequest request{"GET", "/weights/" + location, {}, ""};
-  WholeCall::Start(
+  CollectedCall::Start(
       caller, store, std::move(request),
       [done = std::move(done)](const absl::Status& status, const HttpResponseHead& head,
                                const std::string&) {
@@ -67,12 +67,12 @@
              std::function<void(absl::StatusOr<KvExport>)> done) {
   HttpRequest request{
       "POST", "/v1/kv/export", {{"Content-Type", "application/json"}}, EncodeBlockList(blocks)};
-  WholeCall::Start(caller, address, std::move(request),
-                   [done = std::move(done)](const absl::Status& status, const HttpResponseHead&,
-                                            const std::string& body) {
-                     if (!status.ok()) return done(status);
-                     done(DecodeKvExport(body));
-                   });
+  CollectedCall::Start(caller, address, std::move(request),
+                       [done = std::move(done)](const absl::Status& status, const HttpResponseHead&,
+                                                const std::string& body) {
+                         if (!status.ok()) return done(status);
+                         done(DecodeKvExport(body));
+                       });
 }
 
 }  // namespace
--- a/emulator/engine_service.cc
+++ b/emulator/engine_service.cc
@@ -126,9 +126,9 @@
   generations_[id] = generation;
   const std::weak_ptr<Generation> weak = generation;
   writer->OnCallerDisconnected([this, id, weak, alive = std::weak_ptr<char>(alive_)] {
-    const std::shared_ptr<Generation> gone = weak.lock();
-    if (alive.expired() || gone == nullptr) return;
-    engine_.Cancel(gone->generation());
+    const std::shared_ptr<Generation> disconnected = weak.lock();
+    if (alive.expired() || disconnected == nullptr) return;
+    engine_.Cancel(disconnected->generation());
     generations_.erase(id);
   });
   writer->OnWritable([weak] {
--- a/emulator/link_service.cc
+++ b/emulator/link_service.cc
@@ -82,19 +82,19 @@
   const std::string_view path = PathOf(request.target);
   if (path == "/livez") return RespondJson(writer, "{}");
   if (path == "/links") {
-    return AnswerFromRelays(std::move(writer), [this] { return LinksJson(relays_); });
+    return RespondFromRelays(std::move(writer), [this] { return LinksJson(relays_); });
   }
   if (path != "/fault") return RespondNotFound(writer, path);
   const absl::StatusOr<LinkFault> fault = DecodeLinkFault(request.body);
   if (!fault.ok()) return RespondNotRun(writer, 400, false, std::string(fault.status().message()));
-  AnswerFromRelays(std::move(writer), [this, fault = *fault] {
+  RespondFromRelays(std::move(writer), [this, fault = *fault] {
     const size_t count = ApplyLinkFault(relays_, fault);
     return boost::json::serialize(boost::json::object{{"links", count}});
   });
 }
 
-void LinkService::AnswerFromRelays(std::shared_ptr<ResponseWriter> writer,
-                                   std::function<std::string()> work) {
+void LinkService::RespondFromRelays(std::shared_ptr<ResponseWriter> writer,
+                                    std::function<std::string()> work) {
   boost::asio::post(io_, [post = post_, writer = std::move(writer), work = std::move(work)] {
     post([writer, json = work()] { RespondJson(writer, json); });
   });
--- a/emulator/link_service.h
+++ b/emulator/link_service.h
@@ -45,7 +45,7 @@
 
  private:
   /// Runs `work` on the relays' thread and responds with the JSON that it returns.
-  void AnswerFromRelays(std::shared_ptr<ResponseWriter> writer, std::function<std::string()> work);
+  void RespondFromRelays(std::shared_ptr<ResponseWriter> writer, std::function<std::string()> work);
 
   boost::asio::io_context& io_;
   const std::vector<std::unique_ptr<LinkRelay>>& relays_;
--- a/emulator/platform_services.cc
+++ b/emulator/platform_services.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void HookedService::Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) {
+void TestHookService::Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) {
   const std::string_view path = PathOf(request.target);
   if (path == "/truth") return RespondJson(writer, TruthJson());
   if (path != "/fault") return model_.Handle(std::move(request), std::move(writer));
@@ -22,7 +22,7 @@
   RespondNotRun(writer, 400, false, std::string(status.message()));
 }
 
-absl::Status HookedService::Apply(const FaultRequest& fault) {
+absl::Status TestHookService::Apply(const FaultRequest& fault) {
   return absl::InvalidArgumentError("fault: kind: unknown here: " + fault.kind);
 }
 
@@ -47,7 +47,7 @@
     options_.cut_answer = fault.cut_answer_permille / kPermille;
     model_.SetOptions(options_);
   } else {
-    return HookedService::Apply(fault);
+    return TestHookService::Apply(fault);
   }
   return absl::OkStatus();
 }
@@ -55,13 +55,13 @@
 std::string StoreService::TruthJson() const { return StoreTruthJson(model_); }
 
 absl::Status StoreService::Apply(const FaultRequest& fault) {
-  if (fault.kind != "down" && fault.kind != "up") return HookedService::Apply(fault);
+  if (fault.kind != "down" && fault.kind != "up") return TestHookService::Apply(fault);
   model_.SetAvailable(fault.kind == "up");
   return absl::OkStatus();
 }
 
 absl::Status MachinesService::Apply(const FaultRequest& fault) {
-  if (fault.kind != "machine") return HookedService::Apply(fault);
+  if (fault.kind != "machine") return TestHookService::Apply(fault);
   const absl::StatusOr<MachineState> state = MachineStateFromName(fault.state);
   if (!state.ok()) return state.status();
   model_.SetState(fault.address, *state);
--- a/emulator/platform_services.h
+++ b/emulator/platform_services.h
@@ -11,9 +11,9 @@
 namespace millstair {
 
 /// Handles the test hooks and passes all other requests to the model.
-class HookedService : public RequestHandler {
+class TestHookService : public RequestHandler {
  public:
-  explicit HookedService(RequestHandler& model) : model_(model) {}
+  explicit TestHookService(RequestHandler& model) : model_(model) {}
   void Handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) final;
 
  protected:
@@ -25,10 +25,10 @@
   RequestHandler& model_;
 };
 
-class PlainService : public HookedService {
+class PlainService : public TestHookService {
  public:
   PlainService(Environment& environment, PlainServerModel& model, PlainServerOptions options)
-      : HookedService(model), environment_(environment), model_(model), options_(options) {}
+      : TestHookService(model), environment_(environment), model_(model), options_(options) {}
 
  private:
   std::string TruthJson() const override;
@@ -40,9 +40,9 @@
   std::shared_ptr<char> alive_ = std::make_shared<char>(0);
 };
 
-class StoreService : public HookedService {
+class StoreService : public TestHookService {
  public:
-  explicit StoreService(WeightStoreModel& model) : HookedService(model), model_(model) {}
+  explicit StoreService(WeightStoreModel& model) : TestHookService(model), model_(model) {}
 
  private:
   std::string TruthJson() const override;
@@ -51,9 +51,9 @@
   WeightStoreModel& model_;
 };
 
-class MachinesService : public HookedService {
+class MachinesService : public TestHookService {
  public:
-  explicit MachinesService(MachineListModel& model) : HookedService(model), model_(model) {}
+  explicit MachinesService(MachineListModel& model) : TestHookService(model), model_(model) {}
 
  private:
   absl::Status Apply(const FaultRequest& fault) override;
--- a/emulator/stand_in_commands.cc
+++ b/emulator/stand_in_commands.cc
@@ -99,13 +99,15 @@
 int RunPlain(const Flags& arguments) {
   po::options_description description = Describe("plain");
   auto add = description.add_options();
-  add("name", po::value<std::string>()->default_value("plain"), "name put in answers");
-  add("delay-min-ms", po::value<uint32_t>()->default_value(2), "shortest time of a request");
-  add("delay-max-ms", po::value<uint32_t>()->default_value(10), "longest time of a request");
-  add("refusal", po::value<double>()->default_value(0), "share refused before it runs, 0..1");
-  add("cut-answer", po::value<double>()->default_value(0), "share of answers cut, 0..1");
-  add("max-concurrent", po::value<uint32_t>()->default_value(256), "requests at once");
-  add("padding", po::value<uint32_t>()->default_value(0), "further bytes in an answer");
+  add("name", po::value<std::string>()->default_value("plain"), "server name in responses");
+  add("delay-min-ms", po::value<uint32_t>()->default_value(2), "minimum time of a request");
+  add("delay-max-ms", po::value<uint32_t>()->default_value(10), "maximum time of a request");
+  add("refusal", po::value<double>()->default_value(0),
+      "fraction of requests refused before they run, 0..1");
+  add("cut-answer", po::value<double>()->default_value(0), "fraction of responses truncated, 0..1");
+  add("max-concurrent", po::value<uint32_t>()->default_value(256),
+      "maximum number of concurrent requests");
+  add("padding", po::value<uint32_t>()->default_value(0), "bytes of padding in a response");
   const ParsedFlags parsed = Parse(description, arguments);
   if (parsed.exit_code) return *parsed.exit_code;
   const po::variables_map& values = parsed.values;
@@ -131,10 +133,13 @@
 int RunStore(const Flags& arguments) {
   po::options_description description = Describe("store");
   auto add = description.add_options();
-  add("bytes-per-second", po::value<uint64_t>()->default_value(400'000'000), "over all readers");
-  add("burst-bytes", po::value<uint64_t>()->default_value(400'000'000), "read at once");
-  add("version-bytes", po::value<uint64_t>()->default_value(100'000'000), "size of a version");
-  add("max-waiting", po::value<uint32_t>()->default_value(16), "readings that wait");
+  add("bytes-per-second", po::value<uint64_t>()->default_value(400'000'000),
+      "rate over all readers");
+  add("burst-bytes", po::value<uint64_t>()->default_value(400'000'000),
+      "capacity of the token bucket");
+  add("version-bytes", po::value<uint64_t>()->default_value(100'000'000),
+      "default size of a version");
+  add("max-waiting", po::value<uint32_t>()->default_value(16), "maximum number of waiting reads");
   const ParsedFlags parsed = Parse(description, arguments);
   if (parsed.exit_code) return *parsed.exit_code;
   const po::variables_map& values = parsed.values;
@@ -153,13 +158,13 @@
   po::options_description description = Describe("scorer");
   auto add = description.add_options();
   add("delay-ms", po::value<uint32_t>()->default_value(20), "time of a score");
-  add("failure", po::value<double>()->default_value(0), "share of requests that fail, 0..1");
+  add("failure", po::value<double>()->default_value(0), "fraction of requests that fail, 0..1");
   const ParsedFlags parsed = Parse(description, arguments);
   if (parsed.exit_code) return *parsed.exit_code;
   StandInProcess process;
   ScorerModel model(process.environment(), {.delay = Milliseconds(parsed.values, "delay-ms"),
                                             .failure = parsed.values["failure"].as<double>()});
-  HookedService service(model);
+  TestHookService service(model);
   return ExitCodeOf(process.Run({.role = "scorer",
                                  .listen = parsed.values["listen"].as<std::string>(),
                                  .handler = &service}));
@@ -169,10 +174,11 @@
   po::options_description description = Describe("machines");
   auto add = description.add_options();
   add("machine", po::value<Flags>()->default_value({}, ""), "address of a live machine; repeat");
-  add("lag-ms", po::value<uint32_t>()->default_value(5000), "time until a change shows");
-  add("late", po::value<double>()->default_value(0), "share of changes that are late, 0..1");
-  add("late-lag-ms", po::value<uint32_t>()->default_value(30000), "time until these show");
-  add("missing", po::value<double>()->default_value(0), "share that never show, 0..1");
+  add("lag-ms", po::value<uint32_t>()->default_value(5000), "delay until a change is visible");
+  add("late", po::value<double>()->default_value(0), "fraction of changes that are late, 0..1");
+  add("late-lag-ms", po::value<uint32_t>()->default_value(30000),
+      "delay until late changes are visible");
+  add("missing", po::value<double>()->default_value(0), "fraction that is never visible, 0..1");
   const ParsedFlags parsed = Parse(description, arguments);
   if (parsed.exit_code) return *parsed.exit_code;
   const po::variables_map& values = parsed.values;
--- a/test/emulator/engine_batching_test.cc
+++ b/test/emulator/engine_batching_test.cc
@@ -8,7 +8,7 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-TEST_CASE("one sequence takes prefill and then one step a token") {
+TEST_CASE("one sequence takes its prefill and then one step per token") {
   EngineFixture fixture;
   const std::string prompt = PromptOfLength(20, 50, 10);
   RecordingObserver& observer = fixture.Observer();
@@ -25,7 +25,7 @@
   CHECK(fixture.engine.Idle());
 }
 
-TEST_CASE("sequences share steps, and a step grows with each of them") {
+TEST_CASE("sequences share steps, and the step time grows with each sequence") {
   EngineFixture fixture;
   const std::string prompt = PromptOfLength(4, 50, 10);
   const std::string other = PromptOfLength(5, 50, 10);
@@ -52,7 +52,7 @@
   CHECK(observer.times.front() == milliseconds(30) + microseconds(15000));
 }
 
-TEST_CASE("longer ticks change neither the tokens nor the end of a lone sequence") {
+TEST_CASE("longer ticks change neither the tokens nor the end time of a single sequence") {
   const std::string prompt = PromptOfLength(20, 200, 37);
   std::vector<Duration> ends;
   for (const uint32_t steps : {1U, 4U, 8U}) {
@@ -78,7 +78,7 @@
   CHECK(fixture.scheduler.pending() == 0);
 }
 
-TEST_CASE("more sequences than the batch holds wait for their turn") {
+TEST_CASE("sequences beyond the batch size wait") {
   EngineModelOptions options = ExactOptions();
   options.max_sequences = 2;
   options.max_waiting = 2;
@@ -101,7 +101,7 @@
   CHECK(fixture.engine.counts().refused == 1);
 }
 
-TEST_CASE("an urgent request takes the place of a rollout, which then goes on where it was") {
+TEST_CASE("an urgent request preempts a rollout, which later resumes at the same token") {
   EngineModelOptions options = ExactOptions();
   options.max_sequences = 1;
   EngineFixture fixture(options);
@@ -124,7 +124,7 @@
   CHECK(rollout.tokens == Expected(long_prompt, 0, 60, 1));
 }
 
-TEST_CASE("without memory the least urgent and latest sequence makes room") {
+TEST_CASE("when memory runs out, the least urgent and latest sequence is preempted") {
   EngineModelOptions options = ExactOptions();
   options.total_kv_blocks = 8;
   EngineFixture fixture(options);
@@ -142,7 +142,7 @@
   CHECK(fixture.engine.CurrentReport().free_kv_blocks == 8);
 }
 
-TEST_CASE("memory pressure preempts and everything still comes whole") {
+TEST_CASE("sequences preempted under memory pressure still complete") {
   EngineModelOptions options = ExactOptions();
   options.total_kv_blocks = 24;
   EngineFixture fixture(options);
@@ -173,7 +173,7 @@
   CHECK(observer.failure == CallFailure::kRefused);
 }
 
-TEST_CASE("cancel ends a generation without a further word") {
+TEST_CASE("a cancelled generation gets no further callbacks") {
   EngineFixture fixture;
   RecordingObserver& observer = fixture.Observer();
   const GenerationId id =
@@ -191,7 +191,7 @@
         fixture.engine.CurrentReport().total_kv_blocks);
 }
 
-TEST_CASE("a generation resumed at a token gives the same words as one that was not cut") {
+TEST_CASE("a resumed generation gives the same tokens as an uninterrupted one") {
   EngineFixture fixture;
   const std::string prompt = PromptOfLength(8, 200, 40);
   for (const uint32_t at : {1U, 15U, 16U, 39U, 40U}) {
@@ -206,7 +206,7 @@
   }
 }
 
-TEST_CASE("a generation begun in a callback joins the next step") {
+TEST_CASE("a generation started in a callback joins the next step") {
   struct Chained : RecordingObserver {
     using RecordingObserver::RecordingObserver;
     void OnChunk(const GenerateChunk& chunk) override {
--- a/test/emulator/engine_cache_test.cc
+++ b/test/emulator/engine_cache_test.cc
@@ -25,7 +25,7 @@
   CHECK(fixture.engine.counts().prefix_blocks_reused == 10);
 }
 
-TEST_CASE("the least recently used blocks are given up first") {
+TEST_CASE("the least recently used blocks are evicted first") {
   std::vector<CacheEvent> events;
   KvCache cache(3, [&](bool stored, BlockHash hash) { events.push_back({0, stored, hash}); });
   for (const BlockHash hash : {10, 20, 30}) {
@@ -83,7 +83,7 @@
   CHECK(fixture.engine.CacheEventsAfter(2, false)->events.size() == 1);
 }
 
-TEST_CASE("lost and dropped events show as gaps, and a resync tells what is held") {
+TEST_CASE("lost and dropped events show as gaps, and a resync returns the blocks held") {
   const bool by_loss = GENERATE(true, false);
   EngineModelOptions options = ExactOptions();
   if (by_loss) options.cache_event_loss = 0.5;
@@ -105,7 +105,7 @@
   CHECK_FALSE(fixture.engine.CacheEventsAfter(held.newest, false)->gap);
 }
 
-TEST_CASE("exported blocks save the other engine the prefill") {
+TEST_CASE("imported blocks save an engine the prefill") {
   EngineFixture source;
   const std::string prompt = PromptOfLength(160, 200, 40);
   RecordingObserver& first = source.Observer();
@@ -135,7 +135,8 @@
   CHECK(target.engine.counts().prefill_tokens == 4);
 }
 
-TEST_CASE("an engine that does not answer for its blocks delays a resume for a bounded time") {
+TEST_CASE(
+    "an engine that does not reply to a block request delays a resume only until the timeout") {
   std::function<void(absl::StatusOr<KvExport>)> answer;
   EngineModelLinks links;
   links.fetch_kv = [&](const std::string&, const std::vector<BlockHash>&, auto done) {
@@ -159,7 +160,7 @@
   CHECK(fixture.engine.Idle());
 }
 
-TEST_CASE("blocks of other weights are not taken over") {
+TEST_CASE("blocks of other weights are not imported") {
   EngineFixture fixture;
   KvExport exported{Incarnation(1), ModelName("m"), WeightVersion(2), {1, 2, 3}};
   CHECK(absl::IsFailedPrecondition(fixture.engine.ImportKv(exported)));
--- a/test/emulator/engine_orders_test.cc
+++ b/test/emulator/engine_orders_test.cc
@@ -64,7 +64,7 @@
   CHECK(answers == 2);
 }
 
-TEST_CASE("the oldest staged version makes room for a further one") {
+TEST_CASE("the oldest staged version is dropped for a new one") {
   EngineFixture fixture;
   for (const uint64_t version : {2, 3, 4}) {
     REQUIRE(fixture.Apply(fixture.Order(OrderKind::kStage, version, version)).ok());
@@ -73,7 +73,7 @@
         std::vector{WeightVersion(3), WeightVersion(4)});
 }
 
-TEST_CASE("a swap in the middle of a generation splits its spans truly") {
+TEST_CASE("a swap during a generation splits its spans at the right token") {
   EngineFixture fixture;
   const std::string prompt = PromptOfLength(20, 400, 60);
   RecordingObserver& observer = fixture.Observer();
@@ -103,7 +103,7 @@
   CHECK(record.executions == 1);
 }
 
-TEST_CASE("no step runs during a swap, and the cache of the old weights is gone") {
+TEST_CASE("no step runs during a swap, and the cache of the old weights is discarded") {
   EngineFixture fixture;
   const std::string prompt = PromptOfLength(64, 50, 10);
   RecordingObserver& first = fixture.Observer();
@@ -121,7 +121,7 @@
   CHECK(fixture.engine.counts().prefix_blocks_reused == 0);
 }
 
-TEST_CASE("a swap that fails partway leaves mixed shards that say so on each chunk") {
+TEST_CASE("a swap that fails partway leaves mixed shards, and each chunk carries a mixed digest") {
   EngineFixture fixture;
   const std::string prompt = PromptOfLength(20, 50, 10);
   REQUIRE(fixture.Apply(fixture.Order(OrderKind::kStage, 5, 2)).ok());
@@ -144,7 +144,7 @@
   CHECK(fixture.engine.CurrentReport().active_digest == WeightDigest("d2"));
 }
 
-TEST_CASE("a crash ends streams and orders, and a restart begins with the first weights") {
+TEST_CASE("a crash fails streams and orders, and a restart serves the initial weights") {
   EngineFixture fixture;
   REQUIRE(fixture.Apply(fixture.Order(OrderKind::kStage, 5, 2)).ok());
   REQUIRE(fixture.Apply(fixture.Order(OrderKind::kActivate, 5, 2)).ok());
@@ -179,7 +179,7 @@
   CHECK(begun.failures == 1);
 }
 
-TEST_CASE("a draining engine refuses new work and finishes the old") {
+TEST_CASE("a draining engine refuses new generations and completes those in progress") {
   EngineFixture fixture;
   RecordingObserver& begun = fixture.Observer();
   fixture.engine.Generate(fixture.Request("a", PromptOfLength(20, 400, 60), 400), begun);
@@ -196,7 +196,7 @@
   CHECK(fixture.engine.counts().accepted_while_draining == 0);
 }
 
-TEST_CASE("adapters and role follow orders") {
+TEST_CASE("orders change adapters and role") {
   EngineFixture fixture;
   GenerateRequest request = fixture.Request("a", "x y", 5);
   request.adapter = "tone";
@@ -217,7 +217,7 @@
   CHECK(fixture.engine.CurrentReport().role == "prefill");
 }
 
-TEST_CASE("reports show the state as it was a while ago") {
+TEST_CASE("reports lag behind the state by the configured time") {
   EngineModelOptions options = ExactOptions();
   options.report_lag = milliseconds(250);
   EngineFixture fixture(options);
--- a/test/emulator/engine_process_test.cc
+++ b/test/emulator/engine_process_test.cc
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 
 /// Maximum wait for a response; reached only in a failing run.
-constexpr std::chrono::seconds kPatience(30);
+constexpr std::chrono::seconds kMaxWait(30);
 
 /// An engine behind a socket, and a client, on one executor.
 class EngineProcess {
@@ -72,7 +72,7 @@
   /// The failure; nullopt if the generation is complete.
   std::optional<CallFailure> Wait() {
     auto result = ended.get_future();
-    REQUIRE(result.wait_for(kPatience) == std::future_status::ready);
+    REQUIRE(result.wait_for(kMaxWait) == std::future_status::ready);
     return result.get();
   }
 
@@ -100,7 +100,7 @@
                               [&](absl::Status status) { answer.set_value(std::move(status)); });
   });
   auto result = answer.get_future();
-  REQUIRE(result.wait_for(kPatience) == std::future_status::ready);
+  REQUIRE(result.wait_for(kMaxWait) == std::future_status::ready);
   return result.get();
 }
 
@@ -112,7 +112,7 @@
   return options;
 }
 
-TEST_CASE("a generation comes whole over a socket") {
+TEST_CASE("a generation arrives complete over a socket") {
   EngineProcess process(FastOptions());
   const std::string prompt = PromptOfLength(20, 100, 25);
   Stream stream;
@@ -128,9 +128,9 @@
   EngineProcess process(options);
   Stream stream;
   Begin(process, stream, EngineFixture::Request("r", PromptOfLength(20, 40000, 10000), 40000));
-  REQUIRE(stream.begun.get_future().wait_for(kPatience) == std::future_status::ready);
+  REQUIRE(stream.begun.get_future().wait_for(kMaxWait) == std::future_status::ready);
   Drop(process, stream);
-  const auto deadline = std::chrono::steady_clock::now() + kPatience;
+  const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
   bool idle = false;
   while (!idle && std::chrono::steady_clock::now() < deadline) {
     process.OnExecutor([&] { idle = process.engine->Idle(); });
@@ -139,13 +139,13 @@
   process.OnExecutor([&] { CHECK(process.engine->counts().cancelled == 1); });
 }
 
-TEST_CASE("drain and crash reach the caller as what they are") {
+TEST_CASE("the caller can distinguish a drain from a crash") {
   EngineModelOptions options = FastOptions();
   options.step_time.base = milliseconds(20);
   EngineProcess process(options);
   Stream begun;
   Begin(process, begun, EngineFixture::Request("a", PromptOfLength(20, 40000, 10000), 40000));
-  REQUIRE(begun.begun.get_future().wait_for(kPatience) == std::future_status::ready);
+  REQUIRE(begun.begun.get_future().wait_for(kMaxWait) == std::future_status::ready);
   process.OnExecutor([&] { process.engine->Drain(); });
   Stream refused;
   Begin(process, refused, EngineFixture::Request("b", "x", 4));
@@ -157,7 +157,7 @@
   Drop(process, refused);
 }
 
-TEST_CASE("orders and reports go over a socket with the model's own answers") {
+TEST_CASE("orders and reports over a socket get the model's replies") {
   EngineProcess process(FastOptions());
   CHECK(Order(process, EngineFixture::Order(OrderKind::kStage, 5, 2)).ok());
   CHECK(
@@ -174,7 +174,7 @@
     });
   });
   auto result = answer.get_future();
-  REQUIRE(result.wait_for(kPatience) == std::future_status::ready);
+  REQUIRE(result.wait_for(kMaxWait) == std::future_status::ready);
   const absl::StatusOr<EngineReport> report = result.get();
   REQUIRE(report.ok());
   CHECK(report->shards == ShardState::kMixed);
--- a/test/emulator/engine_service_test.cc
+++ b/test/emulator/engine_service_test.cc
@@ -55,10 +55,10 @@
   CHECK(chunks.back().finished);
 }
 
-TEST_CASE("a slow reader gets the whole stream when it reads on") {
+TEST_CASE("a slow reader gets the complete stream when it continues to read") {
   ServiceFixture fixture;
   auto writer = std::make_shared<RecordingWriter>();
-  writer->room = 50;
+  writer->writable_bytes = 50;
   const std::string prompt = PromptOfLength(8, 50, 10);
   fixture.service.Handle(
       {"POST", "/v1/generate", {}, EncodeGenerateRequest(fixture.Request("r", prompt, 50))},
@@ -66,23 +66,23 @@
   fixture.scheduler.RunFor(seconds(5));
   CHECK(writer->body.size() == 50);
   CHECK_FALSE(writer->finished);
-  writer->MakeRoom(1 << 20);
+  writer->SetWritableBytes(1 << 20);
   CHECK(writer->finished);
   CHECK(ChunksOf(writer->body).size() == 10);
 }
 
-TEST_CASE("a caller that goes cancels its generation") {
+TEST_CASE("a disconnect of the caller cancels its generation") {
   ServiceFixture fixture;
   const auto writer = fixture.Generate("r", PromptOfLength(8, 400, 60), 400);
   fixture.scheduler.RunFor(milliseconds(100));
-  writer->on_gone();
+  writer->on_caller_disconnected();
   CHECK(fixture.engine.Idle());
   CHECK(fixture.engine.counts().cancelled == 1);
   fixture.scheduler.RunFor(seconds(5));
   CHECK_FALSE(writer->finished);
 }
 
-TEST_CASE("refusals say that the request did not run, and a crash cuts") {
+TEST_CASE("refusals report that the request did not run, and a crash cuts the stream") {
   ServiceFixture fixture;
   const auto begun = fixture.Generate("a", PromptOfLength(8, 400, 60), 400);
   fixture.scheduler.RunFor(milliseconds(100));
@@ -138,7 +138,7 @@
   CHECK(Send(fixture.service, "GET", "/v1/other")->head.status == 404);
 }
 
-TEST_CASE("order answers keep their meaning over HTTP") {
+TEST_CASE("order statuses are preserved over HTTP") {
   for (const absl::Status& status :
        {absl::OkStatus(), absl::InvalidArgumentError("x"), absl::FailedPreconditionError("x"),
         absl::DataLossError("x"), absl::ResourceExhaustedError("x"), absl::UnavailableError("x"),
@@ -147,7 +147,7 @@
   }
 }
 
-TEST_CASE("the truth tells what ran") {
+TEST_CASE("GET /truth reports what ran") {
   ServiceFixture fixture;
   const std::string prompt = PromptOfLength(8, 50, 10);
   fixture.Generate("r", prompt, 50);
@@ -192,7 +192,7 @@
   RequestHandler& handler_;
 };
 
-TEST_CASE("an engine takes weights from the store over HTTP") {
+TEST_CASE("an engine fetches weights from the store over HTTP") {
   VirtualScheduler scheduler(1);
   VirtualEnvironment environment(scheduler, 2);
   WeightStoreModel store(environment, {});
@@ -218,7 +218,7 @@
   CHECK(fixture.engine.CurrentReport().staged_versions == std::vector{WeightVersion(2)});
 }
 
-TEST_CASE("an engine takes KV blocks from another over HTTP") {
+TEST_CASE("an engine fetches KV blocks from another over HTTP") {
   ServiceFixture source;
   const std::string prompt = PromptOfLength(160, 50, 10);
   source.Generate("a", prompt, 50);
@@ -235,7 +235,7 @@
   CHECK(target.engine.counts().prefill_tokens == 1);
 }
 
-TEST_CASE("the platform's stand-ins take faults and tell their truth") {
+TEST_CASE("the platform's stand-ins apply faults and report their ground truth") {
   VirtualScheduler scheduler(1);
   VirtualEnvironment environment(scheduler, 2);
   PlainServerModel plain(environment, {});
--- a/test/emulator/generated_text_test.cc
+++ b/test/emulator/generated_text_test.cc
@@ -41,7 +41,7 @@
   CHECK(GenerationLength("x", 1) == 1);
 }
 
-TEST_CASE("mixed weights have a version and a digest of their own") {
+TEST_CASE("mixed weights have a distinct version and digest") {
   CHECK(MixedVersion(WeightVersion(1), WeightVersion(2)).value() > 1ULL << 62);
   CHECK(MixedVersion(WeightVersion(1), WeightVersion(2)) !=
         MixedVersion(WeightVersion(2), WeightVersion(1)));
--- a/test/emulator/link_relay_test.cc
+++ b/test/emulator/link_relay_test.cc
@@ -19,7 +19,7 @@
 using std::chrono::milliseconds;
 
 /// Maximum wait for a condition; reached only in a failing run.
-constexpr std::chrono::seconds kPatience(20);
+constexpr std::chrono::seconds kMaxWait(20);
 
 /// An echo server, a relay to it, and clients, all on one thread.
 struct LinkFixture {
@@ -55,7 +55,7 @@
   }
 
   bool RunUntil(const std::function<bool()>& condition) {
-    const auto deadline = std::chrono::steady_clock::now() + kPatience;
+    const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
     while (!condition()) {
       if (std::chrono::steady_clock::now() > deadline) return false;
       io.run_one_for(milliseconds(50));
@@ -97,7 +97,7 @@
   error_code error;
 };
 
-TEST_CASE("a relay passes bytes and the end of the stream on, after its latency") {
+TEST_CASE("a relay forwards bytes and the end of the stream after its latency") {
   LinkFixture fixture(milliseconds(30));
   Client client(fixture);
   const auto begin = std::chrono::steady_clock::now();
@@ -110,7 +110,7 @@
   CHECK(fixture.RunUntil([&] { return fixture.relays.front()->connections() == 0; }));
 }
 
-TEST_CASE("a relay passes many bytes in order") {
+TEST_CASE("a relay forwards many bytes in order") {
   LinkFixture fixture(milliseconds(1));
   Client client(fixture);
   std::string sent;
@@ -122,7 +122,7 @@
   CHECK(client.text == sent);
 }
 
-TEST_CASE("a cut link carries nothing until it heals, and loses nothing") {
+TEST_CASE("a cut link forwards nothing until it is healed, and loses nothing") {
   LinkFixture fixture;
   Client client(fixture);
   client.Write("a");
@@ -139,7 +139,7 @@
   CHECK(fixture.RunUntil([&] { return client.text == "ab" && late.text == "c"; }));
 }
 
-TEST_CASE("a half-cut link carries the other way") {
+TEST_CASE("a half-cut link forwards in the other direction") {
   LinkFixture fixture;
   Client client(fixture);
   client.Write("a");
@@ -156,7 +156,7 @@
   CHECK(fixture.received == 2);
 }
 
-TEST_CASE("a reset breaks what is open and nothing else") {
+TEST_CASE("a reset breaks open connections only") {
   LinkFixture fixture;
   Client client(fixture);
   client.Write("a");
@@ -171,7 +171,7 @@
   CHECK(fixture.RunUntil([&] { return next.text == "b"; }));
 }
 
-TEST_CASE("a target that does not answer breaks the connection") {
+TEST_CASE("a target that refuses the connection breaks it") {
   LinkFixture fixture;
   fixture.acceptor.close();
   Client client(fixture);
--- a/test/emulator/platform_models_test.cc
+++ b/test/emulator/platform_models_test.cc
@@ -18,7 +18,7 @@
   VirtualEnvironment environment;
 };
 
-TEST_CASE("a plain server answers each request with its own marks and counts executions") {
+TEST_CASE("a plain server echoes each request in its response and counts executions") {
   PlatformFixture fixture;
   PlainServerModel server(fixture.environment, {.name = "booking-1"});
   const auto first = Send(server, "POST", "/bookings?x=1", "drop 7",
@@ -38,7 +38,7 @@
   CHECK(server.executions().at({"POST", "/bookings", "k1"}).count == 2);
 }
 
-TEST_CASE("refused requests did not run and cut ones did") {
+TEST_CASE("refused requests did not run, and those with a truncated response did") {
   PlatformFixture fixture;
   PlainServerModel refusing(fixture.environment, {.refusal = 1.0});
   const auto refused = Send(refusing, "GET", "/a");
@@ -82,21 +82,21 @@
   CHECK(after->finished);
 }
 
-TEST_CASE("a large answer waits for room in the send buffer") {
+TEST_CASE("a large response waits for capacity in the send buffer") {
   PlatformFixture fixture;
   PlainServerModel server(fixture.environment, {.padding_bytes = 10000});
   auto writer = std::make_shared<RecordingWriter>();
-  writer->room = 4000;
+  writer->writable_bytes = 4000;
   server.Handle({"GET", "/page", {}, ""}, writer);
   fixture.scheduler.RunFor(seconds(1));
   CHECK(writer->body.size() == 4000);
   CHECK_FALSE(writer->finished);
-  writer->MakeRoom(100000);
+  writer->SetWritableBytes(100000);
   CHECK(writer->finished);
   CHECK(writer->body.size() == std::stoul(writer->Header("Content-Length")));
 }
 
-TEST_CASE("readings of the weight store take the time that its rate allows") {
+TEST_CASE("reads of the weight store are limited to its rate") {
   PlatformFixture fixture;
   WeightStoreModel store(
       fixture.environment,
@@ -166,7 +166,7 @@
   throw std::out_of_range(address);
 }
 
-TEST_CASE("the machine list lags behind reality") {
+TEST_CASE("the machine list lags behind the actual state") {
   PlatformFixture fixture;
   MachineListModel list(fixture.environment, {});
   list.Add({"10.0.0.1", MachineState::kLive});
@@ -201,7 +201,7 @@
   for (const MachineEntry& machine : late.Listed()) CHECK(machine.state == MachineState::kGone);
 }
 
-TEST_CASE("a missing change never shows") {
+TEST_CASE("a missing change is never visible") {
   PlatformFixture fixture;
   MachineListModel list(fixture.environment, {.missing = 1.0});
   list.Add({"10.0.0.1", MachineState::kLive});
--- a/test/emulator/recording_writer.h
+++ b/test/emulator/recording_writer.h
@@ -17,15 +17,15 @@
     ++heads;
   }
   void SendBody(std::string bytes) override {
-    room -= std::min(room, bytes.size());
+    writable_bytes -= std::min(writable_bytes, bytes.size());
     body += bytes;
   }
   void Finish() override { finished = true; }
   void Abort() override { aborted = true; }
-  size_t WritableBytes() const override { return room; }
+  size_t WritableBytes() const override { return writable_bytes; }
   void OnWritable(std::function<void()> callback) override { on_writable = std::move(callback); }
   void OnCallerDisconnected(std::function<void()> callback) override {
-    on_gone = std::move(callback);
+    on_caller_disconnected = std::move(callback);
   }
 
   bool ended() const { return finished || aborted; }
@@ -34,8 +34,8 @@
     return std::string(FindHeader(head.headers, name).value_or(""));
   }
   /// Sets the writable capacity and notifies the handler.
-  void MakeRoom(size_t bytes) {
-    room = bytes;
+  void SetWritableBytes(size_t bytes) {
+    writable_bytes = bytes;
     if (on_writable) on_writable();
   }
 
@@ -44,9 +44,9 @@
   std::string body;
   bool finished = false;
   bool aborted = false;
-  size_t room = 1 << 20;
+  size_t writable_bytes = 1 << 20;
   std::function<void()> on_writable;
-  std::function<void()> on_gone;
+  std::function<void()> on_caller_disconnected;
 };
 
 /// Passes a request to `handler`; returns the writer that records the response.
