--- a/emulator/engine_flags.cc
+++ b/emulator/engine_flags.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Increases from process to process.
+/// Wall-clock milliseconds, so that a later process has a larger incarnation.
 uint64_t IncarnationFromClock() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
