--- a/bench/demo/demo_command.cc
+++ b/bench/demo/demo_command.cc
@@ -23,11 +23,11 @@
 
 namespace po = boost::program_options;
 
-constexpr int kBroken = 1;
-constexpr int kUsage = 2;
+constexpr int kCheckFailed = 1;
+constexpr int kUsageError = 2;
 /// Upper bound on a run, even if the script never sends "finish".
-constexpr Duration kLongestRun = std::chrono::minutes(10);
-constexpr Duration kFirstAnswerLimit = std::chrono::seconds(30);
+constexpr Duration kMaxRunTime = std::chrono::minutes(10);
+constexpr Duration kStartupTimeout = std::chrono::seconds(30);
 constexpr Duration kTrainerGrace = std::chrono::seconds(30);
 
 checks::AgreedBounds Bounds() {
@@ -44,9 +44,9 @@
   call.prompt = "is anyone there";
   call.max_tokens = 4;
   call.timeout = std::chrono::seconds(5);
-  while (run.clock().Now() < kFirstAnswerLimit) {
+  while (run.clock().Now() < kStartupTimeout) {
     call.try_id = fmt::format("first-{}", run.clock().Now().count());
-    const checks::CallTry record = PlaceCall(run.caller(), run.PickGateway(), call, run.clock());
+    const checks::CallTry record = SendCall(run.caller(), run.PickGateway(), call, run.clock());
     if (record.end == checks::CallEnd::kComplete) return true;
     run.Sleep(std::chrono::milliseconds(200));
   }
@@ -54,29 +54,29 @@
 }
 
 /// Runs the workload while the fault script is executed. False if the script failed.
-bool Drive(DemoRun& run, Trainer& trainer, LiveLatencies& latencies) {
-  std::thread traffic([&] { RunLiveTraffic(run, kLongestRun, latencies); });
+bool RunWorkload(DemoRun& run, Trainer& trainer, LiveLatencies& latencies) {
+  std::thread traffic([&] { RunLiveTraffic(run, kMaxRunTime, latencies); });
   std::thread operators([&] { RunOperators(run); });
   std::thread training([&] { trainer.Run(kTrainerGrace); });
   FaultScript script(run);
-  std::string fault;
-  const bool followed = script.Follow(std::cin, fault);
-  if (!followed) fmt::print(stderr, "fault script failed at command '{}'\n", fault);
+  std::string failed_command;
+  const bool succeeded = script.Run(std::cin, failed_command);
+  if (!succeeded) fmt::print(stderr, "fault script failed at command '{}'\n", failed_command);
   run.Record([&](checks::History& history) { history.end = run.clock().Now(); });
   run.Stop();
   traffic.join();
   operators.join();
   training.join();
-  return followed;
+  return succeeded;
 }
 
-bool JudgeAndPrint(DemoRun& run, const Trainer& trainer, const LiveLatencies& latencies) {
+bool CheckAndPrint(DemoRun& run, const Trainer& trainer, const LiveLatencies& latencies) {
   checks::History history = run.TakeHistory();
   history.streams.push_back(
       {StreamName(run.fleet().stream), ModelName(run.fleet().model), run.fleet().staleness_bound});
-  std::string fault;
-  if (!ReadTruth(run, history, fault)) {
-    fmt::print("{}\n", fault);
+  std::string error;
+  if (!ReadTruth(run, history, error)) {
+    fmt::print("{}\n", error);
     return false;
   }
   const std::vector<checks::CheckResult> results =
@@ -93,13 +93,13 @@
   LiveLatencies latencies;
   Trainer trainer(run);
   run.Sleep(std::chrono::milliseconds(500));
-  const bool up = trainer.PublishFirst(kFirstAnswerLimit) && WaitForFirstCompletion(run);
+  const bool up = trainer.PublishInitialVersion(kStartupTimeout) && WaitForFirstCompletion(run);
   if (!up) fmt::print("the fleet did not accept weights and serve a completion in time\n");
-  const bool driven = up && Drive(run, trainer, latencies);
+  const bool driven = up && RunWorkload(run, trainer, latencies);
   run.Stop();
   probe.join();
-  const bool held = up && JudgeAndPrint(run, trainer, latencies);
-  return driven && held ? 0 : kBroken;
+  const bool held = up && CheckAndPrint(run, trainer, latencies);
+  return driven && held ? 0 : kCheckFailed;
 }
 
 }  // namespace
@@ -114,11 +114,11 @@
     po::notify(values);
   } catch (const po::error& error) {
     fmt::print(stderr, "{}\n", error.what());
-    return kUsage;
+    return kUsageError;
   }
   if (values.count("help") > 0 || values.count("fleet") == 0) {
     fmt::print(stderr, "{}", fmt::streamed(description));
-    return values.count("help") > 0 ? 0 : kUsage;
+    return values.count("help") > 0 ? 0 : kUsageError;
   }
   const std::string path = values["fleet"].as<std::string>();
   std::ifstream stream(path);
@@ -127,7 +127,7 @@
   FleetFile fleet = ParseFleetFile(path, text, findings);
   if (!findings.empty()) {
     fmt::print(stderr, "{}", findings.ToString());
-    return kUsage;
+    return kUsageError;
   }
   return RunDemo(std::move(fleet));
 }
--- a/bench/demo/demo_run.cc
+++ b/bench/demo/demo_run.cc
@@ -45,14 +45,14 @@
   return {node.name, node.client_address};
 }
 
-uint64_t DemoRun::LifeOf(const std::string& node) {
+uint64_t DemoRun::IncarnationOf(const std::string& node) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return lives_[node] + 1;
+  return restarts_[node] + 1;
 }
 
-void DemoRun::BeginNextLife(const std::string& node) {
+void DemoRun::BeginNextIncarnation(const std::string& node) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  ++lives_[node];
+  ++restarts_[node];
 }
 
 BlockingReply CallJson(DemoRun& run, const std::string& address, const std::string& method,
--- a/bench/demo/demo_run.h
+++ b/bench/demo/demo_run.h
@@ -42,8 +42,8 @@
   GatewayTarget PickGateway();
 
   /// Incarnation of a node, counted by its restarts during the run.
-  uint64_t LifeOf(const std::string& node);
-  void BeginNextLife(const std::string& node);
+  uint64_t IncarnationOf(const std::string& node);
+  void BeginNextIncarnation(const std::string& node);
 
  private:
   const FleetFile fleet_;
@@ -53,7 +53,7 @@
   mutable std::mutex mutex_;
   checks::History history_;
   std::set<std::string> ready_;
-  std::map<std::string, uint64_t> lives_;
+  std::map<std::string, uint64_t> restarts_;
   uint64_t picks_ = 0;
 };
 
--- a/bench/demo/fault_script.cc
+++ b/bench/demo/fault_script.cc
@@ -13,16 +13,16 @@
 namespace json = boost::json;
 
 constexpr Duration kHookTimeout = std::chrono::seconds(5);
-constexpr int kCrashMilliseconds = 4000;
+constexpr int kEngineRestartDelayMs = 4000;
 constexpr int kOk = 200;
 
 }  // namespace
 
 FaultScript::~FaultScript() {
-  for (std::thread& watch : watches_) watch.join();
+  for (std::thread& watcher : watchers_) watcher.join();
 }
 
-bool FaultScript::Follow(std::istream& input, std::string& fault) {
+bool FaultScript::Run(std::istream& input, std::string& failed_command) {
   std::string line;
   while (std::getline(input, line)) {
     std::istringstream words(line);
@@ -32,33 +32,33 @@
     if (command.empty()) continue;
     if (command == "finish") return true;
     fmt::print(stderr, "{:6.1f} s  {}\n", ToSeconds(run_.clock().Now()), line);
-    if (!Do(command, argument)) {
-      fault = line;
+    if (!Execute(command, argument)) {
+      failed_command = line;
       return false;
     }
   }
   return true;
 }
 
-bool FaultScript::Do(const std::string& command, const std::string& argument) {
+bool FaultScript::Execute(const std::string& command, const std::string& argument) {
   if (command == "wait") {
     run_.Sleep(FromSeconds(std::strtod(argument.c_str(), nullptr)));
   } else if (command == "stopping") {
-    Begin("planned-stop", argument, true);
+    BeginFault("planned-stop", argument, true);
   } else if (command == "killing") {
-    Begin("kill", argument, false);
+    BeginFault("kill", argument, false);
   } else if (command == "stopped" || command == "killed") {
     // The fault window stays open until the node is ready again; later observations belong to its
     // next incarnation.
-    run_.BeginNextLife(argument);
+    run_.BeginNextIncarnation(argument);
   } else if (command == "started") {
-    End(argument);
+    EndFault(argument);
   } else if (command == "cut") {
-    Begin("zone-cut", argument, false);
+    BeginFault("zone-cut", argument, false);
     return CutZone(argument, "cut");
   } else if (command == "heal") {
     const bool healed = CutZone(argument, "heal");
-    End(argument);
+    EndFault(argument);
     return healed;
   } else if (command == "crash") {
     return CrashEngine(argument);
@@ -70,13 +70,13 @@
   return true;
 }
 
-void FaultScript::Begin(const std::string& kind, const std::string& node, bool planned) {
+void FaultScript::BeginFault(const std::string& kind, const std::string& node, bool planned) {
   run_.Record([&](checks::History& history) {
     history.faults.push_back({kind, planned, NodeId(node), run_.clock().Now(), std::nullopt});
   });
 }
 
-void FaultScript::End(const std::string& node) {
+void FaultScript::EndFault(const std::string& node) {
   run_.Record([&](checks::History& history) {
     for (checks::FaultWindow& fault : history.faults) {
       if (fault.node.value() == node && !fault.end) fault.end = run_.clock().Now();
@@ -110,13 +110,13 @@
 bool FaultScript::CrashEngine(const std::string& name) {
   const FleetBackend* engine = FindEngine(name);
   if (engine == nullptr) return false;
-  Begin("engine-crash", name, false);
+  BeginFault("engine-crash", name, false);
   const std::string body =
-      json::serialize(json::object{{"kind", "crash"}, {"restart_after_ms", kCrashMilliseconds}});
+      json::serialize(json::object{{"kind", "crash"}, {"restart_after_ms", kEngineRestartDelayMs}});
   const BlockingReply reply = CallJson(run_, engine->address, "POST", "/fault", body, kHookTimeout);
-  watches_.emplace_back([this, name] {
-    run_.Sleep(std::chrono::milliseconds(kCrashMilliseconds));
-    End(name);
+  watchers_.emplace_back([this, name] {
+    run_.Sleep(std::chrono::milliseconds(kEngineRestartDelayMs));
+    EndFault(name);
   });
   return reply.whole() && reply.status == kOk;
 }
@@ -128,7 +128,7 @@
     history.leaving.push_back(
         {EngineName(name), checks::LeavingSource::kOperator, run_.clock().Now(), std::nullopt});
   });
-  watches_.emplace_back([this, engine] { WatchLeavingEngine(run_, *engine); });
+  watchers_.emplace_back([this, engine] { WatchLeavingEngine(run_, *engine); });
   return true;
 }
 
--- a/bench/demo/fault_script.h
+++ b/bench/demo/fault_script.h
@@ -27,21 +27,21 @@
   ~FaultScript();
 
   /// Executes commands until "finish" or the end of the input. False if a command is unknown or
-  /// failed; `fault` is then its line.
-  bool Follow(std::istream& input, std::string& fault);
+  /// failed; `failed_command` is then its line.
+  bool Run(std::istream& input, std::string& failed_command);
 
  private:
-  bool Do(const std::string& command, const std::string& argument);
-  void Begin(const std::string& kind, const std::string& node, bool planned);
+  bool Execute(const std::string& command, const std::string& argument);
+  void BeginFault(const std::string& kind, const std::string& node, bool planned);
   /// Closes the open fault windows of `node`.
-  void End(const std::string& node);
+  void EndFault(const std::string& node);
   bool CutZone(const std::string& zone, const std::string& kind);
   bool CrashEngine(const std::string& engine);
   bool WatchDraining(const std::string& engine);
   const FleetBackend* FindEngine(const std::string& name) const;
 
   DemoRun& run_;
-  std::vector<std::thread> watches_;
+  std::vector<std::thread> watchers_;
 };
 
 }  // namespace millstair
--- a/bench/demo/live_traffic.cc
+++ b/bench/demo/live_traffic.cc
@@ -15,9 +15,9 @@
 using checks::ClaimedOutcome;
 
 constexpr int kThreadsPerKind = 24;
-constexpr int kBookingTries = 6;
+constexpr int kMaxBookingAttempts = 6;
 constexpr Duration kCallTimeout = std::chrono::seconds(20);
-constexpr Duration kResendPause = std::chrono::milliseconds(700);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(700);
 constexpr int kPromptGroups = 6;
 constexpr int kSharedWords = 48;
 
@@ -30,7 +30,7 @@
 }
 
 /// Whether a booking may be retried: no final response was received.
-bool AsksAgain(const CallTry& call) {
+bool ShouldRetry(const CallTry& call) {
   if (call.end == CallEnd::kComplete) return false;
   return call.outcome == ClaimedOutcome::kNotRun || call.outcome == ClaimedOutcome::kNone;
 }
@@ -49,7 +49,7 @@
     call.max_tokens = static_cast<uint32_t>(run_.fleet().max_tokens);
     call.stream = index % 4 != 0;
     call.timeout = kCallTimeout;
-    Finish(PlaceCall(run_.caller(), run_.PickGateway(), call, run_.clock()), due);
+    Finish(SendCall(run_.caller(), run_.PickGateway(), call, run_.clock()), due);
   }
 
   void Plain(const FleetTraffic& traffic, size_t index, Duration due) {
@@ -61,7 +61,7 @@
     call.path = traffic.path + "/" + id;
     if (traffic.kind != CallKind::kBooking) {
       call.try_id = id;
-      Finish(PlaceCall(run_.caller(), run_.PickGateway(), call, run_.clock()), due);
+      Finish(SendCall(run_.caller(), run_.PickGateway(), call, run_.clock()), due);
       return;
     }
     call.key = id;
@@ -73,23 +73,23 @@
   /// Sends a booking and, without a final response, retries it at another gateway with the same
   /// idempotency key. Every eighth one is sent to two gateways concurrently.
   void Book(LiveCall call, size_t index, Duration due) {
-    std::thread twin;
+    std::thread duplicate;
     if (index % 8 == 0) {
       LiveCall second = call;
       second.try_id = call.key + "-twin";
-      twin = std::thread([this, second, due] {
-        Finish(PlaceCall(run_.caller(), run_.PickGateway(), second, run_.clock()), due);
+      duplicate = std::thread([this, second, due] {
+        Finish(SendCall(run_.caller(), run_.PickGateway(), second, run_.clock()), due);
       });
     }
-    for (int attempt = 0; attempt < kBookingTries; ++attempt) {
+    for (int attempt = 0; attempt < kMaxBookingAttempts; ++attempt) {
       call.try_id = fmt::format("{}-try{}", call.key, attempt);
-      const CallTry record = PlaceCall(run_.caller(), run_.PickGateway(), call, run_.clock());
-      const bool again = AsksAgain(record);
+      const CallTry record = SendCall(run_.caller(), run_.PickGateway(), call, run_.clock());
+      const bool retry = ShouldRetry(record);
       Finish(record, due);
-      if (!again || run_.stopping()) break;
-      run_.Sleep(kResendPause);
+      if (!retry || run_.stopping()) break;
+      run_.Sleep(kRetryDelay);
     }
-    if (twin.joinable()) twin.join();
+    if (duplicate.joinable()) duplicate.join();
   }
 
   void Finish(CallTry record, Duration due) {
--- a/bench/demo/node_probe.cc
+++ b/bench/demo/node_probe.cc
@@ -6,7 +6,7 @@
 namespace millstair {
 namespace {
 
-constexpr Duration kProbePause = std::chrono::milliseconds(150);
+constexpr Duration kProbeInterval = std::chrono::milliseconds(150);
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(1000);
 /// Metric with the configuration revision: the one in use at a gateway, the one applied at a
 /// control node.
@@ -15,7 +15,7 @@
 constexpr int kOk = 200;
 
 void ProbeOne(DemoRun& run, const FleetNode& node) {
-  const uint64_t life = run.LifeOf(node.name);
+  const uint64_t incarnation = run.IncarnationOf(node.name);
   const Duration at = run.clock().Now();
   const BlockingReply readiness = CallJson(run, node.address, "GET", "/readyz", "", kProbeTimeout);
   const bool ready = readiness.whole() && readiness.status == kOk;
@@ -23,9 +23,9 @@
   const BlockingReply page = CallJson(run, node.address, "GET", "/metrics", "", kProbeTimeout);
   const std::optional<double> revision =
       MetricValue(page.body, node.gateway ? kGatewayRevision : kControlRevision);
-  if (!page.whole() || !revision || life != run.LifeOf(node.name)) return;
+  if (!page.whole() || !revision || incarnation != run.IncarnationOf(node.name)) return;
   run.Record([&](checks::History& history) {
-    history.configurations.push_back({NodeId(node.name), Incarnation(life), at,
+    history.configurations.push_back({NodeId(node.name), Incarnation(incarnation), at,
                                       Revision(static_cast<uint64_t>(*revision)),
                                       ready && node.gateway});
   });
@@ -56,7 +56,7 @@
     probes.emplace_back([&run, &node] {
       while (!run.stopping()) {
         ProbeOne(run, node);
-        run.Sleep(kProbePause);
+        run.Sleep(kProbeInterval);
       }
     });
   }
--- a/bench/demo/operators.cc
+++ b/bench/demo/operators.cc
@@ -13,7 +13,7 @@
 using checks::ResourceEnd;
 using checks::ResourceOperation;
 
-constexpr Duration kPause = std::chrono::milliseconds(900);
+constexpr Duration kOperationInterval = std::chrono::milliseconds(900);
 constexpr const char* kContested = "contested";
 constexpr const char* kLabel = "written-by";
 
@@ -48,7 +48,7 @@
     while (!run_.stopping()) {
       version = Read(version);
       Write(version);
-      run_.Sleep(kPause);
+      run_.Sleep(kOperationInterval);
     }
   }
 
--- a/bench/demo/trainer.cc
+++ b/bench/demo/trainer.cc
@@ -16,11 +16,11 @@
 constexpr Duration kReadTimeout = std::chrono::seconds(6);
 constexpr int kReadWaitSeconds = 2;
 constexpr int kReadMax = 16;
-constexpr Duration kRetryPause = std::chrono::milliseconds(200);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(200);
 /// Steps in flight, so that the next one is generated while the trainer computes.
 constexpr size_t kStepsAhead = 2;
 /// Every n-th read leaves the cursor unchanged, to test repeated delivery.
-constexpr uint64_t kRereadEvery = 5;
+constexpr uint64_t kRereadInterval = 5;
 constexpr int kSharedWords = 32;
 
 std::string StepPrompt(uint64_t step, uint64_t index) {
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-bool Trainer::PublishFirst(Duration limit) { return Publish(limit); }
+bool Trainer::PublishInitialVersion(Duration limit) { return Publish(limit); }
 
 bool Trainer::Publish(Duration limit) {
   ++version_;
@@ -96,7 +96,7 @@
   const std::string body =
       json::serialize(json::object{{"digest", digest}, {"location", location}});
   const std::string target = fmt::format("/v1/models/{}/versions/{}", fleet.model, version_);
-  const Duration give_up = run_.clock().Now() + limit;
+  const Duration deadline = run_.clock().Now() + limit;
   do {
     const BlockingReply reply =
         CallJson(run_, run_.PickGateway().address, "PUT", target, body, kPutTimeout);
@@ -107,8 +107,8 @@
       ++report_.versions;
       return true;
     }
-    run_.clock().SleepUntil(run_.clock().Now() + kRetryPause);
-  } while (run_.clock().Now() < give_up);
+    run_.clock().SleepUntil(run_.clock().Now() + kRetryDelay);
+  } while (run_.clock().Now() < deadline);
   return false;
 }
 
@@ -146,7 +146,7 @@
       open_.push_back(open);
       return false;
     }
-    run_.Sleep(kRetryPause);
+    run_.Sleep(kRetryDelay);
   }
   run_.Record([&](checks::History& history) {
     history.steps[open.step_index].acknowledged = run_.clock().Now();
@@ -155,7 +155,7 @@
   return true;
 }
 
-void Trainer::TakeSamples(const checks::CursorRead& read) {
+void Trainer::HandleSamples(const checks::CursorRead& read) {
   for (const checks::ReceivedSample& sample : read.samples) {
     const std::string id = sample.sample.value();
     if (sample.withdrawn) {
@@ -192,16 +192,16 @@
   read.answered = run_.clock().Now();
   if (!reply.whole() || reply.status != kOk || !ParseRead(reply.body, read)) return false;
   run_.Record([&](checks::History& history) { history.reads.push_back(read); });
-  TakeSamples(read);
+  HandleSamples(read);
   // An unchanged cursor reads the same samples again.
-  if (++reads_ % kRereadEvery != 0) cursor_ = read.next;
+  if (++reads_ % kRereadInterval != 0) cursor_ = read.next;
   return true;
 }
 
-bool Trainer::CollectOldest(Duration give_up) {
+bool Trainer::CollectOldest(Duration deadline) {
   while (!open_.front().missing.empty()) {
-    if (run_.clock().Now() > give_up) return false;
-    if (!ReadOnce()) run_.clock().SleepUntil(run_.clock().Now() + kRetryPause);
+    if (run_.clock().Now() > deadline) return false;
+    if (!ReadOnce()) run_.clock().SleepUntil(run_.clock().Now() + kRetryDelay);
   }
   const Duration now = run_.clock().Now();
   run_.Record([&](checks::History& history) {
@@ -221,7 +221,7 @@
     }
     const Duration wait_begin = run_.clock().Now();
     while (!open_.front().missing.empty() && !run_.stopping()) {
-      if (!ReadOnce()) run_.Sleep(kRetryPause);
+      if (!ReadOnce()) run_.Sleep(kRetryDelay);
     }
     report_.idle += run_.clock().Now() - wait_begin;
     if (run_.stopping()) break;
@@ -230,8 +230,8 @@
     if (!run_.stopping()) Publish(std::chrono::seconds(20));
   }
   report_.total = run_.clock().Now() - begin;
-  const Duration give_up = run_.clock().Now() + grace;
-  while (!open_.empty() && CollectOldest(give_up)) {
+  const Duration deadline = run_.clock().Now() + grace;
+  while (!open_.empty() && CollectOldest(deadline)) {
   }
 }
 
--- a/bench/demo/trainer.h
+++ b/bench/demo/trainer.h
@@ -28,7 +28,7 @@
   explicit Trainer(DemoRun& run) : run_(run) {}
 
   /// Publishes the first weights; true once a gateway accepted them. Gives up after `limit`.
-  bool PublishFirst(Duration limit);
+  bool PublishInitialVersion(Duration limit);
   /// Processes steps until the run stops, then waits at most `grace` for the open ones.
   void Run(Duration grace);
   const TrainerReport& report() const { return report_; }
@@ -43,10 +43,10 @@
   };
 
   bool PutStep();
-  /// Reads until the oldest open step is complete. False if `give_up` passed first.
-  bool CollectOldest(Duration give_up);
+  /// Reads until the oldest open step is complete. False if `deadline` passed first.
+  bool CollectOldest(Duration deadline);
   bool ReadOnce();
-  void TakeSamples(const checks::CursorRead& read);
+  void HandleSamples(const checks::CursorRead& read);
   bool Publish(Duration limit);
   Duration GiveUpTime(Duration grace) const;
 
--- a/bench/demo/truth_reader.cc
+++ b/bench/demo/truth_reader.cc
@@ -14,7 +14,7 @@
 namespace json = boost::json;
 
 constexpr Duration kTruthTimeout = std::chrono::seconds(20);
-constexpr Duration kWatchPause = std::chrono::milliseconds(200);
+constexpr Duration kPollInterval = std::chrono::milliseconds(200);
 constexpr int kHexBase = 16;
 using PromptsByHash = std::map<uint64_t, std::string>;
 
@@ -62,36 +62,36 @@
 }
 
 /// Attempts by idempotency key.
-using TriesByKey = std::map<std::string, std::vector<const checks::CallTry*>>;
+using AttemptsByKey = std::map<std::string, std::vector<const checks::CallTry*>>;
 
-TriesByKey GroupTries(const checks::History& history) {
-  TriesByKey tries;
+AttemptsByKey GroupAttempts(const checks::History& history) {
+  AttemptsByKey attempts;
   for (const checks::CallTry& call : history.calls) {
-    if (!call.key.empty()) tries[call.key].push_back(&call);
+    if (!call.key.empty()) attempts[call.key].push_back(&call);
   }
-  return tries;
+  return attempts;
 }
 
 /// Back ends count executions per key, not per attempt. Attributes an execution to the first
 /// attempt that was not reported as "not-run", or to the first attempt if all were.
-std::string TryThatRan(const TriesByKey& tries, const std::string& key) {
-  const auto found = tries.find(key);
-  if (found == tries.end()) return "";
+std::string ExecutedAttemptId(const AttemptsByKey& attempts, const std::string& key) {
+  const auto found = attempts.find(key);
+  if (found == attempts.end()) return "";
   for (const checks::CallTry* call : found->second) {
     if (call->outcome != checks::ClaimedOutcome::kNotRun) return call->try_id;
   }
   return found->second.front()->try_id;
 }
 
-void AddExecutions(const json::object& page, const std::string& server, const TriesByKey& tries,
-                   checks::History& history) {
+void AddExecutions(const json::object& page, const std::string& server,
+                   const AttemptsByKey& attempts, checks::History& history) {
   for (const json::value& item : page.at("executions").get_array()) {
     const json::object& entry = item.get_object();
     const std::string path(entry.at("path").get_string());
     const std::string key(entry.at("key").get_string());
     // The path of a page ends with the attempt id, that of a booking with its key.
     const std::string last = path.substr(path.rfind('/') + 1);
-    const std::string try_id = key.empty() ? last : TryThatRan(tries, key);
+    const std::string try_id = key.empty() ? last : ExecutedAttemptId(attempts, key);
     const auto count = entry.at("count").to_number<uint64_t>();
     for (uint64_t i = 0; i < count; ++i) {
       history.executions.push_back({EngineName(server), try_id, key, Duration(0)});
@@ -101,26 +101,26 @@
 
 }  // namespace
 
-bool ReadTruth(DemoRun& run, checks::History& history, std::string& fault) {
+bool ReadTruth(DemoRun& run, checks::History& history, std::string& error) {
   const PromptsByHash prompts = HashPrompts(history);
   for (const FleetBackend& engine : run.fleet().engines) {
     const std::optional<json::object> page = FetchTruth(run, engine.address, "");
     if (!page) {
-      fault = fmt::format("engine {} did not return a valid /truth page", engine.name);
+      error = fmt::format("engine {} did not return a valid /truth page", engine.name);
       return false;
     }
     for (const json::value& record : page->at("records").get_array()) {
       AddGenerated(record.get_object(), engine.name, prompts, history);
     }
   }
-  const TriesByKey tries = GroupTries(history);
+  const AttemptsByKey attempts = GroupAttempts(history);
   for (const FleetBackend& server : run.fleet().plain_servers) {
     const std::optional<json::object> page = FetchTruth(run, server.address, "");
     if (!page) {
-      fault = fmt::format("server {} did not return a valid /truth page", server.name);
+      error = fmt::format("server {} did not return a valid /truth page", server.name);
       return false;
     }
-    AddExecutions(*page, server.name, tries, history);
+    AddExecutions(*page, server.name, attempts, history);
   }
   return true;
 }
@@ -141,7 +141,7 @@
       }
       last = arrived;
     }
-    run.Sleep(kWatchPause);
+    run.Sleep(kPollInterval);
   }
 }
 
--- a/bench/demo/truth_reader.h
+++ b/bench/demo/truth_reader.h
@@ -8,8 +8,8 @@
 namespace millstair {
 
 /// Adds the generations of the engines and the executions of the plain servers. False if an
-/// emulator does not respond; `fault` then names it.
-bool ReadTruth(DemoRun& run, checks::History& history, std::string& fault);
+/// emulator does not respond; `error` then names it.
+bool ReadTruth(DemoRun& run, checks::History& history, std::string& error);
 
 /// Polls an engine that is being drained and records an arrival whenever its count of accepted and
 /// refused requests grows. Blocks until the run stops.
--- a/bench/engine_model/engine_model_bench.cc
+++ b/bench/engine_model/engine_model_bench.cc
@@ -17,16 +17,16 @@
 constexpr int kSharedWords = 48;
 constexpr int kOwnWords = 48;
 constexpr uint32_t kMaxTokens = 512;
-constexpr Duration kSpan = std::chrono::seconds(60);
+constexpr Duration kSimulatedTime = std::chrono::seconds(60);
 
 /// Sends the next request as soon as the previous one has finished.
 class ClosedLoopCaller : public GenerateObserver {
  public:
   ClosedLoopCaller(EngineModel& engine, int number) : engine_(engine), number_(number) {}
 
-  void Ask() {
+  void SendRequest() {
     GenerateRequest request;
-    request.request_id = fmt::format("{}-{}", number_, asked_++);
+    request.request_id = fmt::format("{}-{}", number_, sent_++);
     request.model = ModelName("m");
     for (int i = 0; i < kSharedWords; ++i) request.prompt += fmt::format("shared{} ", i);
     for (int i = 0; i < kOwnWords; ++i)
@@ -36,14 +36,14 @@
   }
 
   void OnChunk(const GenerateChunk& chunk) override {
-    if (chunk.finished) Ask();
+    if (chunk.finished) SendRequest();
   }
   void OnFailed(CallFailure, bool, const std::string&) override {}
 
  private:
   EngineModel& engine_;
   int number_;
-  int asked_ = 0;
+  int sent_ = 0;
 };
 
 /// Engines and their callers on one virtual scheduler.
@@ -56,7 +56,7 @@
       for (int j = 0; j < kCallersPerEngine; ++j) {
         callers.push_back(
             std::make_unique<ClosedLoopCaller>(*engines.back(), i * kCallersPerEngine + j));
-        callers.back()->Ask();
+        callers.back()->SendRequest();
       }
     }
   }
@@ -75,17 +75,17 @@
 
 void EnginesUnderLoad(benchmark::State& state) {
   const auto count = static_cast<int>(state.range(0));
-  LoadedEngines world(count);
+  LoadedEngines engines_under_load(count);
   double simulated = 0;
   for (auto _ : state) {
-    world.scheduler.RunFor(kSpan);
-    simulated += ToSeconds(kSpan);
+    engines_under_load.scheduler.RunFor(kSimulatedTime);
+    simulated += ToSeconds(kSimulatedTime);
   }
   state.counters["times_real_time"] = benchmark::Counter(simulated, benchmark::Counter::kIsRate);
-  state.counters["tokens_per_second"] =
-      benchmark::Counter(static_cast<double>(world.tokens()), benchmark::Counter::kIsRate);
+  state.counters["tokens_per_second"] = benchmark::Counter(
+      static_cast<double>(engines_under_load.tokens()), benchmark::Counter::kIsRate);
   state.counters["events_per_engine_second"] =
-      static_cast<double>(world.scheduler.events_run()) / simulated / count;
+      static_cast<double>(engines_under_load.scheduler.events_run()) / simulated / count;
 }
 BENCHMARK(EnginesUnderLoad)->Arg(1)->Arg(9)->Unit(benchmark::kMillisecond);
 
--- a/bench/load/completion_stream.cc
+++ b/bench/load/completion_stream.cc
@@ -24,7 +24,7 @@
   return value != nullptr && value->is_string() ? std::string(value->get_string()) : "";
 }
 
-bool Joins(const ClaimedSpan& last, const ClaimedSpan& next) {
+bool AreAdjacent(const ClaimedSpan& last, const ClaimedSpan& next) {
   return last.version == next.version && last.digest == next.digest &&
          last.engine_incarnation == next.engine_incarnation &&
          last.first_token + last.token_count == next.first_token;
@@ -60,7 +60,7 @@
                            Incarnation(Number(object, "engine_incarnation")),
                            static_cast<uint32_t>(Number(object, "first_token")),
                            static_cast<uint32_t>(Number(object, "token_count"))};
-    if (!spans.empty() && Joins(spans.back(), span)) {
+    if (!spans.empty() && AreAdjacent(spans.back(), span)) {
       spans.back().token_count += span.token_count;
     } else {
       spans.push_back(span);
--- a/bench/load/live_call.cc
+++ b/bench/load/live_call.cc
@@ -25,7 +25,7 @@
                                       {"stream", call.stream}});
 }
 
-HttpRequest RequestOf(const LiveCall& call) {
+HttpRequest MakeRequest(const LiveCall& call) {
   HttpRequest request;
   const bool completion = call.kind == CallKind::kCompletion;
   request.method = completion || !call.body.empty() ? "POST" : "GET";
@@ -58,7 +58,7 @@
   return *reply.failure == CallFailure::kCut ? CallEnd::kCut : CallEnd::kUnanswered;
 }
 
-bool Holds(const json::object& object, const char* key, const std::string& value) {
+bool HasField(const json::object& object, const char* key, const std::string& value) {
   const json::value* found = object.if_contains(key);
   return found != nullptr && found->is_string() &&
          std::string_view(found->get_string().data(), found->get_string().size()) == value;
@@ -70,8 +70,8 @@
   const json::value page = json::parse(body, error);
   if (error || !page.is_object()) return false;
   const json::object& echo = page.get_object();
-  return Holds(echo, "path", call.path) && Holds(echo, "request", call.try_id) &&
-         Holds(echo, "body", call.body);
+  return HasField(echo, "path", call.path) && HasField(echo, "request", call.try_id) &&
+         HasField(echo, "body", call.body);
 }
 
 void ReadPlainAnswer(const LiveCall& call, const BlockingReply& reply, CallTry& record) {
@@ -91,8 +91,8 @@
 
 }  // namespace
 
-CallTry PlaceCall(BlockingCaller& caller, const GatewayTarget& gateway, const LiveCall& call,
-                  const RunClock& clock) {
+CallTry SendCall(BlockingCaller& caller, const GatewayTarget& gateway, const LiveCall& call,
+                 const RunClock& clock) {
   CallTry record;
   record.kind = call.kind;
   record.try_id = call.try_id;
@@ -105,7 +105,8 @@
     if (!record.first_byte) record.first_byte = clock.Now();
     return true;
   };
-  const BlockingReply reply = caller.Call(gateway.address, RequestOf(call), call.timeout, on_body);
+  const BlockingReply reply =
+      caller.Call(gateway.address, MakeRequest(call), call.timeout, on_body);
   record.ended = clock.Now();
   record.status = reply.status;
   record.outcome = OutcomeClaimed(reply);
--- a/bench/load/load_command.cc
+++ b/bench/load/load_command.cc
@@ -25,8 +25,8 @@
 using checks::CallKind;
 using checks::CallTry;
 
-constexpr int kBroken = 1;
-constexpr int kUsage = 2;
+constexpr int kCheckFailed = 1;
+constexpr int kUsageError = 2;
 
 struct LoadOptions {
   std::vector<std::string> gateways;
@@ -58,7 +58,7 @@
   return prompt + fmt::format("call{}x{}", seed, index);
 }
 
-LiveCall CallOf(const LoadOptions& options, const TraceCall& recorded, size_t index) {
+LiveCall MakeCall(const LoadOptions& options, const TraceCall& recorded, size_t index) {
   LiveCall call;
   call.kind = recorded.kind;
   call.try_id = fmt::format("load-{}-{}", options.seed, index);
@@ -86,7 +86,7 @@
     std::vector<Duration> due;
     for (const TraceCall& call : options_.calls) due.push_back(call.at);
     RunOpenLoop(
-        clock_, due, options_.threads, [&](size_t index) { One(index, due[index]); },
+        clock_, due, options_.threads, [&](size_t index) { SendScheduledCall(index, due[index]); },
         [] { return false; });
   }
 
@@ -94,10 +94,10 @@
   bool Report() const;
 
  private:
-  void One(size_t index, Duration due) {
+  void SendScheduledCall(size_t index, Duration due) {
     const std::string& address = options_.gateways[index % options_.gateways.size()];
-    CallTry record = PlaceCall(client_, {address, address},
-                               CallOf(options_, options_.calls[index], index), clock_);
+    CallTry record = SendCall(client_, {address, address},
+                              MakeCall(options_, options_.calls[index], index), clock_);
     if (record.end == CallEnd::kComplete) latency_.Add(*record.ended - due);
     const std::lock_guard<std::mutex> lock(mutex_);
     history_.calls.push_back(std::move(record));
@@ -129,14 +129,14 @@
              milliseconds(latency_.Quantile(0.9)), milliseconds(latency_.Quantile(0.99)),
              milliseconds(latency_.Largest())});
   fmt::print("{}", table.ToString());
-  bool sound = ends["cut"] == 0;
+  bool passed = ends["cut"] == 0;
   for (const checks::CheckResult& check : {checks::CheckOwnWholeAnswer(history_, EngineOracle()),
                                            checks::CheckOutcomeStated(history_)}) {
     fmt::print("{}: tried {}, broken {} {}\n", check.name, check.tried, check.broken,
                check.first_example);
-    sound = sound && check.broken == 0;
+    passed = passed && check.broken == 0;
   }
-  return sound;
+  return passed;
 }
 
 po::options_description Describe() {
@@ -179,13 +179,13 @@
   options.threads = std::max(1, values["threads"].as<int>());
   options.seed = values["seed"].as<uint64_t>();
   options.timeout = std::chrono::milliseconds(values["timeout-ms"].as<uint32_t>());
-  if (!ReadCalls(values, options)) return kUsage;
+  if (!ReadCalls(values, options)) return kUsageError;
   if (values.count("record") > 0) {
     std::ofstream(values["record"].as<std::string>()) << WriteTrace(options.calls);
   }
   LoadRun run(std::move(options));
   run.Run();
-  return run.Report() ? 0 : kBroken;
+  return run.Report() ? 0 : kCheckFailed;
 }
 
 }  // namespace
@@ -198,11 +198,11 @@
     po::notify(values);
   } catch (const po::error& error) {
     fmt::print(stderr, "{}\n", error.what());
-    return kUsage;
+    return kUsageError;
   }
   if (values.count("help") > 0 || values.count("gateway") == 0) {
     fmt::print(stderr, "{}", fmt::streamed(description));
-    return values.count("help") > 0 ? 0 : kUsage;
+    return values.count("help") > 0 ? 0 : kUsageError;
   }
   return Run(values);
 }
--- a/bench/load/trace.cc
+++ b/bench/load/trace.cc
@@ -13,7 +13,7 @@
 
 using checks::CallKind;
 
-constexpr std::string_view kHeading = "at_ms,kind,host,path,prompt_tokens,max_tokens,priority";
+constexpr std::string_view kHeader = "at_ms,kind,host,path,prompt_tokens,max_tokens,priority";
 constexpr size_t kColumns = 7;
 constexpr std::array<std::string_view, 4> kKindNames = {"completion", "page", "lookup", "booking"};
 constexpr uint64_t kMaxNumber = 1'000'000'000;
@@ -36,11 +36,11 @@
     if (error == std::errc() && end == text.data() + text.size() && number <= kMaxNumber) {
       return number;
     }
-    Fault(fmt::format("{} '{}' is not an integer from 0 to {}", column, text, kMaxNumber));
+    AddError(fmt::format("{} '{}' is not an integer from 0 to {}", column, text, kMaxNumber));
     return 0;
   }
 
-  void Fault(const std::string& message) { findings_.Add(Location{file_, line_, 0}, message); }
+  void AddError(const std::string& message) { findings_.Add(Location{file_, line_, 0}, message); }
 
  private:
   const std::string& file_;
@@ -52,7 +52,7 @@
   TraceCall call;
   call.at = std::chrono::milliseconds(reader.Number(cells[0], "at_ms"));
   const std::optional<CallKind> kind = ParseCallKind(cells[1]);
-  if (!kind) reader.Fault(fmt::format("kind '{}' is unknown", cells[1]));
+  if (!kind) reader.AddError(fmt::format("kind '{}' is unknown", cells[1]));
   call.kind = kind.value_or(CallKind::kPage);
   call.host = cells[2];
   call.path = cells[3];
@@ -67,7 +67,7 @@
 std::string_view CallKindName(CallKind kind) { return kKindNames.at(static_cast<size_t>(kind)); }
 
 std::string WriteTrace(const std::vector<TraceCall>& calls) {
-  std::string text = fmt::format("{}\n", kHeading);
+  std::string text = fmt::format("{}\n", kHeader);
   for (const TraceCall& call : calls) {
     text += fmt::format("{},{},{},{},{},{},{}\n", call.at.count() / 1000, CallKindName(call.kind),
                         call.host, call.path, call.prompt_tokens, call.max_tokens, call.priority);
@@ -79,8 +79,8 @@
                                  Findings& findings) {
   std::vector<TraceCall> calls;
   const std::vector<std::string> lines = absl::StrSplit(text, '\n');
-  if (lines.front() != kHeading) {
-    findings.Add(Location{file, 1, 1}, fmt::format("the heading must be '{}'", kHeading));
+  if (lines.front() != kHeader) {
+    findings.Add(Location{file, 1, 1}, fmt::format("the heading must be '{}'", kHeader));
     return calls;
   }
   for (size_t i = 1; i < lines.size(); ++i) {
@@ -88,7 +88,7 @@
     LineReader reader(file, static_cast<int>(i) + 1, findings);
     const std::vector<std::string> cells = absl::StrSplit(lines[i], ',');
     if (cells.size() != kColumns) {
-      reader.Fault(fmt::format("{} columns instead of {}", cells.size(), kColumns));
+      reader.AddError(fmt::format("{} columns instead of {}", cells.size(), kColumns));
       continue;
     }
     calls.push_back(ReadLine(cells, reader));
--- a/bench/main.cc
+++ b/bench/main.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int kUsageExit = 2;
+constexpr int kUsageError = 2;
 
 struct Subcommand {
   std::string_view name;
@@ -44,5 +44,5 @@
     }
   }
   PrintUsage();
-  return kUsageExit;
+  return kUsageError;
 }
--- a/test/bench/demo_test.cc
+++ b/test/bench/demo_test.cc
@@ -79,17 +79,17 @@
 
 TEST_CASE("the script's lines become fault windows and lives") {
   DemoRun run(TwoGateways());
-  std::string fault;
+  std::string failed_command;
   {
     FaultScript script(run);
     std::istringstream lines("stopping g1\nstopped g1\nstarted g1\nkilling c1\nfinish\nnonsense\n");
-    REQUIRE(script.Follow(lines, fault));
+    REQUIRE(script.Run(lines, failed_command));
     std::istringstream wrong("dance g1\n");
-    REQUIRE_FALSE(script.Follow(wrong, fault));
-    REQUIRE(fault == "dance g1");
+    REQUIRE_FALSE(script.Run(wrong, failed_command));
+    REQUIRE(failed_command == "dance g1");
     run.Stop();
   }
-  REQUIRE(run.LifeOf("g1") == 2);
+  REQUIRE(run.IncarnationOf("g1") == 2);
   const checks::History history = run.TakeHistory();
   REQUIRE(history.faults.size() == 2);
   REQUIRE(history.faults[0].planned);
--- a/test/bench/load_test.cc
+++ b/test/bench/load_test.cc
@@ -51,9 +51,9 @@
          Event(rest, SpanJson(1, length - 1), true) + (done ? "data: [DONE]\n\n" : "");
 }
 
-checks::CallTry Place(FixedCaller& caller, const LiveCall& call) {
+checks::CallTry Send(FixedCaller& caller, const LiveCall& call) {
   const RunClock clock;
-  return PlaceCall(caller, {"g1", "127.0.0.1:1"}, call, clock);
+  return SendCall(caller, {"g1", "127.0.0.1:1"}, call, clock);
 }
 
 checks::CheckResult CheckOne(const checks::CallTry& record) {
@@ -70,7 +70,7 @@
   call.max_tokens = 64;
   caller.reply.status = 200;
   caller.reply.body = StreamFor(call.prompt, 64, true);
-  const checks::CallTry record = Place(caller, call);
+  const checks::CallTry record = Send(caller, call);
   REQUIRE(record.end == CallEnd::kComplete);
   REQUIRE(record.spans.size() == 1);
   REQUIRE(CheckOne(record).broken == 0);
@@ -78,11 +78,11 @@
 
   SECTION("another prompt's answer is a breach") {
     caller.reply.body = StreamFor("someone else asked this", 64, true);
-    REQUIRE(CheckOne(Place(caller, call)).broken == 1);
+    REQUIRE(CheckOne(Send(caller, call)).broken == 1);
   }
   SECTION("a stream without its end counts as cut") {
     caller.reply.body = StreamFor(call.prompt, 64, false);
-    REQUIRE(Place(caller, call).end == CallEnd::kCut);
+    REQUIRE(Send(caller, call).end == CallEnd::kCut);
   }
 }
 
@@ -96,10 +96,10 @@
   call.key = "k1";
   caller.reply.status = 200;
   caller.reply.body = R"({"path":"/book/1","request":"t1","body":"b"})";
-  REQUIRE(CheckOne(Place(caller, call)).broken == 0);
+  REQUIRE(CheckOne(Send(caller, call)).broken == 0);
   REQUIRE(FindHeader(caller.last.headers, "Idempotency-Key") == "k1");
   caller.reply.body = R"({"path":"/book/1","request":"t2","body":"b"})";
-  REQUIRE(CheckOne(Place(caller, call)).broken == 1);
+  REQUIRE(CheckOne(Send(caller, call)).broken == 1);
 }
 
 TEST_CASE("outcomes and ends are taken from the answer") {
@@ -108,12 +108,12 @@
   call.path = "/p";
   caller.reply.status = 503;
   caller.reply.headers = {{"millstair-outcome", "not-run"}};
-  checks::CallTry record = Place(caller, call);
+  checks::CallTry record = Send(caller, call);
   REQUIRE(record.end == CallEnd::kRefused);
   REQUIRE(record.outcome == checks::ClaimedOutcome::kNotRun);
   caller.reply = BlockingReply{};
   caller.reply.failure = CallFailure::kUnknown;
-  record = Place(caller, call);
+  record = Send(caller, call);
   REQUIRE(record.end == CallEnd::kUnanswered);
   REQUIRE(record.outcome == checks::ClaimedOutcome::kNone);
 }
