--- a/test/bench/demo_test.cc
+++ b/test/bench/demo_test.cc
@@ -20,7 +20,7 @@
   return std::string(std::istreambuf_iterator<char>(stream), {});
 }
 
-TEST_CASE("resources and fleet files of both deployments are sound and agree") {
+TEST_CASE("resources and fleet files of both deployments are valid and consistent") {
   for (const std::string deployment : {"association", "khosa"}) {
     INFO(deployment);
     Findings findings;
@@ -43,7 +43,7 @@
   }
 }
 
-TEST_CASE("faults of a fleet file name their places") {
+TEST_CASE("errors in a fleet file name their location") {
   Findings findings;
   ParseFleetFile("f",
                  "deployment: a\nmodel: m\nstream: s\nlink_control: host:1\nnodes: []\n"
@@ -54,7 +54,7 @@
   REQUIRE(findings.items()[1].location.line == 8);
 }
 
-TEST_CASE("metrics are found by their whole name") {
+TEST_CASE("metrics are found by their full name only") {
   const std::string page = "# HELP a_b x\na_b_total 9\na_b{zone=\"z\"} 4\na_c 5\n";
   REQUIRE(MetricValue(page, "a_b") == 4);
   REQUIRE(MetricValue(page, "a_c") == 5);
@@ -69,7 +69,7 @@
   return fleet;
 }
 
-TEST_CASE("callers go to ready gateways only, in turn") {
+TEST_CASE("callers use ready gateways only, round-robin") {
   DemoRun run(TwoGateways());
   run.SetReady("g2", true);
   for (int i = 0; i < 4; ++i) REQUIRE(run.PickGateway().address == "127.0.0.1:12");
@@ -77,7 +77,7 @@
   REQUIRE(run.PickGateway().node != run.PickGateway().node);
 }
 
-TEST_CASE("the script's lines become fault windows and lives") {
+TEST_CASE("commands of the fault script are recorded as fault windows and incarnations") {
   DemoRun run(TwoGateways());
   std::string failed_command;
   {
@@ -98,7 +98,7 @@
   REQUIRE_FALSE(history.faults[1].end.has_value());
 }
 
-TEST_CASE("a check that tried nothing, or gave up, does not hold") {
+TEST_CASE("a check that tried nothing or is undecided does not hold") {
   REQUIRE(AllHeld({{.name = "a", .tried = 1}}));
   REQUIRE_FALSE(AllHeld({{.name = "a", .tried = 0}}));
   REQUIRE_FALSE(AllHeld({{.name = "a", .tried = 2, .broken = 1}}));
--- a/test/bench/experiment_report_test.cc
+++ b/test/bench/experiment_report_test.cc
@@ -30,7 +30,7 @@
   CHECK_FALSE(report.Judge(IdleGoal(0.4))[0].met);
 }
 
-TEST_CASE("a reference of zero is not taken for a gain") {
+TEST_CASE("a goal is missed if only the reference is zero") {
   ExperimentReport report;
   report.Add(Row("product", 20, 1, 0.1));
   report.Add(Row("fast", 20, 1, 0));
--- a/test/bench/load_test.cc
+++ b/test/bench/load_test.cc
@@ -62,7 +62,7 @@
   return checks::CheckOwnWholeAnswer(history, EngineOracle());
 }
 
-TEST_CASE("a whole stream is checked token by token") {
+TEST_CASE("a complete stream is checked token by token") {
   FixedCaller caller;
   LiveCall call;
   call.kind = CallKind::kCompletion;
@@ -76,17 +76,17 @@
   REQUIRE(CheckOne(record).broken == 0);
   REQUIRE(CheckOne(record).tried == 1);
 
-  SECTION("another prompt's answer is a breach") {
+  SECTION("the response to another prompt is a violation") {
     caller.reply.body = StreamFor("someone else asked this", 64, true);
     REQUIRE(CheckOne(Send(caller, call)).broken == 1);
   }
-  SECTION("a stream without its end counts as cut") {
+  SECTION("a stream without its end marker is truncated") {
     caller.reply.body = StreamFor(call.prompt, 64, false);
     REQUIRE(Send(caller, call).end == CallEnd::kCut);
   }
 }
 
-TEST_CASE("a plain answer must be the echo of its own request") {
+TEST_CASE("a plain response must echo its own request") {
   FixedCaller caller;
   LiveCall call;
   call.kind = CallKind::kBooking;
@@ -102,7 +102,7 @@
   REQUIRE(CheckOne(Send(caller, call)).broken == 1);
 }
 
-TEST_CASE("outcomes and ends are taken from the answer") {
+TEST_CASE("outcome and end of a call are taken from the response") {
   FixedCaller caller;
   LiveCall call;
   call.path = "/p";
@@ -118,7 +118,7 @@
   REQUIRE(record.outcome == checks::ClaimedOutcome::kNone);
 }
 
-TEST_CASE("traces survive writing and reading, and faults name their line") {
+TEST_CASE("traces round-trip, and errors name their line") {
   const std::vector<TraceCall> calls = {
       {std::chrono::milliseconds(5), CallKind::kCompletion, "", "", 64, 32, 2},
       {std::chrono::milliseconds(9), CallKind::kBooking, "h", "/book", 0, 0, 3}};
@@ -130,7 +130,7 @@
   REQUIRE(findings.items()[1].ToString() == "t:3: kind 'dance' is unknown");
 }
 
-TEST_CASE("quantiles are within a bin of the truth") {
+TEST_CASE("quantiles are accurate to one bin") {
   LatencyHistogram histogram;
   for (int i = 1; i <= 1000; ++i) histogram.Add(std::chrono::milliseconds(i));
   REQUIRE(ToSeconds(histogram.Quantile(0.5)) == Approx(0.5).epsilon(0.03));
@@ -138,7 +138,7 @@
   REQUIRE(histogram.Quantile(1.0) == std::chrono::seconds(1));
 }
 
-TEST_CASE("the open loop does each call once, and not before it is due") {
+TEST_CASE("the open loop makes each call once, not before its due time") {
   const RunClock clock;
   const std::vector<Duration> due = PoissonArrivals(2000, Duration(0), FromSeconds(0.1), 3);
   REQUIRE(due.size() > 100);
