--- a/bench/demo/demo_command.cc
+++ b/bench/demo/demo_command.cc
@@ -46,8 +46,7 @@
   call.timeout = std::chrono::seconds(5);
   while (run.clock().Now() < kStartupTimeout) {
     call.attempt_id = fmt::format("first-{}", run.clock().Now().count());
-    const checks::CallAttempt record =
-        SendCall(run.caller(), run.PickGateway(), call, run.clock());
+    const checks::CallAttempt record = SendCall(run.caller(), run.PickGateway(), call, run.clock());
     if (record.end == checks::CallEnd::kComplete) return true;
     run.Sleep(std::chrono::milliseconds(200));
   }
--- a/bench/load/live_call.cc
+++ b/bench/load/live_call.cc
@@ -92,7 +92,7 @@
 }  // namespace
 
 CallAttempt SendCall(BlockingCaller& caller, const GatewayTarget& gateway, const LiveCall& call,
-                 const RunClock& clock) {
+                     const RunClock& clock) {
   CallAttempt record;
   record.kind = call.kind;
   record.attempt_id = call.attempt_id;
--- a/bench/load/live_call.h
+++ b/bench/load/live_call.h
@@ -39,8 +39,8 @@
 
 /// Sends `call` and blocks until it ends. For plain calls, `body` of the record equals
 /// `expected_body` if and only if the response echoes this request.
-checks::CallAttempt SendCall(BlockingCaller& caller, const GatewayTarget& gateway, const LiveCall& call,
-                         const RunClock& clock);
+checks::CallAttempt SendCall(BlockingCaller& caller, const GatewayTarget& gateway,
+                             const LiveCall& call, const RunClock& clock);
 
 /// Computes the text that the engine model must generate.
 checks::TextOracle EngineOracle();
--- a/bench/load/load_command.cc
+++ b/bench/load/load_command.cc
@@ -97,7 +97,7 @@
   void SendScheduledCall(size_t index, Duration due) {
     const std::string& address = options_.gateways[index % options_.gateways.size()];
     CallAttempt record = SendCall(client_, {address, address},
-                              MakeCall(options_, options_.calls[index], index), clock_);
+                                  MakeCall(options_, options_.calls[index], index), clock_);
     if (record.end == CallEnd::kComplete) latency_.Add(*record.ended - due);
     const std::lock_guard<std::mutex> lock(mutex_);
     history_.calls.push_back(std::move(record));
--- a/source/server/node_options.cc
+++ b/source/server/node_options.cc
@@ -19,7 +19,8 @@
     const auto& names = settings.founders;
     if (std::find(names.begin(), names.end(), node.node) == names.end()) continue;
     const NodeId id(node.node);
-    initial_members.push_back({InitialMemberReplicaId(settings.cluster, id), id, node.address, true});
+    initial_members.push_back(
+        {InitialMemberReplicaId(settings.cluster, id), id, node.address, true});
   }
   return initial_members;
 }
