--- a/test/simulator/fault_plan_test.cc
+++ b/test/simulator/fault_plan_test.cc
@@ -29,7 +29,7 @@
   CHECK_FALSE(ParseFaultList("delay,earthquake", 1, kLength).ok());
 }
 
-TEST_CASE("The default mix holds two faults at once and one kind twice", "[simulator]") {
+TEST_CASE("The default mix has two simultaneous faults and a repeated kind", "[simulator]") {
   std::set<FaultKind> seen;
   int at_once = 0;
   for (uint64_t seed = 0; seed < 200; ++seed) {
@@ -48,7 +48,7 @@
   CHECK(at_once > 100);
 }
 
-TEST_CASE("Leaving a fault out leaves the others as they were", "[simulator]") {
+TEST_CASE("Removing a fault does not change the others", "[simulator]") {
   const FaultPlan both = DrawFaults(3, kLength, {FaultKind::kDelay, FaultKind::kZoneCut});
   const FaultPlan one = DrawFaults(3, kLength, {FaultKind::kZoneCut});
   CHECK(both[1] == one[0]);
--- a/test/simulator/fleet_test.cc
+++ b/test/simulator/fleet_test.cc
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE("A run without faults holds everything and answers everything", "[simulator]") {
+TEST_CASE("A run without faults breaks no check and completes all calls", "[simulator]") {
   DisableEventLog();
   for (const DeploymentName deployment : {DeploymentName::kAssociation, DeploymentName::kKhosa}) {
     FleetOptions options;
@@ -53,7 +53,7 @@
   }
 }
 
-TEST_CASE("The same seed gives the same bytes", "[simulator]") {
+TEST_CASE("Runs with the same seed give identical results", "[simulator]") {
   DisableEventLog();
   FleetOptions options;
   options.seed = 5;
