--- a/source/cluster/cold_reports.h
+++ b/source/cluster/cold_reports.h
@@ -10,7 +10,7 @@
 
 namespace millstair {
 
-/// Used on the node's serial executor. Knows only reports received by this node: its first one is
+/// Lives on the node's serial executor. Knows only reports received by this node: its first one is
 /// committed even if another node had one committed, which only restarts the countdown.
 class ColdReports {
  public:
--- a/source/cluster/report_batch.h
+++ b/source/cluster/report_batch.h
@@ -11,7 +11,7 @@
 
 namespace millstair {
 
-/// Used on the node's serial executor of each control node, while it leads.
+/// Lives on the node's serial executor; used only while the control node leads.
 class ReportBatch {
  public:
   using Done = std::function<void(absl::StatusOr<std::string>)>;
--- a/source/cluster/suspect_client.h
+++ b/source/cluster/suspect_client.h
@@ -9,7 +9,7 @@
 
 namespace millstair {
 
-/// Used on the node's serial executor; `cluster` must outlive it.
+/// Lives on the node's serial executor; `cluster` must outlive it.
 class SuspectClient : public SuspectRegister {
  public:
   explicit SuspectClient(GroupClient& cluster) : cluster_(cluster) {}
--- a/source/cluster/task_leases.h
+++ b/source/cluster/task_leases.h
@@ -32,7 +32,7 @@
   friend bool operator==(const LeaseAnnouncement&, const LeaseAnnouncement&) = default;
 };
 
-/// Used on the node's serial executor. A new leader may query it only after it has applied all
+/// Lives on the node's serial executor. A new leader may query it only after it has applied all
 /// entries committed by earlier leaders, which include the last announcements of other holders.
 class TaskLeases {
  public:
--- a/source/cluster/zone_evacuation.h
+++ b/source/cluster/zone_evacuation.h
@@ -10,7 +10,7 @@
 
 namespace millstair {
 
-/// Used on the node's serial executor.
+/// Lives on the node's serial executor.
 class ZoneEvacuation {
  public:
   using Done = std::function<void(absl::StatusOr<ClusterResult>)>;
--- a/source/metering/clock_agreement.h
+++ b/source/metering/clock_agreement.h
@@ -14,7 +14,7 @@
 
 namespace millstair {
 
-/// Used on the node's serial executor.
+/// Lives on the node's serial executor.
 class ClockAgreement {
  public:
   /// Adds a sample: `node` reported `wall` when this node's steady clock was at `now`.
--- a/source/metering/usage_counter.h
+++ b/source/metering/usage_counter.h
@@ -23,7 +23,7 @@
   Duration window{0};
 };
 
-/// Used on the node's serial executor.
+/// Lives on the node's serial executor.
 class UsageCounter {
  public:
   /// Submits a report for commit. `done` gets whether it was committed; false means that the
