--- a/source/cluster/report_batch.cc
+++ b/source/cluster/report_batch.cc
@@ -6,7 +6,7 @@
 /// Minimum time between two entries, well below the second that a server waits for its
 /// acknowledgement.
 constexpr Duration kBatchInterval = std::chrono::milliseconds(20);
-/// Keeps an entry at some 50 kB.
+/// Bounds the size of one log entry.
 constexpr size_t kMaxReports = 256;
 
 }  // namespace
--- a/source/cluster/suspect_client.cc
+++ b/source/cluster/suspect_client.cc
@@ -7,7 +7,7 @@
 
 /// A change that may not be committed by then is reported again or is harmless to lose.
 constexpr Duration kTimeout = std::chrono::seconds(5);
-/// Short, because a caller waits for a trial; a commit takes some 10 ms.
+/// Short, because a caller waits for the trial.
 constexpr Duration kTrialTimeout = std::chrono::milliseconds(400);
 
 }  // namespace
