--- a/source/ingress/liveness_check.h
+++ b/source/ingress/liveness_check.h
@@ -28,8 +28,7 @@
 /// Lives on the node's serial executor. Destroying it cancels the check.
 class LivenessCheck : public HttpCallObserver {
  public:
-  /// Covers a refused connection to another region (some 100 ms) and a pause of this node under CPU
-  /// throttling (up to 100 ms).
+  /// Covers a refused connection to another region and a pause of this node under CPU throttling.
   static constexpr Duration kTimeout = std::chrono::milliseconds(300);
 
   using Callback = std::function<void(LivenessVerdict)>;
--- a/source/ingress/request_guard.cc
+++ b/source/ingress/request_guard.cc
@@ -8,11 +8,11 @@
 namespace millstair {
 namespace {
 
-/// Maximum number of requests with local observations (some 100 kB); those with the fewest crashes
-/// are dropped first.
+/// Maximum number of requests with local observations, to bound memory; those with the fewest
+/// crashes are dropped first.
 constexpr size_t kMaxSeen = 256;
-/// Maximum number of requests in one window of served requests (some 30 kB); a new window starts
-/// early when it is full.
+/// Maximum number of requests in one window of served requests, to bound memory; a new window
+/// starts early when it is full.
 constexpr size_t kMaxServed = 2048;
 /// Pause before a report that was not committed is repeated.
 constexpr Duration kReportPause = std::chrono::seconds(1);
