--- a/source/quarantine/request_fingerprint.h
+++ b/source/quarantine/request_fingerprint.h
@@ -21,7 +21,7 @@
 };
 
 /// Of a longer body only the length, the first half and the last half of this many bytes are
-/// hashed, which takes at most some 10 ms.
+/// hashed, to bound the time on the executor.
 inline constexpr size_t kMaxFingerprintedBytes = 1024 * 1024;
 
 /// A fast, seeded hash of the same parts, for tables within one process.
--- a/source/quarantine/suspect_ledger.h
+++ b/source/quarantine/suspect_ledger.h
@@ -16,7 +16,7 @@
 inline constexpr Duration kWatchedRetention = std::chrono::minutes(1);
 inline constexpr Duration kHeldRetention = std::chrono::minutes(10);
 inline constexpr Duration kBarredRetention = std::chrono::hours(24);
-/// Maximum number of records (some 400 kB at each node). The oldest of those with the fewest
+/// Maximum number of records, to bound the memory of each node. The oldest of those with the fewest
 /// crashes are dropped first: to push out a barred request, a caller has to crash three servers
 /// under each of as many requests.
 inline constexpr size_t kMaxSuspects = 1024;
