--- a/source/jobs/job_group_bootstrapper.h
+++ b/source/jobs/job_group_bootstrapper.h
@@ -18,7 +18,7 @@
   /// The group is bootstrapped after this time even with fewer storage nodes.
   Duration max_wait = std::chrono::seconds(3);
   /// With enough storage nodes, the group is bootstrapped once no further one has joined for this
-  /// time. Longer than the 0.8 s in which all nodes of a fleet that starts at once appear.
+  /// time. Longer than the nodes of a fleet that starts at once take to join.
   Duration settle_time = std::chrono::seconds(1);
 };
 
