--- a/test/jobs/crashing_item_test.cc
+++ b/test/jobs/crashing_item_test.cc
@@ -185,7 +185,7 @@
   fixture.crash_at = GENERATE(1, 2, 6);
   fixture.Submit("bad", "crash");
   fixture.scheduler.RunFor(seconds(55));
-  // Without the guard 20 engines crash in this time.
+  // Retries must not go on to crash further engines.
   CHECK(fixture.ended <= 3);
   CHECK_FALSE(fixture.Done("bad"));
   // It fails when its lifetime has expired, not before.
--- a/test/jobs/crashing_request_test.cc
+++ b/test/jobs/crashing_request_test.cc
@@ -116,7 +116,7 @@
   CHECK(SentLater(*fleet.servers, kCrash) <= kMaxLaterRuns);
   // A few requests of the 9 gateways may be in flight when the first server crashes.
   CHECK(fleet.servers->crashes.size() <= 6);
-  // 0.42 to 0.61 without the guard.
+  // Proper requests must not lose their servers to the crashing one.
   CHECK(static_cast<double>(proper.answered) >= 0.93 * static_cast<double>(proper.sent));
 }
 
