--- a/test/platform/paused_gateway_test.cc
+++ b/test/platform/paused_gateway_test.cc
@@ -1,6 +1,5 @@
-/// Regression test: a gateway that was paused for longer than its lease must not use its
-/// configuration before confirming it. It used to forward requests that it read before pending
-/// changes by routes that had been replaced.
+/// A gateway that was paused for longer than its lease must not forward requests by replaced
+/// routes: it has to confirm its configuration first.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
--- a/test/platform/routing_codec_test.cc
+++ b/test/platform/routing_codec_test.cc
@@ -117,7 +117,6 @@
   CHECK(FindingsOf(Document(RouteWith(R"("kind":"odd","timeout_ms":9,"service":"pages")"))) != "");
 }
 
-// Regression test: such a configuration used to be accepted.
 TEST_CASE("A time limit of 0 is invalid on a route for batch jobs too") {
   CHECK(FindingsOf(Document(RouteWith(R"("kind":"rollout","service":"engines")"))).empty());
   CHECK(FindingsOf(Document(RouteWith(R"("kind":"rollout","timeout_ms":0,"service":"engines")"))) !=
--- a/test/server/unresponsive_control_nodes_test.cc
+++ b/test/server/unresponsive_control_nodes_test.cc
@@ -1,6 +1,5 @@
-/// Regression test: a gateway must confirm its configuration within the propagation bound although
-/// the control nodes of its zone are unresponsive. It used to poll control nodes one after another,
-/// with a timeout for each, and to return to its own zone before a node there had replied.
+/// A gateway must confirm its configuration within the propagation bound although the control nodes
+/// of its zone are unresponsive.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
