--- a/source/weights/engine_reconciler.cc
+++ b/source/weights/engine_reconciler.cc
@@ -124,9 +124,9 @@
     std::optional<EngineTarget> target =
         EngineTargetFor(configuration(), rules, engine, record.report.model);
     if (!target) return;
-    // The engine has applied an order from a newer configuration than ours.
+    // The engine has applied an order from a newer configuration than this node's.
     if (record.report.last_fence > configuration().revision) return;
-    // The resource that set its fence is part of our configuration, or was deleted since.
+    // The resource that set its fence is part of this node's configuration, or was deleted since.
     target->fence = std::max(target->fence, record.report.last_fence);
     std::optional<EngineOrder> order = NextOrder(*target, record);
     if (!order) {
