--- a/source/cluster/cold_reports.cc
+++ b/source/cluster/cold_reports.cc
@@ -3,9 +3,9 @@
 namespace millstair {
 namespace {
 
-/// Tolerates different delays of reports. A server that is cold again reports seconds.
+/// Covers varying delays of reports. The end of a new cold period is later by more than this.
 constexpr Duration kTolerance = std::chrono::milliseconds(500);
-/// Expired entries are removed beyond this number.
+/// From this number of entries on, expired ones are removed.
 constexpr size_t kMaxEntriesBeforeCleanup = 1024;
 
 }  // namespace
