--- a/source/ingress/request_guard.h
+++ b/source/ingress/request_guard.h
@@ -1,10 +1,10 @@
 /// Stops requests that crash back ends from being sent again and again.
 ///
 /// A crash is counted against a request only if the back end's incarnation that lost it has ended
-/// (LivenessCheck). Requests that merely ran beside the cause are counted too. They are told apart
-/// as follows: a response from the next back end clears a request, a request that was served
-/// recently is not counted, and a request is held only after a second crash without a response in
-/// between.
+/// (LivenessCheck). Requests that merely ran at the same time as the cause are counted too. They
+/// are told apart as follows: a response from the next back end clears a request, a request that
+/// was served recently is not counted, and a request is held only after a second crash without a
+/// response in between.
 ///
 /// The counts of all nodes are merged in the cluster's record (SuspectLedger), which reaches each
 /// node with its configuration. A node adds its own observations that the record doesn't hold yet.
@@ -44,7 +44,7 @@
                                                  std::chrono::seconds(30)};
 /// Length of the windows in which served requests are remembered. Losing a request that was served
 /// in this or the last window is not counted against it: popular requests run on all servers and
-/// would meet every crash.
+/// would be in progress at every crash.
 inline constexpr Duration kServedSpan = std::chrono::seconds(5);
 /// Retry-After of a barred request, which stays barred until an operator acts or the record
 /// expires.
@@ -98,7 +98,7 @@
   bool MayBeSuspect(const std::string& place) const;
   GuardDecision Judge(const RequestFingerprint& request,
                       const TrialPauses& pauses = kClientTrialPauses) const;
-  /// `done` is told whether this node may send the request once.
+  /// `done` receives whether this node may send the request once.
   void BeginTrial(const RequestFingerprint& request, std::function<void(bool granted)> done);
   /// A trial was granted, but no back end was reached. It is kept for this node's next attempt,
   /// since the cluster counts trials when it grants them: three that reached no back end would bar
