--- a/source/jobs/ingress_node.h
+++ b/source/jobs/ingress_node.h
@@ -79,7 +79,7 @@
   JobClient& jobs() { return jobs_; }
   const Configuration& configuration() const { return configuration_->configuration(); }
   bool LeaseValid() const { return configuration_->LeaseValid(); }
-  /// Time since the configuration held was last confirmed current; nothing if it never was.
+  /// Time since the configuration held was last confirmed current; nullopt if it never was.
   std::optional<Duration> ConfirmationAge() const { return configuration_->ConfirmationAge(); }
 
  private:
--- a/source/jobs/storage_node.h
+++ b/source/jobs/storage_node.h
@@ -30,7 +30,7 @@
   JobSchedulerOptions scheduler;
   LoadOptions loads;
   ColdBound cold_bound;
-  /// Outlives the node; may be null.
+  /// Must outlive the node; may be null.
   StatsRegistry* stats = nullptr;
 };
 
@@ -44,7 +44,7 @@
   virtual void Drain(std::function<void()> done) = 0;
 };
 
-/// `protocol` and `reader` outlive the node.
+/// `protocol` and `reader` must outlive the node.
 std::unique_ptr<StorageNode> MakeStorageNode(Environment& environment, PeerTransport& transport,
                                              FileSystem& files, HttpCaller& http,
                                              const BackendProtocol& protocol,
