--- a/simulator/faults/fault_plan.h
+++ b/simulator/faults/fault_plan.h
@@ -33,7 +33,7 @@
   kSwapFailure,    ///< weight swaps fail on some shards
   kCacheEvents,    ///< cache events are delayed and lost
   kEngineDrain,    ///< an engine or plain back end reports that it is leaving
-  kMachineLeaves,  ///< the platform removes a machine; its list shows this late
+  kMachineLeaves,  ///< the platform removes a machine; its machine list shows this with a delay
   kOperatorDrain,
   kServerCrash,  ///< a plain back end crashes and restarts
   kCutAnswers,   ///< plain back ends execute requests but cut the response
