--- a/test/cluster/cluster_fleet.h
+++ b/test/cluster/cluster_fleet.h
@@ -1,4 +1,4 @@
-/// Control nodes and gateways' clients in virtual time, for the tests of the cluster.
+/// Control nodes and the cluster clients of gateways, in virtual time.
 #pragma once
 
 #include <map>
@@ -83,7 +83,7 @@
   explicit ClusterFleet(FleetOptions options);
   ~ClusterFleet();
 
-  /// "c1".. are control nodes, "g1".. gateways. Zones "z1".."z3" in turn.
+  /// "c1".. are control nodes, "g1".. gateways; assigned to zones "z1".."z3" in turn.
   void Start(const std::string& name);
   void Crash(const std::string& name);
   /// From its next start on, the node is of a build that reports no feature level, or of this one.
