--- a/simulator/faults/node_faults.cc
+++ b/simulator/faults/node_faults.cc
@@ -20,7 +20,7 @@
 constexpr Duration kRestartPause = milliseconds(800);
 /// Time between the restarts of two nodes.
 constexpr Duration kBetweenRestarts = milliseconds(1500);
-/// Range of wall-clock steps; covers the 2 to 8 s seen in the users' deployments.
+/// Range of wall-clock steps; covers those that occur in deployments.
 constexpr Duration kMinClockStep = seconds(1);
 constexpr Duration kMaxClockStep = seconds(8);
 constexpr int kChangesWhileDown = 500;
