--- a/source/jobs/ingress_node.h
+++ b/source/jobs/ingress_node.h
@@ -21,7 +21,7 @@
   NodeRecord self;
   std::vector<ControlEndpoint> control_nodes;
   ConfigurationTiming configuration_timing;
-  /// Outlives the node; may be null.
+  /// Must outlive the node; may be null.
   StatsRegistry* stats = nullptr;
   /// Length of the metering windows; 0 disables metering.
   Duration usage_window{0};
