--- a/test/soak/checks.py
+++ b/test/soak/checks.py
@@ -1,4 +1,5 @@
-"""Promises, checked against the history of a soak. Each check counts its cases and those broken."""
+"""Checks of the service's guarantees against the history of a soak. Each check counts its cases and
+violations."""
 
 from back_ends import is_stamp
 from callers import NOT_RUN
@@ -6,21 +7,22 @@
 from routing_checks import CONTACT, Touch, check_routing
 from row import Row
 
-# Bound of the settings of this fleet, in seconds.
+# Lease of the engine orders in the settings of this fleet, in seconds.
 HOLDER_LEASE = 3.0
-# Orders this soon after a process thawed or a link healed are not its holder's fault.
+# Orders this soon after a process resumed or a link healed may be late and are not judged, seconds.
 THAW = 0.3
 SERVED_SHARE = 0.25
-# So often may a request that has crashed three back ends be sent on, CONTACT after the third.
+# A request that has crashed CRASHES_KNOWN back ends may be forwarded at most SENT_LATER more times,
+# from CONTACT after the last of these crashes.
 CRASHES_KNOWN = 3
 SENT_LATER = 3
-# What an answer says to a request that is withheld; so many proper ones may be, by mistake.
+# Text of the response to a withheld request, and how many valid requests may be withheld by mistake.
 WITHHELD = "back ends ended under this request"
 WITHHELD_SHARE, WITHHELD_MOST = 0.002, 5
 
 
 def check_answers(history, instances):
-    """A success is a back end's whole, signed answer to its own request."""
+    """A successful response is complete, signed by a back end and belongs to its request."""
     row = Row("whole answer to its own request")
     for call in history.of(Call):
         if call.status != 200:
@@ -31,7 +33,7 @@
 
 
 def check_at_most_once(history):
-    """A request that may not be repeated runs at most once, and "not run" is true."""
+    """A non-idempotent request runs at most once, and never if its response says "not run"."""
     once = Row("at most once")
     not_run = Row("not-run is true")
     runs = {}
@@ -48,8 +50,8 @@
 
 
 def check_leaving(history, layout):
-    """A back end that is leaving gets no request of a client from a gateway in touch after the
-    bound, also not as it wakes, and no item of a job from anybody."""
+    """After the bound, a leaving back end gets no client request from a connected gateway, also not
+    from one that resumes after a pause, and no job item from any node."""
     row = Row("no work to leaving back ends")
     touch = Touch(history, layout)
     first = {}
@@ -69,7 +71,8 @@
 
 
 def check_results(history, trainer, instances):
-    """Each position keeps its result at every node; texts are whole; scores and versions true."""
+    """Every node returns the same result for a position; texts are complete and scored, and by
+    weights no older than the step allows."""
     stays = Row("a position keeps its result")
     whole = Row("texts whole, scored, of allowed versions")
     steps = {step.job: step for step in trainer.steps}
@@ -93,7 +96,8 @@
 
 
 def check_orders(history):
-    """One holder of orders an engine: fences rise, holders change only after the lease."""
+    """Each engine has one lease holder: fences never decrease, and rise when the holder changes,
+    which happens only after the lease has expired."""
     row = Row("one holder of orders")
     spans = history.of(Span)
     latest = {}
@@ -109,8 +113,7 @@
 
 
 def check_crashing(history, layout):
-    """A request that crashes its back ends is soon sent to none, and no proper one is taken for
-    one."""
+    """Requests that crash back ends are soon no longer forwarded; valid ones are not withheld."""
     row = Row("crashing requests soon sent no more")
     touch = Touch(history, layout)
     machines = {call.request: call.machine for call in history.of(CrashingCall)}
@@ -132,7 +135,7 @@
 
 
 def check_service(history, trainer, end_of_faults):
-    """Requests and steps are served again once the faults are over."""
+    """Requests succeed and steps complete again after the faults."""
     row = Row("served again after the faults")
     calls = [call for call in history.of(Call) if call.sent > end_of_faults]
     served = sum(call.status == 200 for call in calls)
@@ -143,7 +146,7 @@
 
 
 def check_all(history, operator, trainer, instances, layout, end_of_faults):
-    """All rows."""
+    """The rows of all checks."""
     return [
         check_answers(history, instances), *check_at_most_once(history),
         *check_routing(history, operator, trainer, layout), check_leaving(history, layout),
