--- a/test/soak/routing_checks.py
+++ b/test/soak/routing_checks.py
@@ -1,9 +1,9 @@
-"""What gateways and control nodes may do by which version of the routing document, judged by the
-answers alone: in force in time, never back, read back new enough, proper requests not turned away.
+"""Checks, from responses alone, which version of the routing document gateways and control nodes
+use: in force in time, never older than before, current when read back, valid requests not rejected.
 
-A rule that has a bound in time holds for gateways in touch: not struck themselves for CONTACT, with
-links to the control nodes. Faults of control machines don't excuse a gateway where there are more
-than SMALL_CORE of them, unless they struck one that acknowledged the version in question.
+Rules with a time bound apply to connected gateways: no fault of their own for CONTACT, and links to
+the control nodes. With more than SMALL_CORE control machines, their faults excuse a gateway only if
+they hit one that acknowledged the version in question.
 """
 
 import dataclasses
@@ -13,43 +13,43 @@
 from history import Acknowledged, Call, OperatorCall, Proof, ReadBack, Run, Sent, Span, Started
 from row import Row
 
-# Bounds of the users, in seconds.
+# Bounds promised to users, in seconds.
 CONTACT = 3.0
 IN_FORCE = 2.0
-# Beside the bound where control nodes were disturbed meanwhile, but a majority went on.
+# Added to the bound if control nodes were disturbed while a majority kept running.
 UNSTABLE = 5.0
 REVERT_SLACK = 0.25
 SMALL_CORE = 9
-# A call that scores a text may go on for as long as its route's time limit.
+# A call that scores a text may last as long as its route's time limit.
 SCORING_TAKES = 1.5
 CUTS = ("cut_in_two", "cut_zones")
 STOPS = ("stop", "stop_several")
-# A gateway that stood still can tell so by its clock when it wakes. That the machine was not to be
-# reached meanwhile is no reason to act by what was replaced: the control nodes answer it as soon as it
-# asks.
+# A paused gateway can detect the pause by its clock when it resumes. That its machine was
+# unreachable meanwhile does not excuse using a replaced version: the control nodes reply as soon as
+# it queries them.
 STANDSTILLS = ("stand_still", "freeze", "suspend")
 ADDED_ASKED = 20
 ADDED_SHARE = 0.25
-# Statuses that say something else than that the request is wrong.
+# Statuses that do not reject the request as invalid.
 NOT_DENIED = (408, 421, 429)
 ALWAYS = ("/pages/", "/book/", "/moved/")
 
 
 @dataclasses.dataclass
 class Seen:
-    """What a gateway did with one request: sent it to a service, or said that no route leads on."""
+    """What a gateway did with one request: forwarded it to a service, or found no route."""
 
     call: Call
     service: str
     at: float
 
     def allowed_by(self, version):
-        """Whether a version allows it."""
+        """Whether a version allows this outcome."""
         return service_of(self.call.route, version) == (self.service or None)
 
 
 class Touch:
-    """Who was in touch when."""
+    """Which machines were connected and undisturbed, and when."""
 
     def __init__(self, history, layout):
         self._layout = layout
@@ -63,13 +63,13 @@
         return span.begun <= end and span.over >= start - CONTACT
 
     def gateway(self, machine, start, end):
-        """Whether a gateway was undisturbed from CONTACT before `start` until `end`. One that was
-        told to stop CONTACT ago and still serves is in touch again."""
+        """Whether a gateway was undisturbed from CONTACT before `start` until `end`. Planned stops
+        count only near their begin and end: one that still serves CONTACT later is judged."""
         return not any(machine in span.machines and self._strikes(span, start, end)
                        for span in self._spans)
 
     def gateway_but_for_standstill(self, machine, start, end):
-        """The same, where to have stood still counts as no disturbance."""
+        """Like `gateway`, but a pause of the process does not count as a disturbance."""
         return not any(machine in span.machines and span.kind not in STANDSTILLS
                        and self._strikes(span, start, end) for span in self._spans)
 
@@ -85,12 +85,13 @@
         return self._overlaps(span, start, end)
 
     def core(self, start, end, version):
-        """Whether the control nodes were, as far as counts for a version acknowledged by some."""
+        """Whether no fault of the control nodes excuses a gateway for `version`. Partitions and
+        kill_all always do; others only in a small group or on a node that acknowledged it."""
         return not any(self._counts(span, version) and self._disturbs(span, start, end)
                        for span in self._spans)
 
     def majority(self, start, end):
-        """Whether most control nodes went on all the while."""
+        """Whether the control nodes were not all killed between `start` and `end`."""
         return not any(span.kind == "kill_all" and self._overlaps(span, start, end)
                        for span in self._spans)
 
@@ -104,12 +105,12 @@
     def _disturbs(self, span, start, end):
         if span.kind not in CUTS:
             return self._overlaps(span, start, end)
-        # Once it has been cut for a while, the majority is stable.
+        # The majority is stable once a partition has lasted for a while.
         return any(start - CONTACT <= moment <= end for moment in (span.begun, span.over))
 
 
 def seen_by(history):
-    """What gateways did with requests, in the order in which it happened."""
+    """What gateways did with requests, in order of time."""
     runs = {}
     for run in history.of(Run):
         runs.setdefault(run.request, run)
@@ -124,7 +125,7 @@
 
 
 class Versions:
-    """What was sent and acknowledged when."""
+    """When each version was sent and acknowledged."""
 
     def __init__(self, history):
         self.sent = sorted((record.version, record.at) for record in history.of(Sent))
@@ -135,17 +136,17 @@
         self.acknowledged = sorted((at, version) for version, at in first.items())
 
     def held(self, moment):
-        """The newest that was acknowledged by then; 0 is none."""
+        """The newest version acknowledged by `moment`; 0 is none."""
         return max((version for at, version in self.acknowledged if at < moment), default=0)
 
     def possible(self, least, moment):
-        """Those that may be in force at `moment` where `least` is the oldest allowed."""
+        """The versions that may be in force at `moment` if `least` is the oldest allowed."""
         return [version for version, at in self.sent if version >= least and at <= moment]
 
 
 def check_in_force(seen, versions, touch):
-    """Gateways in touch act by nothing older than what was acknowledged IN_FORCE before, also as
-    they wake."""
+    """Connected gateways use no version older than the one acknowledged IN_FORCE before, also when
+    they resume after a pause."""
     row = Row("routes in force in time")
     for entry in seen:
         call = entry.call
@@ -164,7 +165,7 @@
 
 
 def check_proven(history, touch):
-    """Gateways in touch hold a proof of freshness."""
+    """Connected gateways have a confirmed configuration."""
     row = Row("gateways in touch hold a proof")
     for proof in history.of(Proof):
         if not touch.gateway(proof.machine, proof.asked, proof.at):
@@ -175,7 +176,7 @@
 
 
 def check_never_back(seen, versions, history):
-    """Within one life a gateway acts by nothing older than what it has acted by."""
+    """Within one incarnation a gateway uses no version older than one it has used."""
     row = Row("a gateway never goes back")
     starts = {}
     for record in history.of(Started):
@@ -189,7 +190,7 @@
                     default=0)
         possible = [version for version in versions.possible(floor, entry.at)
                     if entry.allowed_by(version)]
-        # Before the first document is known to this life, nothing is asked of it.
+        # No requirement until this incarnation has received its first document.
         row.case(bool(possible) or not floor, (entry, floor))
         if possible and (not earlier or possible[0] > earlier[-1][1]):
             earlier.append((entry.at, possible[0]))
@@ -197,13 +198,13 @@
 
 
 def check_scorings(history, scorings, versions, touch):
-    """Texts are scored by nothing older than what was acknowledged IN_FORCE before. Which machine
-    with a disk scores is not seen here, so all have to be undisturbed."""
+    """Texts are scored by no version older than the one acknowledged IN_FORCE before. The history
+    doesn't show which storage machine scored, so all of them must be undisturbed."""
     row = Row("texts scored by routes in force")
     for run in history.of(Run):
         if run.request not in scorings or not touch.all_stores(run.at, run.at):
             continue
-        # The call may have waited for a place, and been tried elsewhere before.
+        # The call may have waited for a slot, after attempts elsewhere.
         held = versions.held(run.at - IN_FORCE - SCORING_TAKES)
         if held:
             possible = versions.possible(held, run.at)
@@ -213,7 +214,7 @@
 
 
 def check_invalid(history):
-    """Only what was sent as a document is ever acted by."""
+    """Invalid documents are never used."""
     row = Row("routes of invalid documents not served")
     runs = {run.request for run in history.of(Run)}
     for call in history.of(Call):
@@ -223,7 +224,7 @@
 
 
 def check_denied(history):
-    """Proper requests of routes that all documents have are not turned away as wrong."""
+    """Valid requests for routes that all documents have are not rejected as invalid."""
     row = Row("proper requests not turned away")
     for call in history.of(Call):
         if call.route in ALWAYS and call.status:
@@ -233,7 +234,7 @@
 
 
 def check_added(seen, history, touch):
-    """Routes that were added later are served like the first ones."""
+    """Routes added later are served as reliably as the initial ones."""
     row = Row("added routes served like the first")
     asked = {}
     for call in history.of(Call):
@@ -253,7 +254,7 @@
 
 
 def check_operator(history):
-    """Each call of the operator gets one of its right answers."""
+    """Each call of the operator gets one of its expected responses."""
     row = Row("the operator's calls answered right")
     for call in history.of(OperatorCall):
         row.case(call.status in call.allowed, call)
@@ -261,7 +262,7 @@
 
 
 def check_read_back(history, operator, versions):
-    """A read gives nothing older than what was acknowledged IN_FORCE before, as it was sent."""
+    """A read returns a version as sent, none older than the one acknowledged IN_FORCE before."""
     row = Row("configuration read back")
     contents = {}
     for read in history.of(ReadBack):
@@ -279,7 +280,7 @@
 
 
 def check_routing(history, operator, trainer, layout):
-    """All rows."""
+    """The rows of all routing checks."""
     seen = seen_by(history)
     versions = Versions(history)
     touch = Touch(history, layout)
