--- a/test/soak/soak.py
+++ b/test/soak/soak.py
@@ -1,5 +1,5 @@
-"""Runs the real programs as processes under faults from outside and checks what callers and back
-ends saw. Exits 0 only if every promise was tried and none was broken.
+"""Runs the real programs as processes under injected faults and checks what callers and back ends
+observed. Exits 0 only if every check had cases and none was violated.
 
     python3 test/soak/soak.py --program build/bin/millstaird --seconds 120 --seed 1
 """
@@ -27,7 +27,6 @@
 
 
 def parse_arguments():
-    """The command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--program", required=True, help="millstaird")
     parser.add_argument("--before", default="",
@@ -61,7 +60,7 @@
 
 
 def await_first_configuration(operator):
-    """Waits until the cluster is founded."""
+    """Waits until the cluster is bootstrapped."""
     until = now() + START_LIMIT
     while now() < until:
         if operator.replace():
@@ -70,7 +69,7 @@
 
 
 def play_faults(faults, arguments):
-    """Series of faults that overlap, until the time is over."""
+    """Runs overlapping series of faults for the configured time."""
     until = now() + arguments.seconds
     series = [threading.Thread(target=faults.play_series, args=(until, arguments.pause))
               for _ in range(arguments.series)]
@@ -83,7 +82,7 @@
 
 
 def read_to_the_end(trainer):
-    """Reads every accepted step from the start once more; those that could not be read."""
+    """Reads every accepted step again from the start; returns the jobs that could not be read."""
     lost = []
     for step in trainer.steps:
         if not step.accepted_at or now() - step.accepted_at > 100:
@@ -98,7 +97,7 @@
 
 
 def play(arguments, fleet, back_ends, history):
-    """The run itself: what is to be reported."""
+    """Runs callers and faults; returns the rows of the checks and the unreadable jobs."""
     layout = fleet.layout
     fleet.start()
     operator = Operator(layout, history, arguments.change)
@@ -115,7 +114,7 @@
     operator.start()
     trainer.start()
     play_faults(faults, arguments)
-    # Once more while all else is calm, so that some callers are refused in every run.
+    # Without other faults, so that some callers are refused in every run.
     faults.play(faults.refuse)
     end_of_faults = now() + RECOVERY
     time.sleep(RECOVERY + LAST_CALM)
@@ -128,7 +127,6 @@
 
 
 def main():
-    """Runs the soak."""
     arguments = parse_arguments()
     random.seed(arguments.seed)
     folder = tempfile.mkdtemp(prefix="millstair-soak.")
@@ -162,8 +160,8 @@
 
 
 def report(rows, lost, fleet, shown):
-    """Prints the table and a closing line in the form of the other test programs; whether all
-    holds."""
+    """Prints the table and the summary line that the other test programs print; returns whether all
+    checks passed."""
     for row in rows:
         print(f"{row.name:45} tried {row.tried:6}  broken {len(row.broken):4}")
         for what in row.broken[:shown]:
