--- a/test/soak/fleet.py
+++ b/test/soak/fleet.py
@@ -1,8 +1,8 @@
 """The real programs as processes on loopback addresses, and the links between them.
 
 The first machines run a control node and a storage node each, the others a gateway. Nodes reach
-each other through forwarders, one for each direction of each pair that talks, so that links can be
-cut, delayed and reset from outside.
+each other through forwarders, one for each direction of each pair that communicates, so that links
+can be cut, delayed and reset.
 """
 
 import dataclasses
@@ -63,31 +63,30 @@
 """
 
 
-# Third number of all addresses; runs side by side need one each.
+# Third byte of all addresses; concurrent runs need one each.
 SUBNETS = range(77, 100)
 SUBNET = SUBNETS[0]
 
 
 def use_subnet(number):
-    """Chooses the addresses of this run; called before any part of it is made."""
+    """Sets the subnet of this run; called before any part of it is created."""
     global SUBNET  # pylint: disable=global-statement
     SUBNET = number
 
 
 def ip_of(machine):
-    """Loopback address of a machine."""
     return f"127.0.{SUBNET}.{machine}"
 
 
 @dataclasses.dataclass(frozen=True)
 class Layout:
-    """How many machines there are, and what may be lost at one time."""
+    """Number of machines, and how many may fail at the same time."""
 
     stores: int = 3
     fronts: int = 3
     zones: int = 3
     tolerate: int = 1
-    # Bounds of the settings, in seconds.
+    # `bounds.leave` of the settings, in seconds.
     leaving: float = 2.0
 
     @property
@@ -101,12 +100,12 @@
         return tuple(range(self.stores + 1, self.stores + self.fronts + 1))
 
     def zone_of(self, machine):
-        """Machines are spread over the zones in turn."""
+        """Zone of a machine; assigned round-robin."""
         return (machine - 1) % self.zones + 1
 
 
 class Node:
-    """One process."""
+    """One process of the fleet."""
 
     def __init__(self, name, machine, role):
         self.name = name
@@ -122,7 +121,7 @@
 
 
 def addresses_in_use(layout):
-    """The first address of this run that can't be bound, and why; nothing if all are free."""
+    """The first address of this run that can't be bound, and why; none if all are free."""
     for machine in layout.machines + layout.gateways:
         probe = socket.socket()
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -136,8 +135,8 @@
 
 
 def claim_subnet(number):
-    """Keeps other runs from a subnet as long as the claim is held; nothing if another one has it. Two
-    runs that began in the same moment found the same addresses free."""
+    """Locks a subnet until the returned file is closed; none if another run has it. Binding alone
+    doesn't exclude two runs that start at the same moment."""
     claim = open(os.path.join(tempfile.gettempdir(), f"millstair-soak-{number}.lock"), "w",
                  encoding="utf-8")
     try:
@@ -149,7 +148,7 @@
 
 
 def use_free_subnet(layout):
-    """Chooses addresses that no other run on this machine holds; the claim on them, to be kept."""
+    """Sets a subnet that no other run on this machine uses; returns the claim, to be kept open."""
     for number in SUBNETS:
         claim = claim_subnet(number)
         if claim is None:
@@ -158,8 +157,8 @@
         if addresses_in_use(layout) is None:
             return claim
         claim.close()
-    raise SystemExit(f"{addresses_in_use(layout)}, nor any of the other subnets: do other runs go "
-                     "on, or have they just been ended?")
+    raise SystemExit(f"{addresses_in_use(layout)}, and no other subnet is free: are other runs "
+                     "active, or have they just ended?")
 
 
 class Fleet:
@@ -168,9 +167,9 @@
     def __init__(self, program, folder, layout, history, clock_library="", before=""):
         in_use = addresses_in_use(layout)
         if in_use is not None:
-            raise SystemExit(f"{in_use}: does another run go on, or has one just been ended?")
+            raise SystemExit(f"{in_use}: is another run active, or has one just ended?")
         self.program = program
-        # Machines that still run the build before.
+        # Machines that still run the earlier build.
         self._before = before
         self._on_before = set(layout.machines + layout.gateways) if before else set()
         self.folder = folder
@@ -188,13 +187,13 @@
         self._cuts = []
 
     def start(self):
-        """Founds the cluster."""
+        """Bootstraps the cluster."""
         for node in random.sample(self.nodes, len(self.nodes)):
             self.start_node(node, bootstrap=True)
             time.sleep(random.uniform(0, START_SPREAD / len(self.nodes)))
 
     def start_node(self, node, bootstrap=False):
-        """Starts a process; its output goes on in its log."""
+        """Starts a process; its output is appended to its log."""
         path = os.path.join(self.folder, f"{node.role}-{node.machine}")
         with open(path + ".yaml", "w", encoding="utf-8") as file:
             file.write(self._settings(node, bootstrap))
@@ -208,7 +207,7 @@
         return self._before if machine in self._on_before else self.program
 
     def use_build_before(self, machine, before):
-        """Which build the machine's processes run from their next start on."""
+        """Sets whether the machine's processes run the earlier build from their next start on."""
         if before:
             self._on_before.add(machine)
         else:
@@ -241,15 +240,13 @@
             seeds_port=CONTROL_PEER, peer=node.peer, http=f"{ip}:{port}")
 
     def data_folder(self, node):
-        """Where a node keeps its data."""
         return os.path.join(self.folder, f"data-{node.role}-{node.machine}")
 
     def on_machine(self, machine):
-        """The nodes of a machine."""
         return [node for node in self.nodes if node.machine == machine]
 
     def kill(self, nodes, wipe=False):
-        """SIGKILL, all at once; `wipe` loses their disks as well."""
+        """Kills all nodes at once with SIGKILL; `wipe` deletes their data as well."""
         for node in nodes:
             node.process.send_signal(signal.SIGKILL)
         for node in nodes:
@@ -258,7 +255,7 @@
                 shutil.rmtree(self.data_folder(node), ignore_errors=True)
 
     def stop_in_order(self, nodes):
-        """SIGTERM, SIGKILL after the grace time; the exit codes."""
+        """Sends SIGTERM, and SIGKILL after GRACE; returns the exit codes."""
         for node in nodes:
             node.process.send_signal(signal.SIGTERM)
         until = now() + GRACE
@@ -282,14 +279,15 @@
                 or (b.machine in some and a.machine in others)]
 
     def cut(self, some, others=None):
-        """Cuts machines off from all others, or from some, silently; returns what to heal."""
+        """Drops all traffic between `some` and `others` (all other machines by default) without
+        closing connections; returns the cut for `heal`."""
         if others is None:
             others = set(self.layout.machines + self.layout.gateways) - set(some)
         return self._cut({pair: BOTH for pair in self._between(set(some), set(others))})
 
     def cut_one_way(self, machine, heard):
-        """Cuts a machine off from all others in one direction, silently: they hear it, or it hears
-        them. Returns what to heal."""
+        """Drops a machine's traffic in one direction without closing connections: to it if `heard`,
+        else from it. Returns the cut for `heal`."""
         cut = {}
         for pair in self._of(machine):
             opened_by_it = self._pairs[pair][0].machine == machine
@@ -303,7 +301,7 @@
         return cut
 
     def heal(self, cut):
-        """Ends one cut; directions that another one holds stay cut."""
+        """Ends one cut; directions that another one covers stay cut."""
         with self._cut_lock:
             self._cuts.remove(cut)
             self._apply_cuts(cut)
@@ -321,19 +319,19 @@
         return self._between({machine}, others)
 
     def set_delay(self, machine, delay):
-        """Each piece of data from or to a machine takes `delay` seconds longer."""
+        """Delays all data from or to a machine by `delay` seconds."""
         self._links.set("delay", self._of(machine), delay)
 
     def reset_links(self, machine):
-        """Breaks off all connections of a machine to others."""
+        """Resets all connections between a machine and the others."""
         self._links.set("reset", self._of(machine))
 
     def ended_by_themselves(self):
-        """Nodes whose process ended without being told to."""
+        """Nodes whose process exited without being stopped."""
         return [node for node in self.nodes if node.process.poll() is not None]
 
     def end(self):
-        """Ends every process that was started."""
+        """Kills every process that was started, and the forwarders."""
         for node in self.nodes:
             if node.process is not None and node.process.poll() is None:
                 node.process.send_signal(signal.SIGCONT)
