--- a/test/soak/faults.py
+++ b/test/soak/faults.py
@@ -1,5 +1,5 @@
-"""Faults from outside: signals, lost disks, links, back ends. Drawn by a seed, in several series
-that overlap."""
+"""Injected faults: signals, lost disks, link faults, back-end failures. Chosen at random from a seed,
+in several overlapping series."""
 
 import random
 import signal
@@ -10,28 +10,28 @@
 
 DOWN = 1.0
 AWAY = 4.0
-# Longer than a machine has to be undisturbed to be judged: what goes wrong during a cut is judged.
+# Longer than CONTACT of the routing checks, so that behavior during a partition is checked as well.
 CUT_IN_TWO = 9.0
 SLOW_LINK = 0.15
-# A machine that turns slow stands still for this share of each tenth of a second.
+# A slow machine is paused for SLOW_SHARE of each SLOW_TICK.
 SLOW_SHARE = 0.6
 SLOW_TICK = 0.1
-# A disk counts as lost until its successor has had this long to catch up.
+# A machine that lost its disk counts as faulty for this long after its restart, to catch up.
 CATCH_UP = 6.0
-# Time of day that jumps: at most so many seconds off. Users see up to 8, ahead and back.
+# Maximum step of the time of day, in seconds, forward or back.
 STEP = 8.0
-# Lives of a process between which a clock jumps last so long; users see kills within a second.
+# Time between two restarts with a clock step in between, in seconds: minimum and maximum.
 SHORT_LIFE = (0.2, 2.0)
-# A gateway that stands still without a word is overtaken by changes, if it does so for longer than
-# the bound by which these are in force.
+# Pause of a gateway, in seconds. Longer than the bound for changes to be in force, so that it misses
+# some.
 STANDS_STILL = (3.0, 12.0)
-# At most this share of the gateways is struck at a time.
+# Maximum share of the gateways under a fault at the same time.
 STRUCK_GATEWAYS = 0.25
 
 
 class Claims:
-    """Which machines are struck now. No more machines with a disk at a time than are to be borne;
-    faults that strike all of them wait until none is struck."""
+    """The machines under a fault. At most `tolerate` machines with a disk at a time; faults of all of
+    them run alone."""
 
     def __init__(self, layout):
         self._layout = layout
@@ -43,7 +43,7 @@
         return sum(machine in machines for machine in self._struck)
 
     def take(self, machines, wanted=1):
-        """Draws up to `wanted` machines that are not struck; none if there is no room."""
+        """Claims up to `wanted` random machines without a fault, as far as the limits allow."""
         layout = self._layout
         with self._lock:
             if self._alone:
@@ -59,12 +59,13 @@
             return chosen
 
     def give_back(self, machines):
-        """They are struck no longer."""
+        """Releases the claim on machines whose fault is over."""
         with self._lock:
             self._struck.difference_update(machines)
 
     def alone(self, patience=20.0):
-        """Waits until no machine with a disk is struck and keeps others from starting."""
+        """Blocks new faults and waits until no machine with a disk has one; whether that came in
+        time."""
         until = now() + patience
         with self._lock:
             if self._alone:
@@ -79,13 +80,13 @@
         return False
 
     def together(self):
-        """Others may start again."""
+        """Allows other faults again, after `alone`."""
         with self._lock:
             self._alone = False
 
 
 class Faults:
-    """Plays faults and notes when each was there, and on which machines."""
+    """Runs faults and records when each was active, and on which machines."""
 
     def __init__(self, fleet, back_ends, history):
         self._fleet = fleet
@@ -109,16 +110,16 @@
 
     @property
     def replaces_builds(self):
-        """Whether machines go from one build to another during the run."""
+        """Whether machines change from the earlier build to the new one during the run."""
         return self._fleet.has_build_before
 
     def choose(self, names):
-        """Plays these kinds alone, beside those of back ends."""
+        """Restricts the faults to these kinds; each series still begins with those of back ends."""
         self.kinds = [getattr(self, name) for name in names]
 
     def play_series(self, until, pause):
-        """Every kind once in drawn order, then again, until the time is over."""
-        # These are tried by few checks, so each run plays them.
+        """Runs every kind once in random order, then again, until `until`."""
+        # Few checks cover back-end faults, so each run begins with them.
         waiting = list(self.of_back_ends)
         while now() < until:
             if not waiting:
@@ -129,9 +130,9 @@
             time.sleep(random.uniform(pause, 3 * pause))
 
     def play(self, kind):
-        """Plays one fault to its end; what was played, or nothing."""
+        """Runs one fault to its end; returns its description, or none if it could not run."""
         if kind in self.of_back_ends:
-            # Back ends that come and go are no fault of the system's own machines.
+            # Back-end faults claim no machine of the system.
             what = f"{kind.__name__} {kind()}"
         elif kind in self._alone_kinds:
             if not self._claims.alone():
@@ -175,11 +176,11 @@
 
     def _noted(self, kind, machines):
         if kind == self.reload:
-            # No disturbance: it excuses nobody.
+            # A reload is not recorded: it excuses no violation.
             kind(machines)
             return f"reload {list(machines)}"
         begun = now()
-        # Noted at once: what is judged meanwhile looks at it after the run.
+        # Recorded at the start, without an end, so that an unfinished fault is in the history too.
         span = self._history.add(Span(kind.__name__, tuple(machines), begun, float("inf")))
         result = kind(machines)
         span.over = now()
@@ -195,25 +196,25 @@
             self._fleet.start_node(node)
 
     def kill(self, machines):
-        """A machine's processes are killed and come back with their disks."""
+        """Kills a machine's processes and restarts them with their disks."""
         nodes = self._nodes(machines)
         self._fleet.kill(nodes)
         time.sleep(random.uniform(0.1, 2 * DOWN))
         self._restart(nodes)
 
     def kill_gateways(self, machines):
-        """As many gateways as may be struck are killed at once."""
+        """Kills as many gateways at once as the limit allows."""
         self.kill(machines)
 
     def lose_disk(self, machines):
-        """A machine comes back without its disk."""
+        """Kills a machine's processes, deletes their data and restarts them."""
         nodes = self._nodes(machines)
         self._fleet.kill(nodes, wipe=True)
         time.sleep(DOWN)
         self._restart(nodes)
 
     def freeze(self, machines):
-        """A machine stands still and wakes again."""
+        """Pauses and resumes a machine's processes."""
         for machine in machines:
             self._fleet.signal(machine, signal.SIGSTOP)
         time.sleep(random.uniform(0.5, 2) * AWAY)
@@ -221,8 +222,8 @@
             self._fleet.signal(machine, signal.SIGCONT)
 
     def stand_still(self, machines):
-        """Gateways stand still and wake again, with requests and changes in their sockets. Nothing
-        else strikes them, so that what they do as they wake is judged."""
+        """Pauses gateways and resumes them with requests and changes queued in their sockets. They
+        have no other fault, so that their behavior on resuming is checked."""
         seconds = random.uniform(*STANDS_STILL)
         for machine in machines:
             self._fleet.signal(machine, signal.SIGSTOP)
@@ -232,7 +233,7 @@
         return f"{seconds:.1f} s"
 
     def step_clock(self, machines):
-        """The time of day of machines jumps, and back after some seconds."""
+        """Steps the time of day of machines, and back after some seconds."""
         ahead = random.uniform(-STEP, STEP)
         self._set_clocks(machines, ahead)
         time.sleep(random.uniform(0.5, 1.5) * AWAY)
@@ -240,8 +241,8 @@
         return f"by {ahead:.1f} s"
 
     def restart_across_step(self, machines):
-        """Machines start twice while their time of day jumps in between, so that the later life
-        begins earlier by its own clock."""
+        """Restarts machines twice with a step back of the time of day in between, so that the later
+        incarnation has the earlier start time."""
         first, second = random.choice(((random.uniform(1, STEP), 0.0),
                                        (0.0, random.uniform(-STEP, -1))))
         self._set_clocks(machines, first)
@@ -264,7 +265,7 @@
         self._restart(nodes)
 
     def suspend(self, machines):
-        """Machines are suspended: they stand still, and their steady clocks with them."""
+        """Suspends machines: pauses their processes and stops their steady clocks."""
         seconds = random.uniform(0.5, 2) * AWAY
         for machine in machines:
             self._fleet.signal(machine, signal.SIGSTOP)
@@ -275,7 +276,7 @@
         return f"{seconds:.1f} s"
 
     def slow(self, machines):
-        """A machine gets a part of its processor time only."""
+        """Limits a machine to a share of its processor time."""
         until = now() + AWAY
         while now() < until:
             for number, share in ((signal.SIGSTOP, SLOW_SHARE), (signal.SIGCONT, 1 - SLOW_SHARE)):
@@ -284,13 +285,13 @@
                 time.sleep(share * SLOW_TICK)
 
     def cut(self, machines):
-        """A machine is cut off from all others, silently."""
+        """Isolates a machine from all others; connections stay open."""
         pairs = self._fleet.cut(machines)
         time.sleep(random.uniform(0.5, 3) * AWAY)
         self._fleet.heal(pairs)
 
     def cut_one_way(self, machines):
-        """A machine hears all others and is not heard, or the other way round, silently."""
+        """Drops all traffic from a machine, or all traffic to it; connections stay open."""
         heard = random.choice((True, False))
         cuts = [self._fleet.cut_one_way(machine, heard) for machine in machines]
         time.sleep(random.uniform(0.5, 3) * AWAY)
@@ -299,8 +300,8 @@
         return "is heard, hears nothing" if heard else "hears, is not heard"
 
     def cut_in_two(self, machines):
-        """The machines with a disk are cut into a majority and the rest, silently; all gateways
-        reach both."""
+        """Partitions the machines with a disk into a majority and a minority; connections stay open
+        and all gateways reach both."""
         some = random.sample(machines, (len(machines) - 1) // 2)
         pairs = self._fleet.cut(some, set(machines) - set(some))
         time.sleep(CUT_IN_TWO)
@@ -308,7 +309,7 @@
         return f"off: {sorted(some)}"
 
     def cut_zones(self, machines):
-        """As `cut_in_two`, with whole zones on the smaller side as far as they fit."""
+        """Like `cut_in_two`, with complete zones in the minority as far as they fit."""
         zones = random.sample(range(1, self._layout.zones + 1), self._layout.zones)
         ordered = sorted(machines, key=lambda machine: zones.index(self._layout.zone_of(machine)))
         some = ordered[:(len(machines) - 1) // 2]
@@ -318,20 +319,20 @@
         return f"off: {sorted(some)}"
 
     def strike_zone(self, machines):
-        """As many machines of one zone as are to be borne stand still, are cut off or are down."""
+        """Pauses, isolates or kills up to `tolerate` machines of one zone."""
         how = random.choice((self.freeze, self.cut, self.down))
         how(machines)
         return how.__name__
 
     def down(self, machines):
-        """Machines have no power for some seconds."""
+        """Kills machines' processes and restarts them after some seconds, like a power failure."""
         nodes = self._nodes(machines)
         self._fleet.kill(nodes)
         time.sleep(random.uniform(0.5, 2) * AWAY)
         self._restart(nodes)
 
     def slow_link(self, machines):
-        """The links of a machine are slow."""
+        """Delays all traffic of a machine."""
         for machine in machines:
             self._fleet.set_delay(machine, SLOW_LINK)
         time.sleep(AWAY)
@@ -339,22 +340,22 @@
             self._fleet.set_delay(machine, 0.0)
 
     def reset_links(self, machines):
-        """All connections of a machine to others are reset, several times."""
+        """Resets all connections of a machine to others, several times."""
         for _ in range(3):
             for machine in machines:
                 self._fleet.reset_links(machine)
             time.sleep(0.2)
 
     def stop(self, machines):
-        """A machine's processes are stopped in order and started again."""
+        """Shuts a machine's processes down gracefully and restarts them."""
         nodes = self._nodes(machines)
         codes = self._fleet.stop_in_order(nodes)
         self._restart(nodes)
         return f"exit codes {sorted(set(codes))}"
 
     def replace_builds(self):
-        """Every machine in turn is stopped in order and started with the new build, among all other
-        faults; halfway one of them goes back to the build before, and forward again at the end."""
+        """Rolling upgrade under faults: each machine is shut down gracefully and started with the new
+        build; halfway one is downgraded to the earlier build, and upgraded again at the end."""
         machines = list(self._layout.machines + self._layout.gateways)
         random.shuffle(machines)
         back = machines[0]
@@ -374,11 +375,11 @@
                 self._claims.give_back((machine,))
 
     def stop_several(self, machines):
-        """Some gateways are stopped in order at the same time."""
+        """Gracefully restarts several gateways at the same time."""
         return self.stop(machines)
 
     def rolling_stop(self, machines):
-        """Machines with a disk are stopped and started again, one after another."""
+        """Gracefully restarts machines with a disk one after another."""
         codes = []
         for machine in machines[:4]:
             nodes = self._nodes((machine,))
@@ -388,27 +389,27 @@
         return f"exit codes {sorted(set(codes))}"
 
     def kill_all(self, machines):
-        """Every process of the machines with a disk is killed at once; the disks stay."""
+        """Kills all processes of the machines with a disk at once; the disks stay."""
         nodes = self._nodes(machines)
         self._fleet.kill(nodes)
         time.sleep(DOWN)
         self._restart(nodes)
 
     def reload(self, machines):
-        """Machines are told that their settings may have changed."""
+        """Sends SIGHUP to machines, several times, so that they reload their settings."""
         for _ in range(3):
             for machine in machines:
                 self._fleet.signal(machine, signal.SIGHUP)
             time.sleep(0.2)
 
     def crash_back_end(self):
-        """A back end is gone without a word, another comes."""
+        """Crashes a back end and starts another."""
         return self._back_ends.play("crash")
 
     def replace_back_end(self):
-        """A new back end comes, an old one drains and leaves."""
+        """Starts a new back end; an old one drains and deregisters."""
         return self._back_ends.play("replace")
 
     def refuse(self):
-        """All back ends of a service refuse for a moment."""
+        """Has all back ends of a service refuse requests for REFUSES_FOR."""
         return self._back_ends.play("refuse")
