--- a/test/soak/faults.py
+++ b/test/soak/faults.py
@@ -1,5 +1,5 @@
-"""Injected faults: signals, lost disks, link faults, back-end failures. Chosen at random from a seed,
-in several overlapping series."""
+"""Injected faults: signals, lost disks, link faults, back-end failures. Chosen at random from a
+seed, in several overlapping series."""
 
 import random
 import signal
@@ -16,22 +16,22 @@
 # A slow machine is paused for SLOW_SHARE of each SLOW_TICK.
 SLOW_SHARE = 0.6
 SLOW_TICK = 0.1
-# A machine that lost its disk counts as faulty for this long after its restart, to catch up.
+# A machine that lost its disk stays claimed for this long after its restart, to catch up.
 CATCH_UP = 6.0
 # Maximum step of the time of day, in seconds, forward or back.
 STEP = 8.0
 # Time between two restarts with a clock step in between, in seconds: minimum and maximum.
 SHORT_LIFE = (0.2, 2.0)
-# Pause of a gateway, in seconds. Longer than the bound for changes to be in force, so that it misses
-# some.
+# Pause of a gateway, in seconds. Longer than the bound for changes to be in force, so that it
+# misses some.
 STANDS_STILL = (3.0, 12.0)
 # Maximum share of the gateways under a fault at the same time.
 STRUCK_GATEWAYS = 0.25
 
 
 class Claims:
-    """The machines under a fault. At most `tolerate` machines with a disk at a time; faults of all of
-    them run alone."""
+    """The machines under a fault. At most `tolerate` machines with a disk at a time; faults of all
+    of them run alone."""
 
     def __init__(self, layout):
         self._layout = layout
@@ -354,8 +354,8 @@
         return f"exit codes {sorted(set(codes))}"
 
     def replace_builds(self):
-        """Rolling upgrade under faults: each machine is shut down gracefully and started with the new
-        build; halfway one is downgraded to the earlier build, and upgraded again at the end."""
+        """Rolling upgrade under faults: each machine is shut down gracefully and started with the
+        new build; halfway one is downgraded to the earlier build, and upgraded again at the end."""
         machines = list(self._layout.machines + self._layout.gateways)
         random.shuffle(machines)
         back = machines[0]
@@ -411,5 +411,5 @@
         return self._back_ends.play("replace")
 
     def refuse(self):
-        """Has all back ends of a service refuse requests for REFUSES_FOR."""
+        """Has all back ends of a service refuse requests for a short time."""
         return self._back_ends.play("refuse")
