--- a/test/soak/back_ends.py
+++ b/test/soak/back_ends.py
@@ -1,4 +1,4 @@
-"""Back ends that register themselves: plain servers and engines, as their protocol describes them."""
+"""Fake self-registering back ends: plain servers and engines."""
 
 import hashlib
 import http.client
@@ -20,28 +20,28 @@
 LOAD_TIME = 0.5
 EVENT_TIME = 0.04
 KEEP_SERVING = 3.5
-# A request to a path with this ends each back end that runs it, after a while.
+# A request whose path contains this crashes each back end that runs it, after CRASH_AFTER seconds.
 CRASHES = "/crash-"
 CRASH_AFTER = (0.03, 0.12)
-# A back end that such a request ended is back at its address after this long.
+# A back end crashed by such a request restarts at its address after this many seconds.
 BACK_AFTER = 2.5
 BIND_PATIENCE = 5.0
-# Longer than the time limit of the routes, so that callers are refused.
+# Longer than the time limit of the routes, so that callers get refusals, in seconds.
 REFUSES_FOR = 2.5
 
 
 def stamp_of(instance, request):
-    """The signature of a back end under its answer to a request."""
+    """The signature of a back end on its response to a request."""
     return hashlib.sha256(f"{instance}/{request}".encode()).hexdigest()[:16]
 
 
 def is_stamp(stamp, request, instances):
-    """Whether one of the back ends has signed its answer to `request` so."""
+    """Whether `stamp` is the signature of one of the back ends on its response to `request`."""
     return any(stamp == stamp_of(instance, request) for instance in instances)
 
 
 def call_control(machines, path, body, timeout=1.0):
-    """POSTs to control nodes, one after another, until one takes it; the one that did, or 0."""
+    """POSTs to control nodes, one after another, until one accepts; its machine, or 0."""
     for machine in random.sample(machines, len(machines)):
         try:
             connection = http.client.HTTPConnection(ip_of(machine), SERVICE, timeout=timeout)
@@ -57,19 +57,19 @@
 
 
 def reset(connection):
-    """Breaks a connection off so that the other side sees it."""
+    """Closes a connection with a TCP reset."""
     try:
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         connection.close()
     except OSError:
-        pass  # it has ended already
+        pass  # already closed
 
 
 class BackEnd:
     """A server of one service; engines have models."""
 
     def __init__(self, layout, service, index, history, models=(), port=0, name=""):
-        """`name`: of a former life that it starts again under."""
+        """`name`: instance name of an earlier incarnation, to restart under it."""
         self._layout = layout
         self.instance = name or f"i-{service}-{index}-{random.randrange(1 << 32):08x}"
         self._born = int(time.time() * 1000)
@@ -92,14 +92,14 @@
         handler = type("Handler", (Handler,), {"back_end": self})
         self._server = listen(port, handler)
         self._server.daemon_threads = True
-        # A caller that goes in the middle of an answer is nothing to tell.
+        # Callers may disconnect during a response: print no error.
         self._server.handle_error = lambda request, address: None
         self.address = f"127.0.0.1:{self._server.server_address[1]}"
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
         threading.Thread(target=self._beat, daemon=True).start()
 
     def report(self):
-        """A heartbeat; the machine that acknowledged it, or 0."""
+        """Sends a heartbeat; the machine that acknowledged it, or 0."""
         self._sequence += 1
         body = {
             "service": self.service, "addr": self.address, "zone": self._zone, "version": "v1",
@@ -112,11 +112,11 @@
 
     @property
     def born(self):
-        """When its life began, by its own clock."""
+        """Start time of this incarnation by its own clock, in milliseconds since 1970."""
         return self._born
 
     def models(self):
-        """What it holds, as reports tell it."""
+        """The loaded models in the format of the reports."""
         return [{"name": name, "version": version, "adapters": []}
                 for name, version in self.versions.items()]
 
@@ -130,7 +130,7 @@
             time.sleep(HEARTBEAT)
 
     def leave(self):
-        """Drains, serves on for a while, and ends."""
+        """Drains, keeps serving for KEEP_SERVING, deregisters and ends."""
         self.state = "draining"
         time.sleep(HEARTBEAT + KEEP_SERVING)
         call_control(self._layout.machines, f"/v1/Instances.Deregister/{self.instance}", {})
@@ -138,21 +138,21 @@
         self.crash()
 
     def crash(self):
-        """Ends without a word; connections that callers keep end with it."""
+        """Ends without deregistering, and closes the callers' connections."""
         self.stopped = True
         self._server.shutdown()
         self._server.server_close()
         with self._connections_lock:
             for connection in self._connections:
                 try:
-                    # Wakes its thread, which resets it: an end in order would say that what was
-                    # sent without a length is whole.
+                    # Wakes the connection's thread, which resets it: after a normal close, a body
+                    # sent without a length would count as complete.
                     connection.shutdown(socket.SHUT_RD)
                 except OSError:
-                    pass  # it has ended already
+                    pass  # already closed
 
     def note_connection(self, connection, is_open):
-        """A caller's connection opened or ended."""
+        """Adds or removes a caller's connection."""
         with self._connections_lock:
             if is_open:
                 self._connections.add(connection)
@@ -161,7 +161,7 @@
 
 
 def listen(port, handler):
-    """A server at `port`, or at any other if that one stays taken."""
+    """A server at `port`, or at any free port if that one stays in use."""
     until = now() + BIND_PATIENCE
     while True:
         try:
@@ -179,10 +179,10 @@
     back_end = None
 
     def log_message(self, format, *args):  # pylint: disable=redefined-builtin
-        """Requests are noted in the history instead."""
+        """Does nothing: requests are recorded in the history."""
 
     def do_GET(self):
-        """Health, reports and plain requests."""
+        """Serves health checks, reports and plain requests."""
         if self.path == "/v1/report":
             return self._report()
         if self.path == "/healthz":
@@ -190,18 +190,18 @@
         return self._serve()
 
     def do_POST(self):
-        """Orders, items and plain requests."""
+        """Serves orders, job items and plain requests."""
         if self.path == "/v1/order":
             return self._order()
         return self._serve()
 
     def setup(self):
-        """A caller has connected."""
+        """Registers the connection with the back end."""
         super().setup()
         self.back_end.note_connection(self.connection, True)
 
     def finish(self):
-        """Connections that were reset have nothing to flush."""
+        """Unregisters the connection; ignores errors of flushing one that was reset."""
         self.back_end.note_connection(self.connection, False)
         if self.back_end.stopped:
             reset(self.connection)
@@ -275,7 +275,7 @@
             own._slots.release()
 
     def _reset(self):
-        """Breaks the connection off: what has no length ends in order only if it is whole."""
+        """Resets the connection: a normal close would mark a body without a length as complete."""
         reset(self.connection)
 
     def _crash(self, request):
@@ -293,7 +293,7 @@
             return self._reset()
         luck = random.random()
         if luck < self.back_end.faulty:
-            # It ran, and its answer is lost.
+            # The request ran, but its response is lost.
             self.close_connection = True
             return
         if luck < 2 * self.back_end.faulty:
@@ -326,11 +326,11 @@
             try:
                 self.wfile.write(lines.encode())
             except OSError:
-                return  # the caller has gone: the work ends
+                return  # the caller has disconnected: stop working
 
 
 class Rack:
-    """The back ends of all services; lives in the process of the board."""
+    """The back ends of all services; runs in the process that BackEndBoard starts."""
 
     def __init__(self, layout, counts, seed):
         random.seed(seed)
@@ -356,7 +356,7 @@
         self.instances.add(new.instance)
 
     def _crash_and_return(self, gone):
-        """It ends by a request; another life begins at its address."""
+        """Crashes a back end on a request and starts another incarnation at its address."""
         with self._lock:
             if gone not in self._present or gone.stopped:
                 return
@@ -368,14 +368,14 @@
             time.sleep(BACK_AFTER)
             port = int(gone.address.rsplit(":", 1)[1])
             with self._lock:
-                # Half of them start again under the name that they had.
+                # Half of them restart under their earlier name.
                 name = gone.instance if random.random() < 0.5 else ""
                 self._add(gone.service, gone.versions, gone.index, port, name)
 
         threading.Thread(target=come_back, daemon=True).start()
 
     def _take_one(self):
-        """One that is to go, and its successor, which is there before."""
+        """Chooses and removes a back end that is to end, after adding its successor."""
         with self._lock:
             gone = random.choice(self._present)
             self._present.remove(gone)
@@ -383,13 +383,13 @@
             return gone
 
     def crash(self):
-        """One is gone without a word, another comes."""
+        """Crashes one back end; its successor is already there."""
         gone = self._take_one()
         gone.crash()
         return gone.instance
 
     def refuse(self):
-        """All of one service refuse for a moment."""
+        """Has all back ends of one service refuse requests for REFUSES_FOR."""
         with self._lock:
             for back_end in self._present:
                 if back_end.service == "shop":
@@ -397,7 +397,7 @@
         return "shop"
 
     def replace(self):
-        """A new one comes, an old one drains and leaves."""
+        """Starts a new back end; an old one drains and deregisters."""
         leaving = self._take_one()
         time.sleep(1.5)
         leaving.leave()
@@ -423,10 +423,10 @@
 
 
 class BackEndBoard:
-    """The back ends, in a process of their own: their work takes no time from the callers."""
+    """Runs the back ends in a separate process, so that they don't slow the callers down."""
 
     def __init__(self, layout, counts, seed):
-        """`counts`: how many there are of each service."""
+        """`counts`: number of back ends of each service."""
         self._pipe, far = multiprocessing.Pipe()
         self._process = multiprocessing.Process(target=_serve, args=(far, layout, counts, seed),
                                                 daemon=True)
@@ -438,7 +438,7 @@
         self._pipe.recv()
 
     def play(self, what):
-        """Has one `crash` or be `replace`d, or some `refuse`, to the end; which."""
+        """Runs `crash`, `replace` or `refuse` to its end; the instance or service affected."""
         with self._lock:
             self._number += 1
             number = self._number
@@ -453,7 +453,7 @@
             time.sleep(0.05)
 
     def end(self, history):
-        """Adds what the back ends saw to `history`; all instances that there were."""
+        """Ends the process, adds its records to `history`; returns the ids of all instances."""
         with self._lock:
             self._pipe.send((0, "end"))
             while True:
@@ -466,5 +466,5 @@
         return second
 
     def stop(self):
-        """Ends the process, whatever it does."""
+        """Terminates the process without collecting its records."""
         self._process.terminate()
