--- a/test/soak/callers.py
+++ b/test/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the system: clients, the operators and a trainer."""
+"""Callers of the service: clients, an operator and a trainer."""
 
 import base64
 import http.client
@@ -18,18 +18,18 @@
 GROUPS, GROUP_SIZE, WANTED = 4, 3, 3
 STEP_TIME = 4.0
 STEP_DEADLINE = 12.0
-# A call of an operator without an answer by then goes to another node.
+# Timeout of an operator's call, after which it is sent to another node, in seconds.
 OPERATOR_PATIENCE = 1.0
 READ_PAUSE = 0.15
 
 
 def new_id():
-    """An identifier nobody else has."""
+    """A random identifier for a request, job or item."""
     return f"{random.randrange(1 << 64):016x}"
 
 
 def exchange(machine, method, path, body=None, headers=None, timeout=2.0):
-    """One call on a connection of its own: status, headers, body; OSError if no answer came."""
+    """Sends one request on a new connection; status, headers, body. OSError without a response."""
     connection = http.client.HTTPConnection(ip_of(machine), SERVICE, timeout=timeout)
     try:
         return exchange_on(connection, method, path, body, headers)
@@ -38,7 +38,7 @@
 
 
 def exchange_on(connection, method, path, body=None, headers=None):
-    """One call on a connection that is kept; OSError if no answer came."""
+    """Sends one request on an open connection, like `exchange`."""
     try:
         connection.request(method, path, body, headers or {})
         answer = connection.getresponse()
@@ -49,8 +49,8 @@
 
 
 class Client:
-    """Sends requests all the time; sends those that may be repeated again. Stays on a connection
-    until its process is gone, or now and then draws another gateway."""
+    """Sends requests continuously; retries idempotent ones and those that did not run. Keeps its
+    connection until a request fails on it, and sometimes changes the gateway."""
 
     ROUTES = ("/pages/", "/book/", MOVED_ROUTE)
     MOVES = 0.02
@@ -98,8 +98,8 @@
 
 
 class CrashingCaller:
-    """Sends a request that crashes the back ends that run it, again and again, to any gateway; each
-    time once more to another one when it gets no answer."""
+    """Repeatedly sends a request that crashes the back ends that run it, each time twice, to random
+    gateways."""
 
     PAUSE = (0.3, 1.2)
 
@@ -124,12 +124,12 @@
         try:
             exchange(machine, "GET", self._target, None, headers, DEADLINE)
         except OSError:
-            pass  # it is asked for again
+            pass  # sent again by `_run`
 
 
 class Operator:
-    """Changes the configuration now and then, and reads it back at any node. Sends what was
-    acknowledged again, invalid documents, and at times two documents at once to different nodes."""
+    """Changes the configuration periodically and reads it back at random nodes. Also resends
+    documents, sends invalid ones, and sometimes sends two documents concurrently."""
 
     def __init__(self, layout, history, pause):
         self._layout = layout
@@ -141,12 +141,12 @@
         self._sent = {}
 
     def start(self):
-        """Goes on in threads of its own."""
+        """Starts the threads that change and read the configuration."""
         threading.Thread(target=self._change, daemon=True).start()
         threading.Thread(target=self._read, daemon=True).start()
 
     def _post(self, text):
-        """Sends a document once: the status, 0 for no answer, and the machine."""
+        """Sends a document once; the status (0 without a response), the machine and the body."""
         machine = random.choice(self._layout.machines)
         try:
             status, _, body = exchange(machine, "POST", "/v1/Config.Replace", text,
@@ -156,8 +156,8 @@
             return 0, machine, ""
 
     def _send(self, version, text, limit, allowed=(200,)):
-        """Sends a document until there is a clear answer, for `limit` seconds at most: whether it
-        was acknowledged."""
+        """Sends a document until it is accepted or rejected, for at most `limit` seconds; whether
+        it was acknowledged."""
         sent = now()
         while now() < sent + limit and not self.stopped:
             status, machine, body = self._post(text)
@@ -170,7 +170,7 @@
         return False
 
     def _draw(self, count=1):
-        """The next versions and their documents, noted as sent."""
+        """The next versions and their documents, recorded as sent."""
         drawn = []
         with self._lock:
             for _ in range(count):
@@ -182,12 +182,12 @@
         return drawn
 
     def replace(self):
-        """Sends the next document until it is acknowledged, for 20 s at most; whether it was."""
+        """Sends the next document like `_send`; whether it was acknowledged."""
         version, text = self._draw()[0]
         return self._send(version, text, 20)
 
     def _race(self):
-        """Two documents at once; by chance of the same version with different content."""
+        """Sends two documents concurrently, half the time with the same version number."""
         version, text = self._draw()[0]
         other_version, other, allowed = version, text, (200, 409)
         if random.random() < 0.5:
@@ -204,7 +204,7 @@
             thread.join()
 
     def _send_flawed(self):
-        """An invalid document above all others; no node may take it."""
+        """Sends an invalid document with the next version number; no node may accept it."""
         with self._lock:
             version = self.version + 1
         flaw = random.choice(FLAWS)
@@ -214,7 +214,7 @@
                                            now(), body))
 
     def _send_again(self):
-        """What was acknowledged last, once more, and at times an older one."""
+        """Sends the newest document again."""
         with self._lock:
             version = random.choice([self.version, max(self._sent)])
             text = self._sent[version][0]
@@ -244,7 +244,7 @@
             self.read_back()
 
     def read_back(self):
-        """Reads the configuration once; whether it came."""
+        """Reads the configuration once; whether that succeeded."""
         sent = now()
         machine = random.choice(self._layout.machines)
         try:
@@ -258,12 +258,12 @@
         return True
 
     def contents(self, version):
-        """What was sent under a version; two at a race."""
+        """The documents sent under a version; two after a race."""
         return self._sent.get(version, [])
 
 
 class Step:
-    """A batch job of the trainer and what was read of it."""
+    """A batch job of the trainer, for one training step."""
 
     def __init__(self, number):
         self.number = number
@@ -275,19 +275,20 @@
 
 
 class Trainer:
-    """Asks for a step, waits for most of its groups, names the next version."""
+    """Submits a job for each step, waits until WANTED groups are complete, announces the next
+    weight version."""
 
     def __init__(self, layout, history):
         self._layout = layout
         self._history = history
         self.steps = []
-        # Identifiers of all calls that score texts.
+        # Request ids of all calls that score texts.
         self.scorings = set()
         self.stopped = False
         self.ended = threading.Event()
 
     def start(self):
-        """Goes on in a thread of its own."""
+        """Starts the trainer's thread."""
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self):
@@ -317,7 +318,7 @@
             for _ in range(GROUP_SIZE):
                 item, scorer = new_id(), new_id()
                 self.scorings.add(scorer)
-                # A few run far longer than the rest.
+                # Some items run far longer than the others.
                 events = random.choice((5, 10, 20, 80))
                 step.items[item] = (f"{step.job}-{group}", events)
                 body = json.dumps({"model": MODEL, "events": events}).encode()
@@ -341,7 +342,7 @@
         return False
 
     def read(self, step, after=0):
-        """Results of a step from a position on, noted; nothing if no node answers."""
+        """Reads and records the results of a step from position `after` on; none on failure."""
         machine = random.choice(self._layout.gateways)
         try:
             status, _, body = exchange(machine, "GET", f"/v1/lots/{step.job}?since_rev={after}",
@@ -361,7 +362,7 @@
         seen = {}
         until = now() + STEP_DEADLINE
         while now() < until:
-            # Now and then from an earlier position, as inspectors do.
+            # Sometimes from the start, as inspectors do.
             after = random.choice((len(seen), len(seen), 0))
             for offset, result in enumerate(self.read(step, after) or ()):
                 seen[after + offset] = result["id"]
