--- a/test/soak/clocks.py
+++ b/test/soak/clocks.py
@@ -1,5 +1,5 @@
-"""Clocks of machines, shifted from outside: the time of day, and the steady clock, which stands while
-a machine is suspended. The processes are started with a library that reads the shift from a file."""
+"""Shifts the clocks of machines: the time of day, and the steady clock, which stops while a machine
+is suspended. Processes are started with a library that reads the shifts from a file."""
 
 import os
 import struct
@@ -9,7 +9,7 @@
 
 
 class Clocks:
-    """One file a machine: what is added to its time of day and to its steady clock."""
+    """One file per machine, with the shifts of its time of day and its steady clock."""
 
     def __init__(self, library, folder, machines):
         self.library = library
@@ -20,7 +20,7 @@
                 self._write(machine)
 
     def environment(self, machine):
-        """Of a process of the machine."""
+        """Environment variables for the processes of a machine."""
         variables = dict(os.environ)
         if self.library:
             variables[LIBRARY_VARIABLE] = self.library
@@ -28,12 +28,12 @@
         return variables
 
     def set_time_of_day(self, machine, ahead):
-        """The machine's time of day is `ahead` seconds off."""
+        """Shifts the machine's time of day by `ahead` seconds from the real one."""
         self._shifts[machine][0] = ahead
         self._write(machine)
 
     def hold_steady(self, machine, seconds):
-        """The machine's steady clock has stood for `seconds` more."""
+        """Sets the machine's steady clock back by `seconds`, as if it had stopped for that long."""
         self._shifts[machine][1] -= seconds
         self._write(machine)
 
