--- a/test/soak/documents.py
+++ b/test/soak/documents.py
@@ -1,8 +1,8 @@
-"""The operator's routing documents: what each version holds is a function of its number alone, so
-that every part of a soak knows what a version allows without being told.
+"""The operator's routing documents. The content of a version is a function of its number, so that
+every part of a soak can compute what a version allows.
 
-Each version adds the route of its own number, moves one that came three versions earlier to the
-other service, and drops the one that came six earlier. One route is moved by each version.
+Each version adds the route of its own number, moves the one added three versions earlier to the
+other service, and drops the one added six versions earlier. MOVED_ROUTE moves with each version.
 """
 
 import json
@@ -16,7 +16,7 @@
 ADDED_KEPT = 6
 ADDED_MOVES_AFTER = 3
 FLAWS = ("no-limit", "unknown-service", "twice", "no-weight", "cut-short")
-# What callers and back ends exchange is small.
+# Requests and responses of the soak are small.
 LIMITS = {"max_header_bytes": 16384, "max_body_bytes": 1048576, "header_timeout_ms": 3000,
           "idle_timeout_ms": 15000}
 
@@ -27,12 +27,12 @@
 
 
 def flawed_route(version):
-    """Prefix of a route that stands in invalid documents alone."""
+    """Prefix of a route that only invalid documents have."""
     return f"/flawed-{version}/"
 
 
 def moved_service(version):
-    """The service that takes the moved route under a version."""
+    """The service of the moved route under a version."""
     return SERVICES[version % 2]
 
 
@@ -42,14 +42,14 @@
 
 
 def added_service(number, version):
-    """The service of the route of version `number` under `version`; nothing if it isn't there."""
+    """The service of the route of version `number` under `version`; none without such a route."""
     if not 0 < number <= version < number + ADDED_KEPT:
         return None
     return SERVICES[(number + (version >= number + ADDED_MOVES_AFTER)) % 2]
 
 
 def service_of(prefix, version):
-    """The service that a version sends requests under a prefix to; nothing if no route leads on."""
+    """The service that a version routes a prefix to; none without such a route."""
     if prefix == "/pages/":
         return "pages"
     if prefix == "/book/":
@@ -69,7 +69,7 @@
 
 
 def routing_document(version, priority=2):
-    """The document of a version; `priority` makes another content under the same number."""
+    """The document of a version; `priority` gives other content under the same number."""
     routes = [
         _route("pages", "/pages/", "safe", "pages"),
         _route("book", "/book/", "unsafe", "shop"),
@@ -94,7 +94,7 @@
 
 
 def flawed_text(version, flaw):
-    """An invalid document, as it is sent."""
+    """The text of an invalid document."""
     document = routing_document(version)
     flawed = _route("flawed", flawed_route(version), "safe", "pages")
     document["routes"].append(flawed)
