--- a/test/soak/history.py
+++ b/test/soak/history.py
@@ -1,4 +1,4 @@
-"""What callers and back ends of a soak saw, with monotonic times in seconds."""
+"""Records of what callers and back ends of a soak observed, with monotonic times in seconds."""
 
 import dataclasses
 import threading
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass
 class Call:
-    """One request of a caller and its end; status 0 is none."""
+    """One request of a caller and its result; status 0 means no response."""
 
     request: str
     route: str
@@ -35,7 +35,7 @@
 
     @property
     def machine(self):
-        """Number of the gateway's machine."""
+        """Machine number of the gateway."""
         return int(self.gateway.rsplit(".", 1)[1])
 
 
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass
 class CrashingRun:
-    """A back end began to run such a request, and ended by it if nothing else ended it before."""
+    """A back end began to run such a request; `ended` if it crashed by this one."""
 
     request: str
     target: str
@@ -62,17 +62,17 @@
 
 @dataclasses.dataclass
 class Acknowledged:
-    """A routing document or the leaving of a back end, and when it was first acknowledged."""
+    """Acknowledgment of a routing document or of the draining of a back end."""
 
     name: str
     sent: float
     at: float
-    # Of the machine that acknowledged it; 0 is not known.
+    # Machine that acknowledged it; 0 if unknown.
     machine: int = 0
 
     @property
     def version(self):
-        """Of a routing document; 0 is none."""
+        """Version of the routing document; 0 for a back end."""
         kind, number = self.name.split()
         return int(number) if kind == "version" else 0
 
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass
 class OperatorCall:
-    """A call of the operator that has one right answer, or a few."""
+    """A call of the operator, with the response statuses that are allowed."""
 
     what: str
     status: int
@@ -108,7 +108,7 @@
 
 @dataclasses.dataclass
 class Proof:
-    """A gateway said whether its routes are proven fresh."""
+    """A gateway's report whether its configuration is confirmed."""
 
     machine: int
     asked: float
@@ -118,7 +118,7 @@
 
 @dataclasses.dataclass
 class Span:
-    """A fault, or planned work, on machines: from its first act until its last was undone."""
+    """A fault, or planned work, on machines: from its first operation until the last was undone."""
 
     kind: str
     machines: tuple
@@ -138,7 +138,7 @@
 
 @dataclasses.dataclass
 class Listed:
-    """A result as it was read at one position of a job."""
+    """A result as read at one position of a job."""
 
     job: str
     position: int
@@ -157,24 +157,24 @@
 
 
 class History:
-    """Grows from many threads; read once the soak is over."""
+    """Thread-safe list of records, read after the soak."""
 
     def __init__(self):
         self._lock = threading.Lock()
         self.records = []
 
     def add(self, record):
-        """Notes a record; returns it."""
+        """Adds a record and returns it."""
         with self._lock:
             self.records.append(record)
         return record
 
     def add_all(self, records):
-        """Notes what another process has noted."""
+        """Adds the records of another process."""
         with self._lock:
             self.records.extend(records)
 
     def of(self, kind):
-        """All records of one kind, in the order they came."""
+        """All records of one kind, in the order in which they were added."""
         with self._lock:
             return [record for record in self.records if isinstance(record, kind)]
