--- a/test/soak/links.py
+++ b/test/soak/links.py
@@ -1,12 +1,12 @@
-"""Forwarders between nodes, one for each direction of a pair, in a process of their own: links that
-can be cut, delayed and reset from outside, without a share in the processor time of the callers."""
+"""Forwarders between nodes, one for each direction of a pair, whose traffic can be cut, delayed and
+reset. They run in a separate process, so that they don't slow the callers down."""
 
 import asyncio
 import multiprocessing
 import threading
 
 
-# Directions of a link: from the node that opened the connection, and to it.
+# Directions of traffic: from the node that opened the connection, and to it.
 FORTH, BACK = "forth", "back"
 BOTH = frozenset((FORTH, BACK))
 
@@ -16,14 +16,14 @@
 
     def __init__(self, target):
         self.target = target
-        # Directions that are silent.
+        # Directions that pass no data.
         self.cut = frozenset()
         self.delay = 0.0
         self.port = 0
         self._writers = set()
 
     async def start(self):
-        """Listens at a free port."""
+        """Listens on a free port."""
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
         return server
@@ -47,7 +47,7 @@
     async def _pump(self, reader, writer, direction):
         try:
             while data := await reader.read(65536):
-                # What is under way waits until the link is back.
+                # Data in transit waits until the link is healed.
                 while direction in self.cut:
                     await asyncio.sleep(0.02)
                 if self.delay:
@@ -61,7 +61,7 @@
                 writer.close()
 
     def reset(self):
-        """Breaks all connections off."""
+        """Resets all connections."""
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -98,7 +98,7 @@
     """All links; owns the process that forwards."""
 
     def __init__(self, pairs):
-        """`pairs`: the address that the link of each (source, target) leads to."""
+        """`pairs`: target address of the link of each (source, target)."""
         self._pipe, far = multiprocessing.Pipe()
         self._lock = threading.Lock()
         self._process = multiprocessing.Process(target=_run, args=(far, pairs), daemon=True)
@@ -107,12 +107,12 @@
         self.ports = self._pipe.recv()
 
     def set(self, name, chosen, value=None):
-        """Sets `cut` (the silent directions) or `delay` of the chosen links, or has them `reset`."""
+        """Sets `cut` (blocked directions) or `delay` of the chosen links, or resets them."""
         with self._lock:
             self._pipe.send((name, list(chosen), value))
             self._pipe.recv()
 
     def end(self):
-        """Ends the process."""
+        """Terminates the forwarding process."""
         self._process.terminate()
         self._process.join()
