--- a/test/soak/probes.py
+++ b/test/soak/probes.py
@@ -1,6 +1,5 @@
-"""Asks every gateway directly, again and again, by routes that were just added, moved or dropped:
-the answers show which configuration is in force there. Connections are kept until the process that
-serves them is gone."""
+"""Probes every gateway periodically on routes that were just added, moved or dropped: the responses
+show which configuration is in force there. Connections are reused until one fails."""
 
 import asyncio
 import collections
@@ -12,28 +11,28 @@
 from history import Call, now
 
 PATIENCE = 2.0
-# A question that has no answer by then is not waited for before the next, so that some lie in the
-# sockets of a gateway that stands still.
+# Wait for a response before the next probe is sent, in seconds, so that some probes queue in the
+# sockets of a paused gateway.
 BESIDE_AFTER = 0.5
-# Connections kept to each gateway, used in turn: what comes over a new one is read later by a gateway
-# that wakes than what changed meanwhile.
+# Connections to each gateway, used round-robin. A resuming gateway reads requests on new connections
+# only after the changes that it missed, so probes use established ones.
 KEPT = 12
-# A gateway that missed up to so many changes is told from the others by the routes asked for.
+# Maximum number of missed changes that the probed routes detect.
 CHANGES_SEEN = 3 * ADDED_KEPT
 RECONNECT_PAUSE = 0.1
 
 
 class Prober:
-    """Lives on an event loop of its own thread."""
+    """Runs on an event loop in its own thread."""
 
     def __init__(self, layout, history, operator, pause):
-        """`pause`: between two questions to one gateway, in seconds."""
+        """`pause`: time between two probes of one gateway, in seconds."""
         self._layout = layout
         self._history = history
         self._operator = operator
         self._pause = pause
         self._random = random.Random(random.random())
-        # Under way, some of them beside later ones.
+        # Probes in flight; some overlap later ones.
         self._questions = set()
         self.stopped = False
         threading.Thread(target=lambda: asyncio.run(self._run()), daemon=True).start()
@@ -66,7 +65,7 @@
             writer.close()
 
     async def _ask_over(self, machine, kept):
-        """One question over the connection that rested longest; it is kept if it may be."""
+        """Sends a probe over the least recently used connection; keeps it if it may be reused."""
         connection = kept.popleft()
         if await self._ask(machine, *connection):
             kept.append(connection)
@@ -82,7 +81,7 @@
             return None
 
     async def _ask(self, machine, reader, writer):
-        """One question; whether the connection may be used again."""
+        """Sends one probe; returns whether the connection may be reused."""
         route = self._route()
         call = Call(f"{self._random.randrange(1 << 64):016x}", route, ip_of(machine), now())
         writer.write(f"GET {route}x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {call.request}\r\n"
