--- a/test/soak/proofs.py
+++ b/test/soak/proofs.py
@@ -1,4 +1,4 @@
-"""Reads from each gateway's metrics whether its routes are proven fresh."""
+"""Reads from each gateway's metrics whether its configuration is confirmed."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 
 
 class ProofReader:
-    """Lives on an event loop of its own thread."""
+    """Runs on an event loop in its own thread."""
 
     def __init__(self, layout, history):
         self._layout = layout
@@ -31,14 +31,14 @@
             try:
                 valid = await asyncio.wait_for(self._ask(machine), PATIENCE)
             except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError):
-                # A gateway that is down, frozen or full says nothing of its routes.
+                # A gateway that is down, paused or overloaded reports nothing.
                 continue
             if valid is not None:
                 self._history.add(Proof(machine, asked, now(), valid))
 
     @staticmethod
     async def _ask(machine):
-        """Whether the lease is valid; nothing if the page doesn't say."""
+        """Whether the lease is valid; none if the page has no such metric."""
         reader, writer = await asyncio.open_connection(ip_of(machine), HTTP)
         try:
             writer.write(b"GET /metrics HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n")
--- a/test/soak/row.py
+++ b/test/soak/row.py
@@ -5,7 +5,7 @@
 
 @dataclasses.dataclass
 class Row:
-    """What a check found."""
+    """Number of cases of a check, and its violations."""
 
     name: str
     tried: int = 0
