--- a/test/soak/shifted_clock.cc
+++ b/test/soak/shifted_clock.cc
@@ -1,7 +1,6 @@
-/// Shifts the clocks of one process by what a file says, for the soak: a library that is loaded
-/// before the C library. The file that MILLSTAIR_SHIFTED_CLOCK names holds two 64-bit integers, in
-/// nanoseconds: what is added to the time of day, and what is added to the steady clock. The clock
-/// that counts suspensions stays as it is. Without the file nothing is shifted.
+/// Preloaded library that shifts the clocks of one process, for the soak. The file that
+/// MILLSTAIR_SHIFTED_CLOCK names holds two 64-bit integers, in nanoseconds: the offsets of the time
+/// of day and of the steady clock. CLOCK_BOOTTIME is not shifted. Without the file nothing is.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <pthread.h>
@@ -29,7 +28,7 @@
   return path == nullptr ? -1 : open(path, O_RDONLY | O_CLOEXEC);
 }
 
-/// Read anew at each call, so that a step takes effect at once.
+/// Reads the file at each call, so that a change takes effect at once.
 Shift CurrentShift() {
   static const int file = OpenShiftFile();
   Shift shift;
@@ -80,7 +79,7 @@
   return now.tv_sec;
 }
 
-/// The kernel waits by its own clock, so a point in time is shifted back before it is handed on.
+/// The kernel waits by the real clock, so the deadline is converted back to it.
 int pthread_cond_clockwait(pthread_cond_t* condition, pthread_mutex_t* mutex, clockid_t clock,
                            const timespec* until) {
   using Wait = int (*)(pthread_cond_t*, pthread_mutex_t*, clockid_t, const timespec*);
