--- a/test/soak/checks_test.py
+++ b/test/soak/checks_test.py
@@ -1,4 +1,4 @@
-"""Each check of the soak finds the breach that it is for, and passes a sound history."""
+"""Tests that each check of the soak detects its violation and accepts a valid history."""
 
 import json
 import random
@@ -19,25 +19,25 @@
 from links import BACK, FORTH
 
 INSTANCES = {"i-1"}
-# Gateway 6 to 11, control nodes 1 to 5.
+# Control nodes 1 to 5, gateways 6 to 11.
 LAYOUT = Layout(stores=5, fronts=6)
-# So many control nodes that a fault of one excuses no gateway.
+# Enough control nodes that a fault of one excuses no gateway.
 LARGE = Layout(stores=13, fronts=6)
 GATEWAY = "127.0.77.14"
 
 
 class FakeOperator:
-    """Sent versions 1 and 2."""
+    """An operator that sent versions 1 and 2."""
 
     version = 2
 
     def contents(self, version):
-        """What was sent under a version."""
+        """The documents sent under a version."""
         return [json.dumps(routing_document(version))] if version in (1, 2) else []
 
 
 class FakeTrainer:
-    """One step of one item of two events."""
+    """A trainer with one step of one item of two events."""
 
     def __init__(self):
         step = Step(3)
@@ -49,7 +49,7 @@
 
 
 def history_of(*records):
-    """A history that holds `records`."""
+    """A history of `records`."""
     history = History()
     for record in records:
         history.add(record)
@@ -57,7 +57,7 @@
 
 
 def answered(request, status=200, route="/book/", body=None, stamp=None):
-    """A call of a client and its answer."""
+    """A call of a client and its response."""
     own = f"{request} {route}x"
     return Call(request, route, GATEWAY, 10.0, status, stamp or stamp_of("i-1", request),
                 body or own, 10.2)
@@ -71,7 +71,7 @@
 
 
 class FakeClocks:
-    """Notes how far each machine's time of day is off."""
+    """Records the shift of each machine's time of day."""
 
     library = "library"
 
@@ -79,12 +79,12 @@
         self.off = {}
 
     def set_time_of_day(self, machine, ahead):
-        """It jumps."""
+        """Records the shift."""
         self.off[machine] = ahead
 
 
 class FakeFleet:
-    """Notes whose processes are killed or stopped."""
+    """Records the machines whose processes are killed or stopped."""
 
     layout = LARGE
 
@@ -93,27 +93,27 @@
         self.clocks = FakeClocks()
 
     def on_machine(self, machine):
-        """One node of each machine."""
+        """One node per machine."""
         return [machine]
 
     def kill(self, nodes):
-        """They are gone."""
+        """Records the machines."""
         self.struck.update(nodes)
 
     def stop_in_order(self, nodes):
-        """They end in order."""
+        """Records the machines; no exit codes."""
         self.struck.update(nodes)
         return [0]
 
     def start_node(self, node):
-        """They come back."""
+        """Does nothing."""
 
 
 class FaultsTest(unittest.TestCase):
-    """Faults strike the machines that they are for."""
+    """Faults affect only the intended machines."""
 
     def struck_by(self, name):
-        """The machines struck by many plays of one kind, and the most at a time."""
+        """The machines affected by many runs of one fault, and the maximum per run."""
         random.seed(1)
         struck, most = set(), 0
         for _ in range(60):
@@ -126,7 +126,7 @@
         return struck, most
 
     def test_one_machine(self):
-        """One machine of either class at a time."""
+        """One machine at a time, storage machines and gateways."""
         for name in ("kill", "stop"):
             struck, most = self.struck_by(name)
             self.assertEqual(most, 1, name)
@@ -134,7 +134,7 @@
             self.assertTrue(struck & set(LARGE.gateways), name)
 
     def test_clocks_are_right_in_the_end(self):
-        """A clock that jumps goes back, also where machines start in between."""
+        """A stepped clock is reset at the end, also with restarts in between."""
         random.seed(1)
         started = 0
         for name in ("step_clock", "restart_across_step"):
@@ -149,14 +149,14 @@
         self.assertGreater(started, 0)
 
     def test_several_gateways(self):
-        """Gateways alone, as many as may be struck."""
+        """Only gateways, up to the limit."""
         for name in ("kill_gateways", "stop_several"):
             struck, _ = self.struck_by(name)
             self.assertTrue(struck <= set(LARGE.gateways), name)
 
 
 class CutTest(unittest.TestCase):
-    """Cuts that overlap."""
+    """One-way and overlapping cuts."""
 
     def setUp(self):
         self.silent = {}
@@ -170,7 +170,7 @@
         self.opened_by_control = (control.name, gateway.name)
 
     def test_one_way(self):
-        """A machine that is not heard, by whichever end a connection was opened."""
+        """Traffic from a machine is dropped, whichever end opened the connection."""
         cut = self.fleet.cut_one_way(2, heard=False)
         self.assertEqual(self.silent[self.opened_by_gateway], {FORTH})
         self.assertEqual(self.silent[self.opened_by_control], {BACK})
@@ -178,7 +178,7 @@
         self.assertEqual(self.silent[self.opened_by_gateway], set())
 
     def test_overlapping(self):
-        """What another cut holds stays silent."""
+        """Directions that another cut covers stay cut."""
         whole = self.fleet.cut((2,))
         one_way = self.fleet.cut_one_way(1, heard=False)
         self.fleet.heal(whole)
@@ -189,16 +189,16 @@
 
 
 class ProofTest(unittest.TestCase):
-    """A gateway in touch holds a proof."""
+    """A connected gateway has a confirmed configuration."""
 
     def judged(self, *spans):
-        """How many cases were tried and broken of a gateway without a proof at 20 s."""
+        """Cases and violations for a gateway without a confirmation at 20 s."""
         history = history_of(Proof(14, 20.0, 20.1, False), *spans)
         row = routing_checks.check_proven(history, routing_checks.Touch(history, LARGE))
         return row.tried, len(row.broken)
 
     def test_without_a_proof(self):
-        """Broken, unless the gateway or most control nodes were struck."""
+        """A violation, unless the gateway or all control nodes had a fault."""
         self.assertEqual(self.judged(), (1, 1))
         self.assertEqual(self.judged(Span("kill", (3,), 18.0, 19.0)), (1, 1))
         self.assertEqual(self.judged(Span("step_clock", (14,), 18.0, 19.0)), (0, 0))
@@ -206,10 +206,10 @@
 
 
 class SubnetTest(unittest.TestCase):
-    """Runs side by side."""
+    """Concurrent runs."""
 
     def test_claims(self):
-        """A subnet is claimed once, and again when it was given back."""
+        """A subnet is claimed only once until it is released."""
         first = claim_subnet(1000)
         self.assertIsNone(claim_subnet(1000))
         first.close()
@@ -219,20 +219,20 @@
 
 
 class ChecksTest(unittest.TestCase):
-    """Sound and broken histories."""
+    """Valid histories, and histories with a violation."""
 
     def expect(self, row, tried, broken):
-        """Counts of a row."""
+        """Compares the counts of a row."""
         self.assertEqual((row.tried, len(row.broken)), (tried, broken), row)
 
     def test_answers(self):
-        """Another request's body, a signature of nobody."""
+        """The body of another request; an unknown signature."""
         history = history_of(answered("a"), answered("b", body="a /book/x"),
                              answered("c", stamp="forged"), answered("d", status=503))
         self.expect(checks.check_answers(history, INSTANCES), 3, 2)
 
     def test_at_most_once(self):
-        """Run twice; refused although it ran."""
+        """A request that ran twice; one reported as not run that did run."""
         runs = [Run("a", "shop", "i-1", 10.1), Run("a", "shop", "i-1", 10.2),
                 Run("b", "shop", "i-1", 10.1)]
         history = history_of(*runs, answered("a"), answered("b", status=503),
@@ -249,7 +249,7 @@
                                              routing_checks.Touch(history, layout))
 
     def test_documents(self):
-        """A version holds what its number says, and a flaw makes it another document."""
+        """The content of a version follows from its number; each flaw changes the document."""
         for version in (1, 2, 9):
             document = routing_document(version)
             routes = {route["path_prefix"]: route["service"] for route in document["routes"]}
@@ -264,30 +264,30 @@
                           flawed_text(5, flaw))
 
     def test_routes_in_force(self):
-        """By the service of an older document only, long after the newer was acknowledged."""
+        """Served by the service of an older document long after the newer was acknowledged."""
         call = answered("a", route="/moved/")
         for version, broken in ((2, 0), (1, 1)):
             run = Run("a", moved_service(version), "i-1", 10.1)
             self.expect(self.in_force(call, run), 1, broken)
 
     def test_added_route_in_force(self):
-        """Not found although the newer document has it, or found."""
+        """A route of the newer document is not found, or found."""
         found = answered("a", route=added_route(2))
         missing = answered("a", 404, added_route(2))
         self.expect(self.in_force(found, Run("a", added_service(2, 2), "i-1", 10.1)), 1, 0)
         self.expect(self.in_force(missing), 1, 1)
-        # A refusal says nothing of routes.
+        # A refusal gives no information about routes.
         self.expect(self.in_force(answered("a", 503, added_route(2))), 0, 0)
 
     def test_what_excuses_a_gateway(self):
-        """A fault of its own within the time of contact; of control nodes where they are few, or
-        where it struck the one that acknowledged. A majority that goes on binds it later."""
+        """A fault of the gateway within CONTACT; a fault of a control node if there are few, or if
+        it acknowledged the version. Later, a running majority must use it again."""
         call, run = answered("a", route="/moved/"), Run("a", moved_service(1), "i-1", 10.1)
         def struck(machine, over, kind="freeze"):
             return Span(kind, (machine,), over - 1.0, over)
         self.expect(self.in_force(call, run, struck(14, 7.5, "cut")), 0, 0)
         self.expect(self.in_force(call, run, struck(14, 6.5, "cut")), 1, 1)
-        # One that wakes knows that it may be behind.
+        # A resuming gateway knows that its configuration may be outdated.
         for kind in ("freeze", "suspend", "stand_still"):
             self.expect(self.in_force(call, run, struck(14, 9.9, kind)), 1, 1)
         self.expect(self.in_force(call, run, struck(15, 9.5)), 1, 1)
@@ -301,13 +301,13 @@
         self.expect(self.in_force(call, run, struck(1, 9.5, "kill_all")), 0, 0)
 
     def test_a_long_cut(self):
-        """While the control nodes stay cut in two the majority binds; not just after the cut."""
+        """During a partition the majority's version must be used, except just after its start."""
         call, run = answered("a", route="/moved/"), Run("a", moved_service(1), "i-1", 10.1)
         self.expect(self.in_force(call, run, Span("cut_in_two", (1, 2), 5.0, 20.0)), 1, 1)
         self.expect(self.in_force(call, run, Span("cut_in_two", (1, 2), 7.0, 20.0)), 1, 0)
 
     def test_never_back(self):
-        """By an older document after a newer; another life may know the older alone."""
+        """An older document is used after a newer one; allowed in a new incarnation."""
         newer, older = answered("a", route="/moved/"), answered("b", route="/moved/")
         newer.sent, newer.ended = 2.6, 2.9
         older.sent = 3.3
@@ -320,13 +320,13 @@
         self.expect(check(Started(14, "gateway", 3.0)), 2, 0)
 
     def test_stopping(self):
-        """A gateway that was told to stop long ago and still serves is judged."""
+        """A gateway that still serves long after its stop began is checked."""
         call, run = answered("a", route="/moved/"), Run("a", moved_service(1), "i-1", 10.1)
         self.expect(self.in_force(call, run, Span("stop", (14,), 7.0, 12.0)), 0, 0)
         self.expect(self.in_force(call, run, Span("stop", (14,), 5.0, 12.0)), 1, 1)
 
     def test_scorings(self):
-        """Scored by the service of an older document; not judged near a fault of its machines."""
+        """Scored by the service of an older document; not checked near a fault of the machines."""
         acknowledged = [Sent(4, "", 2.5), Acknowledged("version 4", 2.5, 3.0, 1)]
         def check(service, *records):
             history = two_versions(*acknowledged, Run("s", service, "i-1", 10.0), *records)
@@ -337,13 +337,13 @@
         self.expect(check(score_service(3), Span("freeze", (5,), 8.0, 9.0)), 0, 0)
 
     def test_invalid(self):
-        """A route of an invalid document was served."""
+        """A route of an invalid document is served."""
         calls = [answered("a", route=flawed_route(3)), answered("b", 404, flawed_route(3))]
         self.expect(routing_checks.check_invalid(
             history_of(*calls, Run("a", "pages", "i-1", 10.1))), 2, 1)
 
     def test_denied(self):
-        """A proper request was turned away as wrong."""
+        """A valid request is rejected as invalid."""
         calls = [answered(str(status), status, "/pages/") for status in (200, 404, 400, 429, 503)]
         self.expect(routing_checks.check_denied(history_of(*calls)), 5, 2)
 
@@ -362,12 +362,12 @@
             self.expect(row, 1, broken)
 
     def test_operator(self):
-        """An answer that is none of the right ones."""
+        """A response that is not allowed."""
         calls = [OperatorCall("again 1", status, (200, 503), 1.0) for status in (200, 503, 409)]
         self.expect(routing_checks.check_operator(history_of(*calls)), 3, 1)
 
     def test_configuration_read_back(self):
-        """Older than what was acknowledged; other content under the same number."""
+        """An older version than acknowledged; other content under the same number."""
         history = two_versions(
             ReadBack(2, json.dumps(routing_document(2)), 10.0),
             ReadBack(1, json.dumps(routing_document(1)), 10.0),
@@ -376,21 +376,21 @@
                                                    routing_checks.Versions(history)), 3, 2)
 
     def test_leaving(self):
-        """Work after the bound; work within it is none; items are judged without a gateway."""
+        """Work after the bound is a violation, work within it is not; items need no gateway."""
         history = history_of(Acknowledged("leaving i-1", 1.0, 2.0), Run("a", "pages", "i-1", 3.9),
                              Run("b", "pages", "i-1", 4.1), Run("c", "pages", "i-2", 9.0),
                              answered("b"))
         self.expect(checks.check_leaving(history, LAYOUT), 2, 1)
-        # One that stood still can tell by its clock that back ends may have left.
+        # A paused gateway can detect by its clock that back ends may have left.
         history.add(Span("freeze", (14,), 3.0, 4.0))
         self.expect(checks.check_leaving(history, LAYOUT), 2, 1)
         history.add(Span("cut", (14,), 3.0, 4.0))
         self.expect(checks.check_leaving(history, LAYOUT), 1, 0)
 
     def test_results(self):
-        """Another result at a position; a text that is not whole; weights that are too old.
+        """A changed result at a position; an incomplete text; weights that are too old.
 
-        The check that no item stands at two positions counts as a case of its own.
+        The check that no item has two positions counts as one more case.
         """
         sound = ("item", "done", "item-1\nitem-2", (3,), "score")
         trainer = FakeTrainer()
@@ -408,7 +408,7 @@
             self.expect(whole, 1, 1)
 
     def test_orders(self):
-        """Turns within the lease; a fence that falls; one fence of two holders."""
+        """A change of holder within the lease; a decreasing fence; one fence of two holders."""
         first = Order("i-1", "n1", 5, 10.0)
         for second, broken in ((Order("i-1", "n1", 5, 11.0), 0), (Order("i-1", "n2", 6, 13.5), 0),
                                (Order("i-1", "n2", 6, 12.0), 1), (Order("i-1", "n2", 5, 20.0), 1),
@@ -416,14 +416,14 @@
             self.expect(checks.check_orders(history_of(first, second)), 1, broken)
 
     def test_orders_after_a_thaw(self):
-        """An order right after its sender thawed is not its fault."""
+        """An order right after a pause is not checked."""
         orders = [Order("i-1", "n1", 5, 10.0), Order("i-1", "n2", 6, 10.5)]
         self.expect(checks.check_orders(history_of(*orders)), 1, 1)
         thawed = Span("freeze", (2,), 8.0, 10.4)
         self.expect(checks.check_orders(history_of(*orders, thawed)), 0, 0)
 
     def test_crashing(self):
-        """A fourth send, CONTACT after the third back end ended; proper requests withheld."""
+        """Too many sends after CONTACT from the third crash; valid requests withheld."""
         history = history_of(CrashingCall("early", "/c", 6, 1.0), CrashingCall("late", "/c", 6, 9.0))
         for at in (1.0, 2.0, 3.0):
             history.add(CrashingRun("early", "/c", "i-1", at, True))
@@ -441,7 +441,7 @@
         self.expect(checks.check_crashing(history, LAYOUT)[1], 1, 1)
 
     def test_service(self):
-        """Too few requests served after the faults; no step whole."""
+        """Too few requests served after the faults; no step completed."""
         trainer = FakeTrainer()
         self.expect(checks.check_service(history_of(answered("a")), trainer, 5.0), 2, 0)
         refused = [answered(str(number), status=503) for number in range(9)]
