--- a/test/soak/fleet.py
+++ b/test/soak/fleet.py
@@ -75,6 +75,7 @@
 
 
 def ip_of(machine):
+    """Loopback address of a machine."""
     return f"127.0.{SUBNET}.{machine}"
 
 
@@ -240,9 +241,11 @@
             seeds_port=CONTROL_PEER, peer=node.peer, http=f"{ip}:{port}")
 
     def data_folder(self, node):
+        """Data folder of a node."""
         return os.path.join(self.folder, f"data-{node.role}-{node.machine}")
 
     def on_machine(self, machine):
+        """The nodes of a machine."""
         return [node for node in self.nodes if node.machine == machine]
 
     def kill(self, nodes, wipe=False):
--- a/test/soak/soak.py
+++ b/test/soak/soak.py
@@ -27,6 +27,7 @@
 
 
 def parse_arguments():
+    """Parses the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--program", required=True, help="millstaird")
     parser.add_argument("--before", default="",
@@ -127,6 +128,7 @@
 
 
 def main():
+    """Runs the soak; returns the exit code."""
     arguments = parse_arguments()
     random.seed(arguments.seed)
     folder = tempfile.mkdtemp(prefix="millstair-soak.")
