--- a/test/soak/probes.py
+++ b/test/soak/probes.py
@@ -14,8 +14,8 @@
 # Wait for a response before the next probe is sent, in seconds, so that some probes queue in the
 # sockets of a paused gateway.
 BESIDE_AFTER = 0.5
-# Connections to each gateway, used round-robin. A resuming gateway reads requests on new connections
-# only after the changes that it missed, so probes use established ones.
+# Connections to each gateway, used round-robin. A resuming gateway reads requests on new
+# connections only after the changes that it missed, so probes use established ones.
 KEPT = 12
 # Maximum number of missed changes that the probed routes detect.
 CHANGES_SEEN = 3 * ADDED_KEPT
