--- a/scripts/generate_deploy.py
+++ b/scripts/generate_deploy.py
@@ -1,4 +1,4 @@
-"""Writes the deployments' files; called by scripts/generate-deploy."""
+"""Writes the files of the deployments; called by scripts/generate-deploy."""
 import os
 
 CONTROL_PEER, CONTROL_HTTP = 7100, 7180
@@ -59,7 +59,7 @@
         return f"{self.ip(0, 1)}:{port}"
 
     def via(self, source, target, host):
-        """Where zone `source` reaches `host` of zone `target`: a relay."""
+        """Relay address through which zone `source` reaches `host` of zone `target`."""
         return f"127.{self.net}.{100 + 10 * source + target}.{host}"
 
     def control(self, z):
@@ -81,7 +81,7 @@
         return f"{self.plain_service}-{self.short[z - 1]}-{host - 30}"
 
     def listeners(self, z):
-        """Everything in zone `z` that other zones connect to."""
+        """Host and port of each listener in zone `z` that other zones connect to."""
         yield 1, CONTROL_PEER
         yield 2, GATEWAY_PEER
         for host in self.engine_hosts(z):
@@ -202,7 +202,7 @@
 """)
 
     def processes(self):
-        """One a line: name, program, arguments. The demo starts them in this order."""
+        """One process per line: name, program, arguments. The demo starts them in this order."""
         lines = [f"store millstair-emulator store --listen {self.platform(STORE_PORT)} "
                  "--bytes-per-second 400000000 --version-bytes 50000000",
                  f"scorer millstair-emulator scorer --listen {self.platform(SCORER_PORT)} --delay-ms 20"]
