--- a/test/soak/checks.py
+++ b/test/soak/checks.py
@@ -4,7 +4,7 @@
 from back_ends import is_stamp
 from callers import NOT_RUN
 from history import Acknowledged, Call, CrashingRun, CrashingCall, Listed, Order, Run, Span
-from routing_checks import CONTACT, Touch, check_routing
+from routing_checks import CONTACT, Connectivity, check_routing
 from row import Row
 
 # Lease of the engine orders in the settings of this fleet, in seconds.
@@ -53,7 +53,7 @@
     """After the bound, a leaving back end gets no client request from a connected gateway, also not
     from one that resumes after a pause, and no job item from any node."""
     row = Row("no work to leaving back ends")
-    touch = Touch(history, layout)
+    connectivity = Connectivity(history, layout)
     first = {}
     for record in history.of(Acknowledged):
         if record.name.startswith("leaving "):
@@ -64,7 +64,7 @@
         gateway = gateways.get(run.request)
         if at is None:
             continue
-        if gateway is not None and not touch.gateway_but_for_standstill(gateway, at, run.at):
+        if gateway is not None and not connectivity.gateway_except_pauses(gateway, at, run.at):
             continue
         row.case(run.at <= at + layout.leaving, (run, at, gateway))
     return row
@@ -115,7 +115,7 @@
 def check_crashing(history, layout):
     """Requests that crash back ends are soon no longer forwarded; valid ones are not withheld."""
     row = Row("crashing requests soon sent no more")
-    touch = Touch(history, layout)
+    connectivity = Connectivity(history, layout)
     machines = {call.request: call.machine for call in history.of(CrashingCall)}
     runs = {}
     for run in sorted(history.of(CrashingRun), key=lambda run: run.at):
@@ -124,7 +124,7 @@
         ended = [run.at for run in each if run.ended][:CRASHES_KNOWN]
         known = ended[-1] + CONTACT if len(ended) == CRASHES_KNOWN else float("inf")
         later = [run for run in each
-                 if run.at > known and touch.gateway(machines[run.request], run.at, run.at)]
+                 if run.at > known and connectivity.gateway(machines[run.request], run.at, run.at)]
         row.case(len(later) <= SENT_LATER, (target, len(each), later))
     proper = Row("proper requests not withheld")
     calls = history.of(Call)
--- a/test/soak/checks_test.py
+++ b/test/soak/checks_test.py
@@ -15,7 +15,7 @@
 from faults import Faults
 from fleet import Fleet, Layout, claim_subnet
 from history import (Acknowledged, Call, CrashingCall, CrashingRun, History, Listed, OperatorCall,
-                     Order, Proof, ReadBack, Run, Sent, Span, Started)
+                     Order, Confirmation, ReadBack, Run, Sent, Span, Started)
 from links import BACK, FORTH
 
 INSTANCES = {"i-1"}
@@ -188,16 +188,16 @@
         self.assertEqual(self.silent[self.opened_by_control], set())
 
 
-class ProofTest(unittest.TestCase):
+class ConfirmationTest(unittest.TestCase):
     """A connected gateway has a confirmed configuration."""
 
     def judged(self, *spans):
         """Cases and violations for a gateway without a confirmation at 20 s."""
-        history = history_of(Proof(14, 20.0, 20.1, False), *spans)
-        row = routing_checks.check_proven(history, routing_checks.Touch(history, LARGE))
+        history = history_of(Confirmation(14, 20.0, 20.1, False), *spans)
+        row = routing_checks.check_confirmed(history, routing_checks.Connectivity(history, LARGE))
         return row.tried, len(row.broken)
 
-    def test_without_a_proof(self):
+    def test_without_confirmation(self):
         """A violation, unless the gateway or all control nodes had a fault."""
         self.assertEqual(self.judged(), (1, 1))
         self.assertEqual(self.judged(Span("kill", (3,), 18.0, 19.0)), (1, 1))
@@ -244,9 +244,9 @@
     def in_force(self, *records, layout=LARGE):
         """The row of a history in which a request came at 10 s."""
         history = two_versions(*records)
-        return routing_checks.check_in_force(routing_checks.seen_by(history),
+        return routing_checks.check_in_force(routing_checks.outcomes_of(history),
                                              routing_checks.Versions(history),
-                                             routing_checks.Touch(history, layout))
+                                             routing_checks.Connectivity(history, layout))
 
     def test_documents(self):
         """The content of a version follows from its number; each flaw changes the document."""
@@ -315,7 +315,7 @@
         def check(*records):
             history = two_versions(newer, older, *runs, *records)
             return routing_checks.check_never_back(
-                routing_checks.seen_by(history), routing_checks.Versions(history), history)
+                routing_checks.outcomes_of(history), routing_checks.Versions(history), history)
         self.expect(check(), 2, 1)
         self.expect(check(Started(14, "gateway", 3.0)), 2, 0)
 
@@ -331,7 +331,7 @@
         def check(service, *records):
             history = two_versions(*acknowledged, Run("s", service, "i-1", 10.0), *records)
             return routing_checks.check_scorings(history, {"s"}, routing_checks.Versions(history),
-                                                 routing_checks.Touch(history, LARGE))
+                                                 routing_checks.Connectivity(history, LARGE))
         self.expect(check(score_service(4)), 1, 0)
         self.expect(check(score_service(3)), 1, 1)
         self.expect(check(score_service(3), Span("freeze", (5,), 8.0, 9.0)), 0, 0)
@@ -357,8 +357,8 @@
                                       added_route(2)))
                 runs.append(Run(f"a{number}", added_service(2, 2), "i-1", 10.1))
             history = two_versions(*first, *added, *runs)
-            row = routing_checks.check_added(routing_checks.seen_by(history), history,
-                                             routing_checks.Touch(history, LARGE))
+            row = routing_checks.check_added(routing_checks.outcomes_of(history), history,
+                                             routing_checks.Connectivity(history, LARGE))
             self.expect(row, 1, broken)
 
     def test_operator(self):
--- a/test/soak/history.py
+++ b/test/soak/history.py
@@ -107,7 +107,7 @@
 
 
 @dataclasses.dataclass
-class Proof:
+class Confirmation:
     """A gateway's report whether its configuration is confirmed."""
 
     machine: int
--- a/test/soak/proofs.py
+++ b/test/soak/proofs.py
@@ -5,14 +5,14 @@
 import threading
 
 from fleet import HTTP, ip_of
-from history import Proof, now
+from history import Confirmation, now
 
 PAUSE = 0.8
 PATIENCE = 1.0
 METRIC = "millstair_lease_valid "
 
 
-class ProofReader:
+class ConfirmationReader:
     """Runs on an event loop in its own thread."""
 
     def __init__(self, layout, history):
@@ -29,15 +29,15 @@
             await asyncio.sleep(PAUSE * random.uniform(0.5, 1.5))
             asked = now()
             try:
-                valid = await asyncio.wait_for(self._ask(machine), PATIENCE)
+                valid = await asyncio.wait_for(self._read_metric(machine), PATIENCE)
             except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError):
                 # A gateway that is down, paused or overloaded reports nothing.
                 continue
             if valid is not None:
-                self._history.add(Proof(machine, asked, now(), valid))
+                self._history.add(Confirmation(machine, asked, now(), valid))
 
     @staticmethod
-    async def _ask(machine):
+    async def _read_metric(machine):
         """Whether the lease is valid; none if the page has no such metric."""
         reader, writer = await asyncio.open_connection(ip_of(machine), HTTP)
         try:
--- a/test/soak/routing_checks.py
+++ b/test/soak/routing_checks.py
@@ -2,15 +2,16 @@
 use: in force in time, never older than before, current when read back, valid requests not rejected.
 
 Rules with a time bound apply to connected gateways: no fault of their own for CONTACT, and links to
-the control nodes. With more than SMALL_CORE control machines, their faults excuse a gateway only if
-they hit one that acknowledged the version in question.
+the control nodes. With more than SMALL_CONTROL_GROUP control machines, their faults excuse a
+gateway only if they hit one that acknowledged the version in question.
 """
 
 import dataclasses
 import json
 
 from documents import SCORE_ROUTE, service_of
-from history import Acknowledged, Call, OperatorCall, Proof, ReadBack, Run, Sent, Span, Started
+from history import (Acknowledged, Call, OperatorCall, Confirmation, ReadBack, Run, Sent, Span,
+                     Started)
 from row import Row
 
 # Bounds promised to users, in seconds.
@@ -19,7 +20,7 @@
 # Added to the bound if control nodes were disturbed while a majority kept running.
 UNSTABLE = 5.0
 REVERT_SLACK = 0.25
-SMALL_CORE = 9
+SMALL_CONTROL_GROUP = 9
 # A call that scores a text may last as long as its route's time limit.
 SCORING_TAKES = 1.5
 CUTS = ("cut_in_two", "cut_zones")
@@ -27,7 +28,7 @@
 # A paused gateway can detect the pause by its clock when it resumes. That its machine was
 # unreachable meanwhile does not excuse using a replaced version: the control nodes reply as soon as
 # it queries them.
-STANDSTILLS = ("stand_still", "freeze", "suspend")
+PAUSES = ("stand_still", "freeze", "suspend")
 ADDED_ASKED = 20
 ADDED_SHARE = 0.25
 # Statuses that do not reject the request as invalid.
@@ -36,7 +37,7 @@
 
 
 @dataclasses.dataclass
-class Seen:
+class Outcome:
     """What a gateway did with one request: forwarded it to a service, or found no route."""
 
     call: Call
@@ -48,7 +49,7 @@
         return service_of(self.call.route, version) == (self.service or None)
 
 
-class Touch:
+class Connectivity:
     """Which machines were connected and undisturbed, and when."""
 
     def __init__(self, history, layout):
@@ -68,9 +69,9 @@
         return not any(machine in span.machines and self._strikes(span, start, end)
                        for span in self._spans)
 
-    def gateway_but_for_standstill(self, machine, start, end):
+    def gateway_except_pauses(self, machine, start, end):
         """Like `gateway`, but a pause of the process does not count as a disturbance."""
-        return not any(machine in span.machines and span.kind not in STANDSTILLS
+        return not any(machine in span.machines and span.kind not in PAUSES
                        and self._strikes(span, start, end) for span in self._spans)
 
     def all_stores(self, start, end):
@@ -84,7 +85,7 @@
             return any(start - CONTACT <= moment <= end for moment in (span.begun, span.over))
         return self._overlaps(span, start, end)
 
-    def core(self, start, end, version):
+    def control_group(self, start, end, version):
         """Whether no fault of the control nodes excuses a gateway for `version`. Partitions and
         kill_all always do; others only in a small group or on a node that acknowledged it."""
         return not any(self._counts(span, version) and self._disturbs(span, start, end)
@@ -98,7 +99,7 @@
     def _counts(self, span, version):
         if not set(span.machines) & set(self._layout.machines):
             return False
-        if span.kind in (*CUTS, "kill_all") or len(self._layout.machines) <= SMALL_CORE:
+        if span.kind in (*CUTS, "kill_all") or len(self._layout.machines) <= SMALL_CONTROL_GROUP:
             return True
         return bool(set(span.machines) & self._ackers.get(version, set()))
 
@@ -109,19 +110,19 @@
         return any(start - CONTACT <= moment <= end for moment in (span.begun, span.over))
 
 
-def seen_by(history):
+def outcomes_of(history):
     """What gateways did with requests, in order of time."""
     runs = {}
     for run in history.of(Run):
         runs.setdefault(run.request, run)
-    seen = []
+    outcomes = []
     for call in history.of(Call):
         run = runs.get(call.request)
         if run is not None:
-            seen.append(Seen(call, run.service, run.at))
+            outcomes.append(Outcome(call, run.service, run.at))
         elif call.status == 404:
-            seen.append(Seen(call, "", call.ended))
-    return sorted(seen, key=lambda entry: entry.at)
+            outcomes.append(Outcome(call, "", call.ended))
+    return sorted(outcomes, key=lambda entry: entry.at)
 
 
 class Versions:
@@ -139,22 +140,22 @@
         """The newest version acknowledged by `moment`; 0 is none."""
         return max((version for at, version in self.acknowledged if at < moment), default=0)
 
-    def possible(self, least, moment):
+    def possible(self, oldest, moment):
         """The versions that may be in force at `moment` if `least` is the oldest allowed."""
-        return [version for version, at in self.sent if version >= least and at <= moment]
+        return [version for version, at in self.sent if version >= oldest and at <= moment]
 
 
-def check_in_force(seen, versions, touch):
+def check_in_force(outcomes, versions, connectivity):
     """Connected gateways use no version older than the one acknowledged IN_FORCE before, also when
     they resume after a pause."""
     row = Row("routes in force in time")
-    for entry in seen:
+    for entry in outcomes:
         call = entry.call
-        if not touch.gateway_but_for_standstill(call.machine, call.sent, entry.at):
+        if not connectivity.gateway_except_pauses(call.machine, call.sent, entry.at):
             continue
         held = versions.held(call.sent - IN_FORCE)
-        if not touch.core(call.sent, entry.at, held):
-            if not touch.majority(call.sent - UNSTABLE, entry.at):
+        if not connectivity.control_group(call.sent, entry.at, held):
+            if not connectivity.majority(call.sent - UNSTABLE, entry.at):
                 continue
             held = versions.held(call.sent - IN_FORCE - UNSTABLE)
         if not held:
@@ -164,18 +165,19 @@
     return row
 
 
-def check_proven(history, touch):
+def check_confirmed(history, connectivity):
     """Connected gateways have a confirmed configuration."""
     row = Row("gateways in touch hold a proof")
-    for proof in history.of(Proof):
-        if not touch.gateway(proof.machine, proof.asked, proof.at):
+    for confirmation in history.of(Confirmation):
+        if not connectivity.gateway(confirmation.machine, confirmation.asked, confirmation.at):
             continue
-        if touch.core(proof.asked, proof.at, 0) and touch.majority(proof.asked, proof.at):
-            row.case(proof.valid, proof)
+        if (connectivity.control_group(confirmation.asked, confirmation.at, 0)
+                and connectivity.majority(confirmation.asked, confirmation.at)):
+            row.case(confirmation.valid, confirmation)
     return row
 
 
-def check_never_back(seen, versions, history):
+def check_never_back(outcomes, versions, history):
     """Within one incarnation a gateway uses no version older than one it has used."""
     row = Row("a gateway never goes back")
     starts = {}
@@ -183,7 +185,7 @@
         if record.role == "gateway":
             starts.setdefault(record.machine, []).append(record.at)
     floors = {}
-    for entry in seen:
+    for entry in outcomes:
         life = sum(at <= entry.at for at in starts[entry.call.machine])
         earlier = floors.setdefault((entry.call.machine, life), [])
         floor = max((version for at, version in earlier if at < entry.call.sent - REVERT_SLACK),
@@ -197,12 +199,12 @@
     return row
 
 
-def check_scorings(history, scorings, versions, touch):
+def check_scorings(history, scorings, versions, connectivity):
     """Texts are scored by no version older than the one acknowledged IN_FORCE before. The history
     doesn't show which storage machine scored, so all of them must be undisturbed."""
     row = Row("texts scored by routes in force")
     for run in history.of(Run):
-        if run.request not in scorings or not touch.all_stores(run.at, run.at):
+        if run.request not in scorings or not connectivity.all_stores(run.at, run.at):
             continue
         # The call may have waited for a slot, after attempts elsewhere.
         held = versions.held(run.at - IN_FORCE - SCORING_TAKES)
@@ -233,16 +235,16 @@
     return row
 
 
-def check_added(seen, history, touch):
+def check_added(outcomes, history, connectivity):
     """Routes added later are served as reliably as the initial ones."""
     row = Row("added routes served like the first")
     asked = {}
     for call in history.of(Call):
-        if call.route in ALWAYS and touch.gateway(call.machine, call.sent, call.ended):
+        if call.route in ALWAYS and connectivity.gateway(call.machine, call.sent, call.ended):
             served = asked.setdefault("first", [0, 0])
             served[0] += 1
             served[1] += call.status == 200
-    for entry in seen:
+    for entry in outcomes:
         if entry.call.route.startswith("/added-") and entry.service:
             served = asked.setdefault("added", [0, 0])
             served[0] += 1
@@ -281,12 +283,12 @@
 
 def check_routing(history, operator, trainer, layout):
     """The rows of all routing checks."""
-    seen = seen_by(history)
+    outcomes = outcomes_of(history)
     versions = Versions(history)
-    touch = Touch(history, layout)
+    connectivity = Connectivity(history, layout)
     return [
-        check_in_force(seen, versions, touch), check_proven(history, touch),
-        check_never_back(seen, versions, history),
-        check_scorings(history, trainer.scorings, versions, touch),
-        check_invalid(history), check_denied(history), check_added(seen, history, touch),
+        check_in_force(outcomes, versions, connectivity), check_confirmed(history, connectivity),
+        check_never_back(outcomes, versions, history),
+        check_scorings(history, trainer.scorings, versions, connectivity),
+        check_invalid(history), check_denied(history), check_added(outcomes, history, connectivity),
         check_operator(history), check_read_back(history, operator, versions)]
--- a/test/soak/soak.py
+++ b/test/soak/soak.py
@@ -19,7 +19,7 @@
 from fleet import Fleet, Layout, use_free_subnet, use_subnet
 from history import History, now
 from probes import Prober
-from proofs import ProofReader
+from proofs import ConfirmationReader
 
 START_LIMIT = 20.0
 RECOVERY = 12.0
@@ -110,7 +110,7 @@
     callers = [Client(layout, history) for _ in range(arguments.clients)]
     callers += [CrashingCaller(layout, history, number) for number in range(arguments.crashing)]
     callers.append(Prober(layout, history, operator, arguments.probe))
-    callers.append(ProofReader(layout, history))
+    callers.append(ConfirmationReader(layout, history))
     trainer = Trainer(layout, history)
     operator.start()
     trainer.start()
