--- a/test/soak/callers.py
+++ b/test/soak/callers.py
@@ -10,7 +10,7 @@
 from documents import (FLAWS, HOST, MODEL, MOVED_ROUTE, SCORE_ROUTE, flawed_text,
                        routing_document)
 from fleet import SERVICE, ip_of
-from history import (Acknowledged, Call, CrashingCall, Listed, OperatorCall, ReadBack, Sent,
+from history import (Acknowledged, Call, CrashingCall, RecordedResult, OperatorCall, ReadBack, Sent,
                      now)
 
 DEADLINE = 2.0
@@ -269,7 +269,7 @@
         self.number = number
         self.job = new_id()
         self.accepted_at = 0.0
-        self.whole = False
+        self.complete = False
         self.items = {}
         self.min_version = max(1, number)
 
@@ -355,7 +355,7 @@
         for offset, result in enumerate(results):
             fields = (result["id"], result["state"], result.get("message", ""),
                       tuple(result.get("versions", ())), result.get("score", ""))
-            self._history.add(Listed(step.job, after + offset, fields, ip_of(machine)))
+            self._history.add(RecordedResult(step.job, after + offset, fields, ip_of(machine)))
         return results
 
     def _await(self, step):
@@ -369,8 +369,8 @@
             groups = {}
             for item, (group, _) in step.items.items():
                 groups.setdefault(group, []).append(item in seen.values())
-            if sum(all(listed) for listed in groups.values()) >= WANTED:
-                step.whole = True
+            if sum(all(recorded) for recorded in groups.values()) >= WANTED:
+                step.complete = True
                 return
             time.sleep(0.3)
 
--- a/test/soak/checks.py
+++ b/test/soak/checks.py
@@ -3,7 +3,7 @@
 
 from back_ends import is_stamp
 from callers import NOT_RUN
-from history import Acknowledged, Call, CrashingRun, CrashingCall, Listed, Order, Run, Span
+from history import Acknowledged, Call, CrashingRun, CrashingCall, RecordedResult, Order, Run, Span
 from routing_checks import CONTACT, Connectivity, check_routing
 from row import Row
 
@@ -74,25 +74,25 @@
     """Every node returns the same result for a position; texts are complete and scored, and by
     weights no older than the step allows."""
     stays = Row("a position keeps its result")
-    whole = Row("texts whole, scored, of allowed versions")
+    complete = Row("texts whole, scored, of allowed versions")
     steps = {step.job: step for step in trainer.steps}
     known = {}
-    for listed in history.of(Listed):
-        held = known.setdefault((listed.job, listed.position), listed)
-        stays.case(held.result == listed.result, (held, listed))
-        if held is not listed:
+    for recorded in history.of(RecordedResult):
+        held = known.setdefault((recorded.job, recorded.position), recorded)
+        stays.case(held.result == recorded.result, (held, recorded))
+        if held is not recorded:
             continue
-        step = steps[listed.job]
-        item, state, text, versions, score = listed.result
+        step = steps[recorded.job]
+        item, state, text, versions, score = recorded.result
         if state != "done":
             continue
         _, events = step.items[item]
         expected = "\n".join(f"{item}-{number}" for number in range(1, events + 1))
-        sound = text == expected and score and versions and min(versions) >= step.min_version
-        whole.case(sound, listed)
-    items = [listed.result[0] for listed in known.values()]
+        valid = text == expected and score and versions and min(versions) >= step.min_version
+        complete.case(valid, recorded)
+    items = [recorded.result[0] for recorded in known.values()]
     stays.case(len(items) == len(set(items)), "an item stands at two positions")
-    return [stays, whole]
+    return [stays, complete]
 
 
 def check_orders(history):
@@ -141,7 +141,7 @@
     served = sum(call.status == 200 for call in calls)
     row.case(bool(calls) and served >= SERVED_SHARE * len(calls), f"{served} of {len(calls)}")
     steps = [step for step in trainer.steps if step.accepted_at > end_of_faults]
-    row.case(any(step.whole for step in steps), "no step was whole")
+    row.case(any(step.complete for step in steps), "no step was whole")
     return row
 
 
--- a/test/soak/checks_test.py
+++ b/test/soak/checks_test.py
@@ -14,8 +14,8 @@
                        moved_service, routing_document, score_service, service_of)
 from faults import Faults
 from fleet import Fleet, Layout, claim_subnet
-from history import (Acknowledged, Call, CrashingCall, CrashingRun, History, Listed, OperatorCall,
-                     Order, Confirmation, ReadBack, Run, Sent, Span, Started)
+from history import (Acknowledged, Call, CrashingCall, CrashingRun, History, RecordedResult,
+                     OperatorCall, Order, Confirmation, ReadBack, Run, Sent, Span, Started)
 from links import BACK, FORTH
 
 INSTANCES = {"i-1"}
@@ -43,7 +43,7 @@
         step = Step(3)
         step.job = "job"
         step.accepted_at = 50.0
-        step.whole = True
+        step.complete = True
         step.items = {"item": ("group", 2)}
         self.steps = [step]
 
@@ -179,9 +179,9 @@
 
     def test_overlapping(self):
         """Directions that another cut covers stay cut."""
-        whole = self.fleet.cut((2,))
+        complete = self.fleet.cut((2,))
         one_way = self.fleet.cut_one_way(1, heard=False)
-        self.fleet.heal(whole)
+        self.fleet.heal(complete)
         self.assertEqual(self.silent[self.opened_by_gateway], {BACK})
         self.assertEqual(self.silent[self.opened_by_control], {FORTH})
         self.fleet.heal(one_way)
@@ -392,20 +392,23 @@
 
         The check that no item has two positions counts as one more case.
         """
-        sound = ("item", "done", "item-1\nitem-2", (3,), "score")
+        valid = ("item", "done", "item-1\nitem-2", (3,), "score")
         trainer = FakeTrainer()
-        stays, whole = checks.check_results(
-            history_of(Listed("job", 0, sound, "g"), Listed("job", 0, sound, "h")), trainer, ())
+        stays, complete = checks.check_results(
+            history_of(RecordedResult("job", 0, valid, "g"),
+                       RecordedResult("job", 0, valid, "h")), trainer, ())
         self.expect(stays, 3, 0)
-        self.expect(whole, 1, 0)
+        self.expect(complete, 1, 0)
         other = ("item", "down", "", (), "")
         stays, _ = checks.check_results(
-            history_of(Listed("job", 0, sound, "g"), Listed("job", 0, other, "h")), trainer, ())
+            history_of(RecordedResult("job", 0, valid, "g"),
+                       RecordedResult("job", 0, other, "h")), trainer, ())
         self.expect(stays, 3, 1)
-        for faulty in (("item", "done", "item-1", (3,), "s"), (*sound[:3], (2,), "s"),
-                       (*sound[:4], "")):
-            _, whole = checks.check_results(history_of(Listed("job", 0, faulty, "g")), trainer, ())
-            self.expect(whole, 1, 1)
+        for faulty in (("item", "done", "item-1", (3,), "s"), (*valid[:3], (2,), "s"),
+                       (*valid[:4], "")):
+            _, complete = checks.check_results(
+                history_of(RecordedResult("job", 0, faulty, "g")), trainer, ())
+            self.expect(complete, 1, 1)
 
     def test_orders(self):
         """A change of holder within the lease; a decreasing fence; one fence of two holders."""
@@ -446,7 +449,7 @@
         self.expect(checks.check_service(history_of(answered("a")), trainer, 5.0), 2, 0)
         refused = [answered(str(number), status=503) for number in range(9)]
         self.expect(checks.check_service(history_of(answered("a"), *refused), trainer, 5.0), 2, 1)
-        trainer.steps[0].whole = False
+        trainer.steps[0].complete = False
         self.expect(checks.check_service(history_of(answered("a")), trainer, 5.0), 2, 1)
 
 
--- a/test/soak/history.py
+++ b/test/soak/history.py
@@ -137,7 +137,7 @@
 
 
 @dataclasses.dataclass
-class Listed:
+class RecordedResult:
     """A result as read at one position of a job."""
 
     job: str
