--- a/test/soak/back_ends.py
+++ b/test/soak/back_ends.py
@@ -25,7 +25,7 @@
 CRASH_AFTER = (0.03, 0.12)
 # A back end crashed by such a request restarts at its address after this many seconds.
 BACK_AFTER = 2.5
-BIND_PATIENCE = 5.0
+BIND_TIMEOUT = 5.0
 # Longer than the time limit of the routes, so that callers get refusals, in seconds.
 REFUSES_FOR = 2.5
 
@@ -162,7 +162,7 @@
 
 def listen(port, handler):
     """A server at `port`, or at any free port if that one stays in use."""
-    until = now() + BIND_PATIENCE
+    until = now() + BIND_TIMEOUT
     while True:
         try:
             return http.server.ThreadingHTTPServer(("127.0.0.1", port), handler)
--- a/test/soak/callers.py
+++ b/test/soak/callers.py
@@ -19,7 +19,7 @@
 STEP_TIME = 4.0
 STEP_DEADLINE = 12.0
 # Timeout of an operator's call, after which it is sent to another node, in seconds.
-OPERATOR_PATIENCE = 1.0
+OPERATOR_TIMEOUT = 1.0
 READ_PAUSE = 0.15
 
 
@@ -150,7 +150,7 @@
         machine = random.choice(self._layout.machines)
         try:
             status, _, body = exchange(machine, "POST", "/v1/Config.Replace", text,
-                                       {"Content-Type": "application/json"}, OPERATOR_PATIENCE)
+                                       {"Content-Type": "application/json"}, OPERATOR_TIMEOUT)
             return status, machine, body.decode(errors="replace")
         except OSError:
             return 0, machine, ""
--- a/test/soak/faults.py
+++ b/test/soak/faults.py
@@ -63,10 +63,10 @@
         with self._lock:
             self._struck.difference_update(machines)
 
-    def alone(self, patience=20.0):
+    def alone(self, timeout=20.0):
         """Blocks new faults and waits until no machine with a disk has one; whether that came in
         time."""
-        until = now() + patience
+        until = now() + timeout
         with self._lock:
             if self._alone:
                 return False
--- a/test/soak/probes.py
+++ b/test/soak/probes.py
@@ -10,7 +10,7 @@
 from fleet import SERVICE, ip_of
 from history import Call, now
 
-PATIENCE = 2.0
+RESPONSE_TIMEOUT = 2.0
 # Wait for a response before the next probe is sent, in seconds, so that some probes queue in the
 # sockets of a paused gateway.
 BESIDE_AFTER = 0.5
@@ -76,7 +76,7 @@
     async def _connect(machine):
         try:
             return await asyncio.wait_for(asyncio.open_connection(ip_of(machine), SERVICE),
-                                          PATIENCE)
+                                          RESPONSE_TIMEOUT)
         except (OSError, asyncio.TimeoutError):
             return None
 
@@ -85,10 +85,10 @@
         route = self._route()
         call = Call(f"{self._random.randrange(1 << 64):016x}", route, ip_of(machine), now())
         writer.write(f"GET {route}x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {call.request}\r\n"
-                     f"Deadline-Ms: {int(PATIENCE * 1000)}\r\n\r\n".encode())
+                     f"Deadline-Ms: {int(RESPONSE_TIMEOUT * 1000)}\r\n\r\n".encode())
         keep = False
         try:
-            keep = await asyncio.wait_for(self._read(call, reader), PATIENCE)
+            keep = await asyncio.wait_for(self._read(call, reader), RESPONSE_TIMEOUT)
         except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError):
             call.status = 0
         call.ended = now()
--- a/test/soak/proofs.py
+++ b/test/soak/proofs.py
@@ -8,7 +8,7 @@
 from history import Confirmation, now
 
 PAUSE = 0.8
-PATIENCE = 1.0
+RESPONSE_TIMEOUT = 1.0
 METRIC = "millstair_lease_valid "
 
 
@@ -29,7 +29,7 @@
             await asyncio.sleep(PAUSE * random.uniform(0.5, 1.5))
             asked = now()
             try:
-                valid = await asyncio.wait_for(self._read_metric(machine), PATIENCE)
+                valid = await asyncio.wait_for(self._read_metric(machine), RESPONSE_TIMEOUT)
             except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError):
                 # A gateway that is down, paused or overloaded reports nothing.
                 continue
