--- a/test/soak/checks_test.py
+++ b/test/soak/checks_test.py
@@ -20,9 +20,9 @@
 
 INSTANCES = {"i-1"}
 # Control nodes 1 to 5, gateways 6 to 11.
-LAYOUT = Layout(stores=5, fronts=6)
+LAYOUT = Layout(stores=5, gateway_count=6)
 # Enough control nodes that a fault of one excuses no gateway.
-LARGE = Layout(stores=13, fronts=6)
+LARGE = Layout(stores=13, gateway_count=6)
 GATEWAY = "127.0.77.14"
 
 
@@ -100,7 +100,7 @@
         """Records the machines."""
         self.struck.update(nodes)
 
-    def stop_in_order(self, nodes):
+    def stop_gracefully(self, nodes):
         """Records the machines; no exit codes."""
         self.struck.update(nodes)
         return [0]
@@ -162,9 +162,9 @@
         self.silent = {}
         links = unittest.mock.Mock()
         links.set = lambda name, pairs, value: self.silent.update(dict.fromkeys(pairs, set(value)))
-        with unittest.mock.patch("fleet.LinkBoard", return_value=links), \
+        with unittest.mock.patch("fleet.LinkProcess", return_value=links), \
                 unittest.mock.patch("fleet.addresses_in_use", return_value=None):
-            self.fleet = Fleet("program", "folder", Layout(stores=1, fronts=1), History())
+            self.fleet = Fleet("program", "folder", Layout(stores=1, gateway_count=1), History())
         control, _, gateway = self.fleet.nodes
         self.opened_by_gateway = (gateway.name, control.name)
         self.opened_by_control = (control.name, gateway.name)
--- a/test/soak/clocks.py
+++ b/test/soak/clocks.py
@@ -32,7 +32,7 @@
         self._shifts[machine][0] = ahead
         self._write(machine)
 
-    def hold_steady(self, machine, seconds):
+    def stop_steady_clock(self, machine, seconds):
         """Sets the machine's steady clock back by `seconds`, as if it had stopped for that long."""
         self._shifts[machine][1] -= seconds
         self._write(machine)
--- a/test/soak/faults.py
+++ b/test/soak/faults.py
@@ -111,7 +111,7 @@
     @property
     def replaces_builds(self):
         """Whether machines change from the earlier build to the new one during the run."""
-        return self._fleet.has_build_before
+        return self._fleet.has_earlier_build
 
     def choose(self, names):
         """Restricts the faults to these kinds; each series still begins with those of back ends."""
@@ -271,7 +271,7 @@
             self._fleet.signal(machine, signal.SIGSTOP)
         time.sleep(seconds)
         for machine in machines:
-            self._fleet.clocks.hold_steady(machine, seconds)
+            self._fleet.clocks.stop_steady_clock(machine, seconds)
             self._fleet.signal(machine, signal.SIGCONT)
         return f"{seconds:.1f} s"
 
@@ -349,7 +349,7 @@
     def stop(self, machines):
         """Shuts a machine's processes down gracefully and restarts them."""
         nodes = self._nodes(machines)
-        codes = self._fleet.stop_in_order(nodes)
+        codes = self._fleet.stop_gracefully(nodes)
         self._restart(nodes)
         return f"exit codes {sorted(set(codes))}"
 
@@ -368,7 +368,7 @@
             while not self._claims.take((machine,)):
                 time.sleep(0.1)
             try:
-                self._fleet.use_build_before(machine, before)
+                self._fleet.set_earlier_build(machine, before)
                 print(f"  {self._noted(self.stop, (machine,))} to the build "
                       f"{'before' if before else 'of now'}", flush=True)
             finally:
@@ -383,7 +383,7 @@
         codes = []
         for machine in machines[:4]:
             nodes = self._nodes((machine,))
-            codes += self._fleet.stop_in_order(nodes)
+            codes += self._fleet.stop_gracefully(nodes)
             self._restart(nodes)
             time.sleep(random.uniform(0.2, DOWN))
         return f"exit codes {sorted(set(codes))}"
--- a/test/soak/fleet.py
+++ b/test/soak/fleet.py
@@ -19,12 +19,12 @@
 
 from clocks import Clocks
 from history import Started, now
-from links import BACK, BOTH, FORTH, LinkBoard
+from links import BACK, BOTH, FORTH, LinkProcess
 
 CONTROL_PEER, STORAGE_PEER, HTTP, SERVICE, READY = 7100, 7110, 7101, 7102, 7103
 START_SPREAD = 0.3
 GRACE = 8.0
-FOUNDERS = 3
+INITIAL_MEMBERS = 3
 
 SETTINGS = """\
 node: "{node}"
@@ -84,7 +84,7 @@
     """Number of machines, and how many may fail at the same time."""
 
     stores: int = 3
-    fronts: int = 3
+    gateway_count: int = 3
     zones: int = 3
     tolerate: int = 1
     # `bounds.leave` of the settings, in seconds.
@@ -98,7 +98,7 @@
     @property
     def gateways(self):
         """Machines with a gateway."""
-        return tuple(range(self.stores + 1, self.stores + self.fronts + 1))
+        return tuple(range(self.stores + 1, self.stores + self.gateway_count + 1))
 
     def zone_of(self, machine):
         """Zone of a machine; assigned round-robin."""
@@ -172,7 +172,7 @@
         self.program = program
         # Machines that still run the earlier build.
         self._before = before
-        self._on_before = set(layout.machines + layout.gateways) if before else set()
+        self._on_earlier_build = set(layout.machines + layout.gateways) if before else set()
         self.folder = folder
         self.layout = layout
         self._history = history
@@ -183,7 +183,7 @@
         self._pairs = {(a.name, b.name): (a, b) for a in self.nodes for b in self.nodes
                        if a is not b and "gateway" not in (a.role, b.role)
                        or a.role != b.role and "gateway" in (a.role, b.role)}
-        self._links = LinkBoard({pair: b.peer for pair, (_, b) in self._pairs.items()})
+        self._links = LinkProcess({pair: b.peer for pair, (_, b) in self._pairs.items()})
         self._cut_lock = threading.Lock()
         self._cuts = []
 
@@ -205,17 +205,17 @@
                 stdout=log, stderr=subprocess.STDOUT, env=self.clocks.environment(node.machine))
 
     def _program_of(self, machine):
-        return self._before if machine in self._on_before else self.program
+        return self._before if machine in self._on_earlier_build else self.program
 
-    def use_build_before(self, machine, before):
+    def set_earlier_build(self, machine, before):
         """Sets whether the machine's processes run the earlier build from their next start on."""
         if before:
-            self._on_before.add(machine)
+            self._on_earlier_build.add(machine)
         else:
-            self._on_before.discard(machine)
+            self._on_earlier_build.discard(machine)
 
     @property
-    def has_build_before(self):
+    def has_earlier_build(self):
         """Whether this run replaces one build by another."""
         return bool(self._before)
 
@@ -231,13 +231,13 @@
             f'"{target.peer}=127.0.0.1:{self._links.ports[pair]}"'
             for pair, (source, target) in self._pairs.items() if source is node)
         port = HTTP + 10 if node.role == "storage" else HTTP
-        founders = self.layout.machines[:FOUNDERS]
+        initial_members = self.layout.machines[:INITIAL_MEMBERS]
         return SETTINGS.format(
             node=node.name, machine=node.machine, zone=self.layout.zone_of(node.machine),
             role=node.role, bootstrap="true" if bootstrap else "false", routes=routes,
             service=service, data=data, tolerate=self.layout.tolerate,
             leave=int(self.layout.leaving * 1000),
-            seeds=", ".join(f'"{ip_of(m)}:{SERVICE}"' for m in founders),
+            seeds=", ".join(f'"{ip_of(m)}:{SERVICE}"' for m in initial_members),
             seeds_port=CONTROL_PEER, peer=node.peer, http=f"{ip}:{port}")
 
     def data_folder(self, node):
@@ -257,7 +257,7 @@
             if wipe and node.role != "gateway":
                 shutil.rmtree(self.data_folder(node), ignore_errors=True)
 
-    def stop_in_order(self, nodes):
+    def stop_gracefully(self, nodes):
         """Sends SIGTERM, and SIGKILL after GRACE; returns the exit codes."""
         for node in nodes:
             node.process.send_signal(signal.SIGTERM)
@@ -329,7 +329,7 @@
         """Resets all connections between a machine and the others."""
         self._links.set("reset", self._of(machine))
 
-    def ended_by_themselves(self):
+    def exited_unexpectedly(self):
         """Nodes whose process exited without being stopped."""
         return [node for node in self.nodes if node.process.poll() is not None]
 
--- a/test/soak/links.py
+++ b/test/soak/links.py
@@ -94,7 +94,7 @@
         pass
 
 
-class LinkBoard:
+class LinkProcess:
     """All links; owns the process that forwards."""
 
     def __init__(self, pairs):
--- a/test/soak/soak.py
+++ b/test/soak/soak.py
@@ -168,7 +168,7 @@
         print(f"{row.name:45} tried {row.tried:6}  broken {len(row.broken):4}")
         for what in row.broken[:shown]:
             print(f"    {what}")
-    ended = [f"{node.role} of machine {node.machine}" for node in fleet.ended_by_themselves()]
+    ended = [f"{node.role} of machine {node.machine}" for node in fleet.exited_unexpectedly()]
     print(f"{'accepted jobs that could not be read':45} {lost}")
     print(f"{'processes that ended by themselves':45} {ended}")
     outcomes = [row.tried > 0 and not row.broken for row in rows] + [not lost, not ended]
