--- a/test/soak/back_ends.py
+++ b/test/soak/back_ends.py
@@ -21,10 +21,10 @@
 EVENT_TIME = 0.04
 KEEP_SERVING = 3.5
 # A request whose path contains this crashes each back end that runs it, after CRASH_AFTER seconds.
-CRASHES = "/crash-"
+CRASH_PATH = "/crash-"
 CRASH_AFTER = (0.03, 0.12)
 # A back end crashed by such a request restarts at its address after this many seconds.
-BACK_AFTER = 2.5
+RESTART_DELAY = 2.5
 BIND_TIMEOUT = 5.0
 # Longer than the time limit of the routes, so that callers get refusals, in seconds.
 REFUSES_FOR = 2.5
@@ -72,7 +72,7 @@
         """`name`: instance name of an earlier incarnation, to restart under it."""
         self._layout = layout
         self.instance = name or f"i-{service}-{index}-{random.randrange(1 << 32):08x}"
-        self._born = int(time.time() * 1000)
+        self._started_at = int(time.time() * 1000)
         self.service = service
         self._zone = f"zone-{index % layout.zones + 1}"
         self.history = history
@@ -96,7 +96,7 @@
         self._server.handle_error = lambda request, address: None
         self.address = f"127.0.0.1:{self._server.server_address[1]}"
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
-        threading.Thread(target=self._beat, daemon=True).start()
+        threading.Thread(target=self._send_heartbeats, daemon=True).start()
 
     def report(self):
         """Sends a heartbeat; the machine that acknowledged it, or 0."""
@@ -104,23 +104,23 @@
         body = {
             "service": self.service, "addr": self.address, "zone": self._zone, "version": "v1",
             "slots": SLOTS, "state": self.state, "cold_left_ms": 0, "seq": self._sequence,
-            "born": self._born}
+            "born": self._started_at}
         if self.versions:
             body["stage"] = "mixed"
             body["models"] = self.models()
         return call_control(self._layout.machines, f"/v1/Instances.Heartbeat/{self.instance}", body)
 
     @property
-    def born(self):
+    def started_at(self):
         """Start time of this incarnation by its own clock, in milliseconds since 1970."""
-        return self._born
+        return self._started_at
 
     def models(self):
         """The loaded models in the format of the reports."""
         return [{"name": name, "version": version, "adapters": []}
                 for name, version in self.versions.items()]
 
-    def _beat(self):
+    def _send_heartbeats(self):
         while not self.stopped:
             sent = now()
             draining = self.state == "draining"
@@ -151,7 +151,7 @@
                 except OSError:
                     pass  # already closed
 
-    def note_connection(self, connection, is_open):
+    def track_connection(self, connection, is_open):
         """Adds or removes a caller's connection."""
         with self._connections_lock:
             if is_open:
@@ -198,11 +198,11 @@
     def setup(self):
         """Registers the connection with the back end."""
         super().setup()
-        self.back_end.note_connection(self.connection, True)
+        self.back_end.track_connection(self.connection, True)
 
     def finish(self):
         """Unregisters the connection; ignores errors of flushing one that was reset."""
-        self.back_end.note_connection(self.connection, False)
+        self.back_end.track_connection(self.connection, False)
         if self.back_end.stopped:
             reset(self.connection)
         try:
@@ -230,7 +230,7 @@
 
     def _report(self):
         own = self.back_end
-        body = {"stage": "mixed", "born": own.born, "models": own.models(), "busy": now() < own.busy_until,
+        body = {"stage": "mixed", "born": own.started_at, "models": own.models(), "busy": now() < own.busy_until,
                 "seq": own.orders, "queued": 0, "running": 0, "kv_used": 0, "kv_total": 1000,
                 "handles": 0}
         self._answer(200, json.dumps(body).encode())
@@ -267,7 +267,7 @@
                 own._slots.release()
             return self._answer(503, b"", {"Not-Run": "1"})
         try:
-            if CRASHES in self.path:
+            if CRASH_PATH in self.path:
                 return self._crash(request)
             own.history.add(Run(request, own.service, own.instance, now()))
             return self._stream(request, body) if own.versions else self._plain(request)
@@ -329,8 +329,8 @@
                 return  # the caller has disconnected: stop working
 
 
-class Rack:
-    """The back ends of all services; runs in the process that BackEndBoard starts."""
+class BackEndPool:
+    """The back ends of all services; runs in the process that BackEndProcess starts."""
 
     def __init__(self, layout, counts, seed):
         random.seed(seed)
@@ -364,15 +364,15 @@
             self._present.remove(gone)
         gone.crash()
 
-        def come_back():
-            time.sleep(BACK_AFTER)
+        def restart():
+            time.sleep(RESTART_DELAY)
             port = int(gone.address.rsplit(":", 1)[1])
             with self._lock:
                 # Half of them restart under their earlier name.
                 name = gone.instance if random.random() < 0.5 else ""
                 self._add(gone.service, gone.versions, gone.index, port, name)
 
-        threading.Thread(target=come_back, daemon=True).start()
+        threading.Thread(target=restart, daemon=True).start()
 
     def _take_one(self):
         """Chooses and removes a back end that is to end, after adding its successor."""
@@ -405,11 +405,11 @@
 
 
 def _serve(pipe, layout, counts, seed):
-    rack = Rack(layout, counts, seed)
+    pool = BackEndPool(layout, counts, seed)
     lock = threading.Lock()
 
     def answer(number, what):
-        value = getattr(rack, what)()
+        value = getattr(pool, what)()
         with lock:
             pipe.send((number, value))
 
@@ -417,12 +417,12 @@
     while True:
         number, what = pipe.recv()
         if what == "end":
-            pipe.send((rack.history.records, rack.instances))
+            pipe.send((pool.history.records, pool.instances))
             return
         threading.Thread(target=answer, args=(number, what), daemon=True).start()
 
 
-class BackEndBoard:
+class BackEndProcess:
     """Runs the back ends in a separate process, so that they don't slow the callers down."""
 
     def __init__(self, layout, counts, seed):
--- a/test/soak/soak.py
+++ b/test/soak/soak.py
@@ -12,7 +12,7 @@
 import threading
 import time
 
-from back_ends import BackEndBoard
+from back_ends import BackEndProcess
 from callers import Client, CrashingCaller, Operator, Trainer
 from checks import check_all
 from faults import Faults
@@ -140,7 +140,7 @@
     else:
         use_subnet(arguments.subnet)
     counts = {"pages": 3, "shop": 3, "engines": 3}
-    back_ends = BackEndBoard(layout, counts, arguments.seed)
+    back_ends = BackEndProcess(layout, counts, arguments.seed)
     fleet = None
     good = False
     try:
