--- a/test/soak/checks.py
+++ b/test/soak/checks.py
@@ -8,9 +8,9 @@
 from row import Row
 
 # Lease of the engine orders in the settings of this fleet, in seconds.
-HOLDER_LEASE = 3.0
+TASK_LEASE = 3.0
 # Orders this soon after a process resumed or a link healed may be late and are not judged, seconds.
-THAW = 0.3
+RESUME_GRACE = 0.3
 SERVED_SHARE = 0.25
 # A request that has crashed CRASHES_KNOWN back ends may be forwarded at most SENT_LATER more times,
 # from CONTACT after the last of these crashes.
@@ -18,7 +18,7 @@
 SENT_LATER = 3
 # Text of the response to a withheld request, and how many valid requests may be withheld by mistake.
 WITHHELD = "back ends ended under this request"
-WITHHELD_SHARE, WITHHELD_MOST = 0.002, 5
+MAX_WITHHELD_SHARE, MAX_WITHHELD = 0.002, 5
 
 
 def check_answers(history, instances):
@@ -104,11 +104,12 @@
     for order in history.of(Order):
         before = latest.get(order.instance)
         latest[order.instance] = order
-        if before is None or any(span.over <= order.at <= span.over + THAW for span in spans):
+        if before is None or any(span.over <= order.at <= span.over + RESUME_GRACE
+                                 for span in spans):
             continue
         same = before.holder == order.holder
         fenced = order.fence >= before.fence and (same or order.fence > before.fence)
-        row.case(fenced and (same or order.at - before.at >= HOLDER_LEASE), (before, order))
+        row.case(fenced and (same or order.at - before.at >= TASK_LEASE), (before, order))
     return row
 
 
@@ -129,7 +130,7 @@
     proper = Row("proper requests not withheld")
     calls = history.of(Call)
     withheld = [call for call in calls if call.status == 503 and WITHHELD in call.body]
-    allowed = WITHHELD_MOST + WITHHELD_SHARE * len(calls)
+    allowed = MAX_WITHHELD + MAX_WITHHELD_SHARE * len(calls)
     proper.case(len(withheld) <= allowed, (len(withheld), len(calls), withheld[:2]))
     return [row, proper]
 
--- a/test/soak/checks_test.py
+++ b/test/soak/checks_test.py
@@ -439,7 +439,7 @@
         self.expect(checks.check_crashing(history, LAYOUT)[0], 1, 1)
         history.add(Span("freeze", (6,), 4.0, 6.0))
         self.expect(checks.check_crashing(history, LAYOUT)[0], 1, 0)
-        for number in range(checks.WITHHELD_MOST + 1):
+        for number in range(checks.MAX_WITHHELD + 1):
             history.add(answered(str(number), 503, body=checks.WITHHELD))
         self.expect(checks.check_crashing(history, LAYOUT)[1], 1, 1)
 
