--- a/test/soak/checks_test.py
+++ b/test/soak/checks_test.py
@@ -89,7 +89,7 @@
     layout = LARGE
 
     def __init__(self):
-        self.struck = set()
+        self.affected = set()
         self.clocks = FakeClocks()
 
     def on_machine(self, machine):
@@ -98,11 +98,11 @@
 
     def kill(self, nodes):
         """Records the machines."""
-        self.struck.update(nodes)
+        self.affected.update(nodes)
 
     def stop_gracefully(self, nodes):
         """Records the machines; no exit codes."""
-        self.struck.update(nodes)
+        self.affected.update(nodes)
         return [0]
 
     def start_node(self, node):
@@ -112,26 +112,26 @@
 class FaultsTest(unittest.TestCase):
     """Faults affect only the intended machines."""
 
-    def struck_by(self, name):
+    def affected_by(self, name):
         """The machines affected by many runs of one fault, and the maximum per run."""
         random.seed(1)
-        struck, most = set(), 0
+        affected, max_affected = set(), 0
         for _ in range(60):
             fleet = FakeFleet()
             faults = Faults(fleet, None, History())
             with unittest.mock.patch("faults.time.sleep"):
                 faults.play(getattr(faults, name))
-            struck |= fleet.struck
-            most = max(most, len(fleet.struck))
-        return struck, most
+            affected |= fleet.affected
+            max_affected = max(max_affected, len(fleet.affected))
+        return affected, max_affected
 
     def test_one_machine(self):
         """One machine at a time, storage machines and gateways."""
         for name in ("kill", "stop"):
-            struck, most = self.struck_by(name)
-            self.assertEqual(most, 1, name)
-            self.assertTrue(struck & set(LARGE.machines), name)
-            self.assertTrue(struck & set(LARGE.gateways), name)
+            affected, max_affected = self.affected_by(name)
+            self.assertEqual(max_affected, 1, name)
+            self.assertTrue(affected & set(LARGE.machines), name)
+            self.assertTrue(affected & set(LARGE.gateways), name)
 
     def test_clocks_are_right_in_the_end(self):
         """A stepped clock is reset at the end, also with restarts in between."""
@@ -145,14 +145,14 @@
                     self.assertTrue(faults.play(getattr(faults, name)))
                 self.assertTrue(fleet.clocks.off)
                 self.assertEqual(set(fleet.clocks.off.values()), {0.0})
-                started += len(fleet.struck)
+                started += len(fleet.affected)
         self.assertGreater(started, 0)
 
     def test_several_gateways(self):
         """Only gateways, up to the limit."""
         for name in ("kill_gateways", "stop_several"):
-            struck, _ = self.struck_by(name)
-            self.assertTrue(struck <= set(LARGE.gateways), name)
+            affected, _ = self.affected_by(name)
+            self.assertTrue(affected <= set(LARGE.gateways), name)
 
 
 class CutTest(unittest.TestCase):
@@ -283,22 +283,22 @@
         """A fault of the gateway within CONTACT; a fault of a control node if there are few, or if
         it acknowledged the version. Later, a running majority must use it again."""
         call, run = answered("a", route="/moved/"), Run("a", moved_service(1), "i-1", 10.1)
-        def struck(machine, over, kind="freeze"):
+        def fault_span(machine, over, kind="freeze"):
             return Span(kind, (machine,), over - 1.0, over)
-        self.expect(self.in_force(call, run, struck(14, 7.5, "cut")), 0, 0)
-        self.expect(self.in_force(call, run, struck(14, 6.5, "cut")), 1, 1)
+        self.expect(self.in_force(call, run, fault_span(14, 7.5, "cut")), 0, 0)
+        self.expect(self.in_force(call, run, fault_span(14, 6.5, "cut")), 1, 1)
         # A resuming gateway knows that its configuration may be outdated.
         for kind in ("freeze", "suspend", "stand_still"):
-            self.expect(self.in_force(call, run, struck(14, 9.9, kind)), 1, 1)
-        self.expect(self.in_force(call, run, struck(15, 9.5)), 1, 1)
-        self.expect(self.in_force(call, run, struck(2, 9.5)), 1, 1)
-        self.expect(self.in_force(call, run, struck(1, 9.5)), 1, 0)
+            self.expect(self.in_force(call, run, fault_span(14, 9.9, kind)), 1, 1)
+        self.expect(self.in_force(call, run, fault_span(15, 9.5)), 1, 1)
+        self.expect(self.in_force(call, run, fault_span(2, 9.5)), 1, 1)
+        self.expect(self.in_force(call, run, fault_span(1, 9.5)), 1, 0)
         late = answered("a", route="/moved/")
         late.sent = late.ended = 14.0
         late_run = Run("a", moved_service(1), "i-1", 14.1)
-        self.expect(self.in_force(late, late_run, struck(1, 13.5)), 1, 1)
-        self.expect(self.in_force(call, run, struck(2, 9.5), layout=LAYOUT), 1, 0)
-        self.expect(self.in_force(call, run, struck(1, 9.5, "kill_all")), 0, 0)
+        self.expect(self.in_force(late, late_run, fault_span(1, 13.5)), 1, 1)
+        self.expect(self.in_force(call, run, fault_span(2, 9.5), layout=LAYOUT), 1, 0)
+        self.expect(self.in_force(call, run, fault_span(1, 9.5, "kill_all")), 0, 0)
 
     def test_a_long_cut(self):
         """During a partition the majority's version must be used, except just after its start."""
--- a/test/soak/faults.py
+++ b/test/soak/faults.py
@@ -19,14 +19,14 @@
 # A machine that lost its disk stays claimed for this long after its restart, to catch up.
 CATCH_UP = 6.0
 # Maximum step of the time of day, in seconds, forward or back.
-STEP = 8.0
+MAX_CLOCK_STEP = 8.0
 # Time between two restarts with a clock step in between, in seconds: minimum and maximum.
-SHORT_LIFE = (0.2, 2.0)
+RESTART_INTERVAL = (0.2, 2.0)
 # Pause of a gateway, in seconds. Longer than the bound for changes to be in force, so that it
 # misses some.
-STANDS_STILL = (3.0, 12.0)
+GATEWAY_PAUSE = (3.0, 12.0)
 # Maximum share of the gateways under a fault at the same time.
-STRUCK_GATEWAYS = 0.25
+MAX_FAULTY_GATEWAY_SHARE = 0.25
 
 
 class Claims:
@@ -36,53 +36,53 @@
     def __init__(self, layout):
         self._layout = layout
         self._lock = threading.Lock()
-        self._struck = set()
-        self._alone = False
+        self._faulty = set()
+        self._all_claimed = False
 
     def _count(self, machines):
-        return sum(machine in machines for machine in self._struck)
+        return sum(machine in machines for machine in self._faulty)
 
     def take(self, machines, wanted=1):
         """Claims up to `wanted` random machines without a fault, as far as the limits allow."""
         layout = self._layout
         with self._lock:
-            if self._alone:
+            if self._all_claimed:
                 return ()
-            free = [machine for machine in machines if machine not in self._struck]
+            free = [machine for machine in machines if machine not in self._faulty]
             if set(machines) <= set(layout.machines):
-                room = layout.tolerate - self._count(layout.machines)
+                capacity = layout.tolerate - self._count(layout.machines)
             else:
-                most = max(1, int(len(layout.gateways) * STRUCK_GATEWAYS))
-                room = most - self._count(layout.gateways)
-            chosen = tuple(random.sample(free, max(0, min(wanted, room, len(free)))))
-            self._struck.update(chosen)
+                max_faulty = max(1, int(len(layout.gateways) * MAX_FAULTY_GATEWAY_SHARE))
+                capacity = max_faulty - self._count(layout.gateways)
+            chosen = tuple(random.sample(free, max(0, min(wanted, capacity, len(free)))))
+            self._faulty.update(chosen)
             return chosen
 
-    def give_back(self, machines):
+    def release(self, machines):
         """Releases the claim on machines whose fault is over."""
         with self._lock:
-            self._struck.difference_update(machines)
+            self._faulty.difference_update(machines)
 
-    def alone(self, timeout=20.0):
+    def claim_all(self, timeout=20.0):
         """Blocks new faults and waits until no machine with a disk has one; whether that came in
         time."""
         until = now() + timeout
         with self._lock:
-            if self._alone:
+            if self._all_claimed:
                 return False
-            self._alone = True
+            self._all_claimed = True
         while now() < until:
             with self._lock:
                 if not self._count(self._layout.machines):
                     return True
             time.sleep(0.05)
-        self.together()
+        self.release_all()
         return False
 
-    def together(self):
+    def release_all(self):
         """Allows other faults again, after `alone`."""
         with self._lock:
-            self._alone = False
+            self._all_claimed = False
 
 
 class Faults:
@@ -100,7 +100,7 @@
             self.kill, self.kill, self.freeze, self.cut, self.cut_one_way, self.slow_link, self.reset_links,
             self.stop, self.slow, self.reload]
         self._gateway_kinds = [self.stand_still]
-        self._alone_kinds = [self.kill_all, self.rolling_stop, self.cut_in_two, self.cut_zones]
+        self._exclusive_kinds = [self.kill_all, self.rolling_stop, self.cut_in_two, self.cut_zones]
         self._clock_kinds = [self.step_clock, self.restart_across_step, self.suspend]
         if fleet.clocks.library:
             self.one_machine += self._clock_kinds
@@ -134,20 +134,20 @@
         if kind in self.of_back_ends:
             # Back-end faults claim no machine of the system.
             what = f"{kind.__name__} {kind()}"
-        elif kind in self._alone_kinds:
-            if not self._claims.alone():
+        elif kind in self._exclusive_kinds:
+            if not self._claims.claim_all():
                 return None
             try:
-                what = self._noted(kind, self._layout.machines)
+                what = self._run_recorded(kind, self._layout.machines)
             finally:
-                self._claims.together()
+                self._claims.release_all()
         else:
-            what = self._on_claimed(kind)
+            what = self._run_claimed(kind)
         if what:
             self.played.append(what)
         return what
 
-    def _on_claimed(self, kind):
+    def _run_claimed(self, kind):
         layout = self._layout
         if kind == self.kill_gateways:
             machines, wanted = layout.gateways, len(layout.gateways)
@@ -170,11 +170,11 @@
         if not chosen:
             return None
         try:
-            return self._noted(kind, chosen)
+            return self._run_recorded(kind, chosen)
         finally:
-            self._claims.give_back(chosen)
+            self._claims.release(chosen)
 
-    def _noted(self, kind, machines):
+    def _run_recorded(self, kind, machines):
         if kind == self.reload:
             # A reload is not recorded: it excuses no violation.
             kind(machines)
@@ -224,7 +224,7 @@
     def stand_still(self, machines):
         """Pauses gateways and resumes them with requests and changes queued in their sockets. They
         have no other fault, so that their behavior on resuming is checked."""
-        seconds = random.uniform(*STANDS_STILL)
+        seconds = random.uniform(*GATEWAY_PAUSE)
         for machine in machines:
             self._fleet.signal(machine, signal.SIGSTOP)
         time.sleep(seconds)
@@ -234,7 +234,7 @@
 
     def step_clock(self, machines):
         """Steps the time of day of machines, and back after some seconds."""
-        ahead = random.uniform(-STEP, STEP)
+        ahead = random.uniform(-MAX_CLOCK_STEP, MAX_CLOCK_STEP)
         self._set_clocks(machines, ahead)
         time.sleep(random.uniform(0.5, 1.5) * AWAY)
         self._set_clocks(machines, 0.0)
@@ -243,11 +243,11 @@
     def restart_across_step(self, machines):
         """Restarts machines twice with a step back of the time of day in between, so that the later
         incarnation has the earlier start time."""
-        first, second = random.choice(((random.uniform(1, STEP), 0.0),
-                                       (0.0, random.uniform(-STEP, -1))))
+        first, second = random.choice(((random.uniform(1, MAX_CLOCK_STEP), 0.0),
+                                       (0.0, random.uniform(-MAX_CLOCK_STEP, -1))))
         self._set_clocks(machines, first)
         self._kill_and_restart(machines)
-        time.sleep(random.uniform(*SHORT_LIFE))
+        time.sleep(random.uniform(*RESTART_INTERVAL))
         self._set_clocks(machines, second)
         self._kill_and_restart(machines)
         if second:
@@ -369,10 +369,10 @@
                 time.sleep(0.1)
             try:
                 self._fleet.set_earlier_build(machine, before)
-                print(f"  {self._noted(self.stop, (machine,))} to the build "
+                print(f"  {self._run_recorded(self.stop, (machine,))} to the build "
                       f"{'before' if before else 'of now'}", flush=True)
             finally:
-                self._claims.give_back((machine,))
+                self._claims.release((machine,))
 
     def stop_several(self, machines):
         """Gracefully restarts several gateways at the same time."""
