--- a/test/soak/callers.py
+++ b/test/soak/callers.py
@@ -65,7 +65,7 @@
 
     def _run(self):
         while not self.stopped:
-            self._ask(random.choice(self.ROUTES))
+            self._send_request(random.choice(self.ROUTES))
             if random.random() < self.MOVES:
                 self._drop()
             time.sleep(random.uniform(0.02, 0.1))
@@ -75,7 +75,7 @@
             self._connection.close()
         self._connection = None
 
-    def _ask(self, route):
+    def _send_request(self, route):
         for _ in range(2):
             if self._connection is None:
                 self._machine = random.choice(self._layout.gateways)
@@ -113,10 +113,10 @@
     def _run(self):
         while not self.stopped:
             for _ in range(2):
-                self._ask()
+                self._send_request()
             time.sleep(random.uniform(*self.PAUSE))
 
-    def _ask(self):
+    def _send_request(self):
         machine = random.choice(self._layout.gateways)
         call = self._history.add(CrashingCall(new_id(), self._target, machine, now()))
         headers = {"Host": HOST, "Request-Id": call.request,
@@ -169,7 +169,7 @@
             time.sleep(0.1)
         return False
 
-    def _draw(self, count=1):
+    def _next_documents(self, count=1):
         """The next versions and their documents, recorded as sent."""
         drawn = []
         with self._lock:
@@ -183,18 +183,18 @@
 
     def replace(self):
         """Sends the next document like `_send`; whether it was acknowledged."""
-        version, text = self._draw()[0]
+        version, text = self._next_documents()[0]
         return self._send(version, text, 20)
 
     def _race(self):
         """Sends two documents concurrently, half the time with the same version number."""
-        version, text = self._draw()[0]
+        version, text = self._next_documents()[0]
         other_version, other, allowed = version, text, (200, 409)
         if random.random() < 0.5:
             other = json.dumps(routing_document(version, priority=1))
             self._sent[version].append(other)
         else:
-            other_version, other = self._draw()[0]
+            other_version, other = self._next_documents()[0]
             allowed = (200,)
         threads = [threading.Thread(target=self._send, args=(*content, 20, allowed))
                    for content in ((version, text), (other_version, other))]
@@ -297,11 +297,11 @@
             begun = now()
             step = Step(number)
             self.steps.append(step)
-            if self._hand_in(step):
-                self._await(step)
+            if self._submit(step):
+                self._await_groups(step)
                 self._call("DELETE", f"/v1/lots/{step.job}", {})
             number += 1
-            self._name(number + 1)
+            self._announce_version(number + 1)
             time.sleep(max(0.0, begun + STEP_TIME - now()))
         self.ended.set()
 
@@ -312,7 +312,7 @@
         except OSError:
             return 0, {}, b""
 
-    def _hand_in(self, step):
+    def _submit(self, step):
         requests = []
         for group in range(GROUPS):
             for _ in range(GROUP_SIZE):
@@ -358,7 +358,7 @@
             self._history.add(RecordedResult(step.job, after + offset, fields, ip_of(machine)))
         return results
 
-    def _await(self, step):
+    def _await_groups(self, step):
         seen = {}
         until = now() + STEP_DEADLINE
         while now() < until:
@@ -374,7 +374,7 @@
                 return
             time.sleep(0.3)
 
-    def _name(self, version):
+    def _announce_version(self, version):
         body = json.dumps({"model": MODEL, "version": version})
         while not self.stopped:
             try:
--- a/test/soak/probes.py
+++ b/test/soak/probes.py
@@ -13,10 +13,10 @@
 RESPONSE_TIMEOUT = 2.0
 # Wait for a response before the next probe is sent, in seconds, so that some probes queue in the
 # sockets of a paused gateway.
-BESIDE_AFTER = 0.5
+OVERLAP_AFTER = 0.5
 # Connections to each gateway, used round-robin. A resuming gateway reads requests on new
 # connections only after the changes that it missed, so probes use established ones.
-KEPT = 12
+MAX_CONNECTIONS = 12
 # Maximum number of missed changes that the probed routes detect.
 CHANGES_SEEN = 3 * ADDED_KEPT
 RECONNECT_PAUSE = 0.1
@@ -33,7 +33,7 @@
         self._pause = pause
         self._random = random.Random(random.random())
         # Probes in flight; some overlap later ones.
-        self._questions = set()
+        self._in_flight = set()
         self.stopped = False
         threading.Thread(target=lambda: asyncio.run(self._run()), daemon=True).start()
 
@@ -47,28 +47,28 @@
                                     added_route(number), flawed_route(newest + 1), "/pages/"))
 
     async def _probe(self, machine):
-        kept = collections.deque()
+        connections = collections.deque()
         while not self.stopped:
             await asyncio.sleep(self._pause * self._random.uniform(0.5, 1.5))
-            if len(kept) < KEPT:
+            if len(connections) < MAX_CONNECTIONS:
                 connection = await self._connect(machine)
                 if connection is None:
                     await asyncio.sleep(RECONNECT_PAUSE)
                 else:
-                    kept.append(connection)
-            if kept:
-                question = asyncio.create_task(self._ask_over(machine, kept))
-                self._questions.add(question)
-                question.add_done_callback(self._questions.discard)
-                await asyncio.wait({question}, timeout=BESIDE_AFTER)
-        for _, writer in kept:
+                    connections.append(connection)
+            if connections:
+                probe = asyncio.create_task(self._probe_over(machine, connections))
+                self._in_flight.add(probe)
+                probe.add_done_callback(self._in_flight.discard)
+                await asyncio.wait({probe}, timeout=OVERLAP_AFTER)
+        for _, writer in connections:
             writer.close()
 
-    async def _ask_over(self, machine, kept):
+    async def _probe_over(self, machine, connections):
         """Sends a probe over the least recently used connection; keeps it if it may be reused."""
-        connection = kept.popleft()
-        if await self._ask(machine, *connection):
-            kept.append(connection)
+        connection = connections.popleft()
+        if await self._send_probe(machine, *connection):
+            connections.append(connection)
         else:
             connection[1].transport.abort()
 
@@ -80,7 +80,7 @@
         except (OSError, asyncio.TimeoutError):
             return None
 
-    async def _ask(self, machine, reader, writer):
+    async def _send_probe(self, machine, reader, writer):
         """Sends one probe; returns whether the connection may be reused."""
         route = self._route()
         call = Call(f"{self._random.randrange(1 << 64):016x}", route, ip_of(machine), now())
--- a/test/soak/soak.py
+++ b/test/soak/soak.py
@@ -82,7 +82,7 @@
         one.join()
 
 
-def read_to_the_end(trainer):
+def reread_results(trainer):
     """Reads every accepted step again from the start; returns the jobs that could not be read."""
     lost = []
     for step in trainer.steps:
@@ -122,7 +122,7 @@
     for part in (*callers, operator, trainer):
         part.stopped = True
     trainer.ended.wait(20)
-    lost = read_to_the_end(trainer)
+    lost = reread_results(trainer)
     instances = back_ends.end(history)
     return check_all(history, operator, trainer, instances, layout, end_of_faults), lost
 
