--- a/test/soak/checks.py
+++ b/test/soak/checks.py
@@ -16,7 +16,7 @@
 # from CONTACT after the last of these crashes.
 CRASHES_KNOWN = 3
 SENT_LATER = 3
-# Text of the response to a withheld request, and how many valid requests may be withheld by mistake.
+# Text of the response to a withheld request, and limits for valid requests withheld by mistake.
 WITHHELD = "back ends ended under this request"
 MAX_WITHHELD_SHARE, MAX_WITHHELD = 0.002, 5
 
--- a/test/soak/routing_checks.py
+++ b/test/soak/routing_checks.py
@@ -10,8 +10,8 @@
 import json
 
 from documents import SCORE_ROUTE, service_of
-from history import (Acknowledged, Call, OperatorCall, Confirmation, ReadBack, Run, Sent, Span,
-                     Started)
+from history import Acknowledged, Call, OperatorCall, Confirmation, ReadBack, Run, Sent, Span, \
+    Started
 from row import Row
 
 # Bounds promised to users, in seconds.
@@ -171,8 +171,8 @@
     for confirmation in history.of(Confirmation):
         if not connectivity.gateway(confirmation.machine, confirmation.asked, confirmation.at):
             continue
-        if (connectivity.control_group(confirmation.asked, confirmation.at, 0)
-                and connectivity.majority(confirmation.asked, confirmation.at)):
+        if connectivity.control_group(confirmation.asked, confirmation.at, 0) \
+                and connectivity.majority(confirmation.asked, confirmation.at):
             row.case(confirmation.valid, confirmation)
     return row
 
