--- a/test/soak/links.py
+++ b/test/soak/links.py
@@ -68,10 +68,10 @@
 
 async def _serve_commands(pipe, pairs):
     links = {}
-    kept = []
+    servers = []
     for pair, target in pairs.items():
         links[pair] = Link(target)
-        kept.append(await links[pair].start())
+        servers.append(await links[pair].start())
     pipe.send({pair: link.port for pair, link in links.items()})
     loop = asyncio.get_running_loop()
     while True:
