--- a/test/soak/checks.py
+++ b/test/soak/checks.py
@@ -91,7 +91,7 @@
         valid = text == expected and score and versions and min(versions) >= step.min_version
         complete.case(valid, recorded)
     items = [recorded.result[0] for recorded in known.values()]
-    stays.case(len(items) == len(set(items)), "an item stands at two positions")
+    stays.case(len(items) == len(set(items)), "an item has two positions")
     return [stays, complete]
 
 
@@ -142,7 +142,7 @@
     served = sum(call.status == 200 for call in calls)
     row.case(bool(calls) and served >= SERVED_SHARE * len(calls), f"{served} of {len(calls)}")
     steps = [step for step in trainer.steps if step.accepted_at > end_of_faults]
-    row.case(any(step.complete for step in steps), "no step was whole")
+    row.case(any(step.complete for step in steps), "no step was complete")
     return row
 
 
--- a/test/soak/soak.py
+++ b/test/soak/soak.py
@@ -35,17 +35,17 @@
                         "machine is replaced in turn among the faults; one goes back for a while")
     parser.add_argument("--clock", default="",
                         help="library that shifts clocks; without it none is shifted")
-    parser.add_argument("--seconds", type=float, default=120, help="how long faults are played")
+    parser.add_argument("--seconds", type=float, default=120, help="duration of the faults, in seconds")
     parser.add_argument("--seed", type=int, default=1, help="chooses the faults")
     parser.add_argument("--stores", type=int, default=5, help="machines with a disk")
     parser.add_argument("--gateways", type=int, default=6, help="machines with a gateway")
     parser.add_argument("--zones", type=int, default=3, help="zones of the machines")
     parser.add_argument("--tolerate", type=int, default=1,
-                        help="machines with a disk struck at a time")
-    parser.add_argument("--series", type=int, default=2, help="series of faults that overlap")
-    parser.add_argument("--kinds", default="", help="kinds of faults, by comma; all if empty")
+                        help="machines with a disk under a fault at a time")
+    parser.add_argument("--series", type=int, default=2, help="number of overlapping series of faults")
+    parser.add_argument("--kinds", default="", help="kinds of faults, separated by commas; all if empty")
     parser.add_argument("--pause", type=float, default=1.5,
-                        help="shortest pause of a series between two faults, in seconds")
+                        help="minimum pause between two faults of a series, in seconds")
     parser.add_argument("--clients", type=int, default=6, help="clients on connections they keep")
     parser.add_argument("--crashing", type=int, default=2,
                         help="requests that crash the back ends that run them")
@@ -54,9 +54,9 @@
     parser.add_argument("--change", type=float, default=2.5,
                         help="seconds between two changes of the configuration")
     parser.add_argument("--subnet", type=int,
-                        help="third number of the addresses; the first that is free if not given")
-    parser.add_argument("--show", type=int, default=3, help="broken cases shown of each promise")
-    parser.add_argument("--keep", action="store_true", help="keep logs and data of a good run")
+                        help="third byte of the addresses; by default the first free one")
+    parser.add_argument("--show", type=int, default=3, help="violations printed for each check")
+    parser.add_argument("--keep", action="store_true", help="keep logs and data of a successful run")
     return parser.parse_args()
 
 
