--- a/test/soak/soak.py
+++ b/test/soak/soak.py
@@ -19,7 +19,7 @@
 from fleet import Fleet, Layout, use_free_subnet, use_subnet
 from history import History, now
 from probes import Prober
-from proofs import ConfirmationReader
+from confirmations import ConfirmationReader
 
 START_LIMIT = 20.0
 RECOVERY = 12.0
@@ -35,15 +35,18 @@
                         "machine is replaced in turn among the faults; one goes back for a while")
     parser.add_argument("--clock", default="",
                         help="library that shifts clocks; without it none is shifted")
-    parser.add_argument("--seconds", type=float, default=120, help="duration of the faults, in seconds")
+    parser.add_argument("--seconds", type=float, default=120,
+                        help="duration of the faults, in seconds")
     parser.add_argument("--seed", type=int, default=1, help="chooses the faults")
     parser.add_argument("--stores", type=int, default=5, help="machines with a disk")
     parser.add_argument("--gateways", type=int, default=6, help="machines with a gateway")
     parser.add_argument("--zones", type=int, default=3, help="zones of the machines")
     parser.add_argument("--tolerate", type=int, default=1,
                         help="machines with a disk under a fault at a time")
-    parser.add_argument("--series", type=int, default=2, help="number of overlapping series of faults")
-    parser.add_argument("--kinds", default="", help="kinds of faults, separated by commas; all if empty")
+    parser.add_argument("--series", type=int, default=2,
+                        help="number of overlapping series of faults")
+    parser.add_argument("--kinds", default="",
+                        help="kinds of faults, separated by commas; all if empty")
     parser.add_argument("--pause", type=float, default=1.5,
                         help="minimum pause between two faults of a series, in seconds")
     parser.add_argument("--clients", type=int, default=6, help="clients on connections they keep")
@@ -56,7 +59,8 @@
     parser.add_argument("--subnet", type=int,
                         help="third byte of the addresses; by default the first free one")
     parser.add_argument("--show", type=int, default=3, help="violations printed for each check")
-    parser.add_argument("--keep", action="store_true", help="keep logs and data of a successful run")
+    parser.add_argument("--keep", action="store_true",
+                        help="keep logs and data of a successful run")
     return parser.parse_args()
 
 
