--- a/test/soak/checks_test.py
+++ b/test/soak/checks_test.py
@@ -159,9 +159,9 @@
     """One-way and overlapping cuts."""
 
     def setUp(self):
-        self.silent = {}
+        self.blocked = {}
         links = unittest.mock.Mock()
-        links.set = lambda name, pairs, value: self.silent.update(dict.fromkeys(pairs, set(value)))
+        links.set = lambda name, pairs, value: self.blocked.update(dict.fromkeys(pairs, set(value)))
         with unittest.mock.patch("fleet.LinkProcess", return_value=links), \
                 unittest.mock.patch("fleet.addresses_in_use", return_value=None):
             self.fleet = Fleet("program", "folder", Layout(stores=1, gateway_count=1), History())
@@ -172,20 +172,20 @@
     def test_one_way(self):
         """Traffic from a machine is dropped, whichever end opened the connection."""
         cut = self.fleet.cut_one_way(2, heard=False)
-        self.assertEqual(self.silent[self.opened_by_gateway], {FORTH})
-        self.assertEqual(self.silent[self.opened_by_control], {BACK})
+        self.assertEqual(self.blocked[self.opened_by_gateway], {FORTH})
+        self.assertEqual(self.blocked[self.opened_by_control], {BACK})
         self.fleet.heal(cut)
-        self.assertEqual(self.silent[self.opened_by_gateway], set())
+        self.assertEqual(self.blocked[self.opened_by_gateway], set())
 
     def test_overlapping(self):
         """Directions that another cut covers stay cut."""
         complete = self.fleet.cut((2,))
         one_way = self.fleet.cut_one_way(1, heard=False)
         self.fleet.heal(complete)
-        self.assertEqual(self.silent[self.opened_by_gateway], {BACK})
-        self.assertEqual(self.silent[self.opened_by_control], {FORTH})
+        self.assertEqual(self.blocked[self.opened_by_gateway], {BACK})
+        self.assertEqual(self.blocked[self.opened_by_control], {FORTH})
         self.fleet.heal(one_way)
-        self.assertEqual(self.silent[self.opened_by_control], set())
+        self.assertEqual(self.blocked[self.opened_by_control], set())
 
 
 class ConfirmationTest(unittest.TestCase):
@@ -418,12 +418,12 @@
                                (Order("i-1", "n1", 4, 11.0), 1)):
             self.expect(checks.check_orders(history_of(first, second)), 1, broken)
 
-    def test_orders_after_a_thaw(self):
+    def test_orders_after_a_pause(self):
         """An order right after a pause is not checked."""
         orders = [Order("i-1", "n1", 5, 10.0), Order("i-1", "n2", 6, 10.5)]
         self.expect(checks.check_orders(history_of(*orders)), 1, 1)
-        thawed = Span("freeze", (2,), 8.0, 10.4)
-        self.expect(checks.check_orders(history_of(*orders, thawed)), 0, 0)
+        paused = Span("freeze", (2,), 8.0, 10.4)
+        self.expect(checks.check_orders(history_of(*orders, paused)), 0, 0)
 
     def test_crashing(self):
         """Too many sends after CONTACT from the third crash; valid requests withheld."""
--- a/test/soak/routing_checks.py
+++ b/test/soak/routing_checks.py
@@ -186,8 +186,8 @@
             starts.setdefault(record.machine, []).append(record.at)
     floors = {}
     for entry in outcomes:
-        life = sum(at <= entry.at for at in starts[entry.call.machine])
-        earlier = floors.setdefault((entry.call.machine, life), [])
+        incarnation = sum(at <= entry.at for at in starts[entry.call.machine])
+        earlier = floors.setdefault((entry.call.machine, incarnation), [])
         floor = max((version for at, version in earlier if at < entry.call.sent - REVERT_SLACK),
                     default=0)
         possible = [version for version in versions.possible(floor, entry.at)
