--- a/test/soak/checks.py
+++ b/test/soak/checks.py
@@ -1,26 +1,28 @@
-"""Promises, checked against the history of a soak. Each check counts its cases and those broken."""
+"""Checks of the service's guarantees against the history of a soak. Each check counts its cases and
+violations."""
 
 from back_ends import is_stamp
 from callers import NOT_RUN
-from history import Acknowledged, Call, CrashingRun, CrashingCall, Listed, Order, Run, Span
-from routing_checks import CONTACT, Touch, check_routing
+from history import Acknowledged, Call, CrashingRun, CrashingCall, RecordedResult, Order, Run, Span
+from routing_checks import CONTACT, Connectivity, check_routing
 from row import Row
 
-# Bound of the settings of this fleet, in seconds.
-HOLDER_LEASE = 3.0
-# Orders this soon after a process thawed or a link healed are not its holder's fault.
-THAW = 0.3
+# Lease of the engine orders in the settings of this fleet, in seconds.
+TASK_LEASE = 3.0
+# Orders this soon after a process resumed or a link healed may be late and are not judged, seconds.
+RESUME_GRACE = 0.3
 SERVED_SHARE = 0.25
-# So often may a request that has crashed three back ends be sent on, CONTACT after the third.
+# A request that has crashed CRASHES_KNOWN back ends may be forwarded at most SENT_LATER more times,
+# from CONTACT after the last of these crashes.
 CRASHES_KNOWN = 3
 SENT_LATER = 3
-# What an answer says to a request that is withheld; so many proper ones may be, by mistake.
+# Text of the response to a withheld request, and limits for valid requests withheld by mistake.
 WITHHELD = "back ends ended under this request"
-WITHHELD_SHARE, WITHHELD_MOST = 0.002, 5
+MAX_WITHHELD_SHARE, MAX_WITHHELD = 0.002, 5
 
 
 def check_answers(history, instances):
-    """A success is a back end's whole, signed answer to its own request."""
+    """A successful response is complete, signed by a back end and belongs to its request."""
     row = Row("whole answer to its own request")
     for call in history.of(Call):
         if call.status != 200:
@@ -31,7 +33,7 @@
 
 
 def check_at_most_once(history):
-    """A request that may not be repeated runs at most once, and "not run" is true."""
+    """A non-idempotent request runs at most once, and never if its response says "not run"."""
     once = Row("at most once")
     not_run = Row("not-run is true")
     runs = {}
@@ -48,10 +50,10 @@
 
 
 def check_leaving(history, layout):
-    """A back end that is leaving gets no request of a client from a gateway in touch after the
-    bound, also not as it wakes, and no item of a job from anybody."""
+    """After the bound, a leaving back end gets no client request from a connected gateway, also not
+    from one that resumes after a pause, and no job item from any node."""
     row = Row("no work to leaving back ends")
-    touch = Touch(history, layout)
+    connectivity = Connectivity(history, layout)
     first = {}
     for record in history.of(Acknowledged):
         if record.name.startswith("leaving "):
@@ -62,57 +64,59 @@
         gateway = gateways.get(run.request)
         if at is None:
             continue
-        if gateway is not None and not touch.gateway_but_for_standstill(gateway, at, run.at):
+        if gateway is not None and not connectivity.gateway_except_pauses(gateway, at, run.at):
             continue
         row.case(run.at <= at + layout.leaving, (run, at, gateway))
     return row
 
 
 def check_results(history, trainer, instances):
-    """Each position keeps its result at every node; texts are whole; scores and versions true."""
+    """Every node returns the same result for a position; texts are complete and scored, and by
+    weights no older than the step allows."""
     stays = Row("a position keeps its result")
-    whole = Row("texts whole, scored, of allowed versions")
+    complete = Row("texts whole, scored, of allowed versions")
     steps = {step.job: step for step in trainer.steps}
     known = {}
-    for listed in history.of(Listed):
-        held = known.setdefault((listed.job, listed.position), listed)
-        stays.case(held.result == listed.result, (held, listed))
-        if held is not listed:
+    for recorded in history.of(RecordedResult):
+        held = known.setdefault((recorded.job, recorded.position), recorded)
+        stays.case(held.result == recorded.result, (held, recorded))
+        if held is not recorded:
             continue
-        step = steps[listed.job]
-        item, state, text, versions, score = listed.result
+        step = steps[recorded.job]
+        item, state, text, versions, score = recorded.result
         if state != "done":
             continue
         _, events = step.items[item]
         expected = "\n".join(f"{item}-{number}" for number in range(1, events + 1))
-        sound = text == expected and score and versions and min(versions) >= step.min_version
-        whole.case(sound, listed)
-    items = [listed.result[0] for listed in known.values()]
-    stays.case(len(items) == len(set(items)), "an item stands at two positions")
-    return [stays, whole]
+        valid = text == expected and score and versions and min(versions) >= step.min_version
+        complete.case(valid, recorded)
+    items = [recorded.result[0] for recorded in known.values()]
+    stays.case(len(items) == len(set(items)), "an item has two positions")
+    return [stays, complete]
 
 
 def check_orders(history):
-    """One holder of orders an engine: fences rise, holders change only after the lease."""
+    """Each engine has one lease holder: fences never decrease, and rise when the holder changes,
+    which happens only after the lease has expired."""
     row = Row("one holder of orders")
     spans = history.of(Span)
     latest = {}
     for order in history.of(Order):
         before = latest.get(order.instance)
         latest[order.instance] = order
-        if before is None or any(span.over <= order.at <= span.over + THAW for span in spans):
+        if before is None or any(span.over <= order.at <= span.over + RESUME_GRACE
+                                 for span in spans):
             continue
         same = before.holder == order.holder
         fenced = order.fence >= before.fence and (same or order.fence > before.fence)
-        row.case(fenced and (same or order.at - before.at >= HOLDER_LEASE), (before, order))
+        row.case(fenced and (same or order.at - before.at >= TASK_LEASE), (before, order))
     return row
 
 
 def check_crashing(history, layout):
-    """A request that crashes its back ends is soon sent to none, and no proper one is taken for
-    one."""
+    """Requests that crash back ends are soon no longer forwarded; valid ones are not withheld."""
     row = Row("crashing requests soon sent no more")
-    touch = Touch(history, layout)
+    connectivity = Connectivity(history, layout)
     machines = {call.request: call.machine for call in history.of(CrashingCall)}
     runs = {}
     for run in sorted(history.of(CrashingRun), key=lambda run: run.at):
@@ -121,29 +125,29 @@
         ended = [run.at for run in each if run.ended][:CRASHES_KNOWN]
         known = ended[-1] + CONTACT if len(ended) == CRASHES_KNOWN else float("inf")
         later = [run for run in each
-                 if run.at > known and touch.gateway(machines[run.request], run.at, run.at)]
+                 if run.at > known and connectivity.gateway(machines[run.request], run.at, run.at)]
         row.case(len(later) <= SENT_LATER, (target, len(each), later))
     proper = Row("proper requests not withheld")
     calls = history.of(Call)
     withheld = [call for call in calls if call.status == 503 and WITHHELD in call.body]
-    allowed = WITHHELD_MOST + WITHHELD_SHARE * len(calls)
+    allowed = MAX_WITHHELD + MAX_WITHHELD_SHARE * len(calls)
     proper.case(len(withheld) <= allowed, (len(withheld), len(calls), withheld[:2]))
     return [row, proper]
 
 
 def check_service(history, trainer, end_of_faults):
-    """Requests and steps are served again once the faults are over."""
+    """Requests succeed and steps complete again after the faults."""
     row = Row("served again after the faults")
     calls = [call for call in history.of(Call) if call.sent > end_of_faults]
     served = sum(call.status == 200 for call in calls)
     row.case(bool(calls) and served >= SERVED_SHARE * len(calls), f"{served} of {len(calls)}")
     steps = [step for step in trainer.steps if step.accepted_at > end_of_faults]
-    row.case(any(step.whole for step in steps), "no step was whole")
+    row.case(any(step.complete for step in steps), "no step was complete")
     return row
 
 
 def check_all(history, operator, trainer, instances, layout, end_of_faults):
-    """All rows."""
+    """The rows of all checks."""
     return [
         check_answers(history, instances), *check_at_most_once(history),
         *check_routing(history, operator, trainer, layout), check_leaving(history, layout),
--- a/test/soak/probes.py
+++ b/test/soak/probes.py
@@ -1,6 +1,5 @@
-"""Asks every gateway directly, again and again, by routes that were just added, moved or dropped:
-the answers show which configuration is in force there. Connections are kept until the process that
-serves them is gone."""
+"""Probes every gateway periodically on routes that were just added, moved or dropped: the responses
+show which configuration is in force there. Connections are reused until one fails."""
 
 import asyncio
 import collections
@@ -11,30 +10,30 @@
 from fleet import SERVICE, ip_of
 from history import Call, now
 
-PATIENCE = 2.0
-# A question that has no answer by then is not waited for before the next, so that some lie in the
-# sockets of a gateway that stands still.
-BESIDE_AFTER = 0.5
-# Connections kept to each gateway, used in turn: what comes over a new one is read later by a gateway
-# that wakes than what changed meanwhile.
-KEPT = 12
-# A gateway that missed up to so many changes is told from the others by the routes asked for.
+RESPONSE_TIMEOUT = 2.0
+# Wait for a response before the next probe is sent, in seconds, so that some probes queue in the
+# sockets of a paused gateway.
+OVERLAP_AFTER = 0.5
+# Connections to each gateway, used round-robin. A resuming gateway reads requests on new
+# connections only after the changes that it missed, so probes use established ones.
+MAX_CONNECTIONS = 12
+# Maximum number of missed changes that the probed routes detect.
 CHANGES_SEEN = 3 * ADDED_KEPT
 RECONNECT_PAUSE = 0.1
 
 
 class Prober:
-    """Lives on an event loop of its own thread."""
+    """Runs on an event loop in its own thread."""
 
     def __init__(self, layout, history, operator, pause):
-        """`pause`: between two questions to one gateway, in seconds."""
+        """`pause`: time between two probes of one gateway, in seconds."""
         self._layout = layout
         self._history = history
         self._operator = operator
         self._pause = pause
         self._random = random.Random(random.random())
-        # Under way, some of them beside later ones.
-        self._questions = set()
+        # Probes in flight; some overlap later ones.
+        self._in_flight = set()
         self.stopped = False
         threading.Thread(target=lambda: asyncio.run(self._run()), daemon=True).start()
 
@@ -48,28 +47,28 @@
                                     added_route(number), flawed_route(newest + 1), "/pages/"))
 
     async def _probe(self, machine):
-        kept = collections.deque()
+        connections = collections.deque()
         while not self.stopped:
             await asyncio.sleep(self._pause * self._random.uniform(0.5, 1.5))
-            if len(kept) < KEPT:
+            if len(connections) < MAX_CONNECTIONS:
                 connection = await self._connect(machine)
                 if connection is None:
                     await asyncio.sleep(RECONNECT_PAUSE)
                 else:
-                    kept.append(connection)
-            if kept:
-                question = asyncio.create_task(self._ask_over(machine, kept))
-                self._questions.add(question)
-                question.add_done_callback(self._questions.discard)
-                await asyncio.wait({question}, timeout=BESIDE_AFTER)
-        for _, writer in kept:
+                    connections.append(connection)
+            if connections:
+                probe = asyncio.create_task(self._probe_over(machine, connections))
+                self._in_flight.add(probe)
+                probe.add_done_callback(self._in_flight.discard)
+                await asyncio.wait({probe}, timeout=OVERLAP_AFTER)
+        for _, writer in connections:
             writer.close()
 
-    async def _ask_over(self, machine, kept):
-        """One question over the connection that rested longest; it is kept if it may be."""
-        connection = kept.popleft()
-        if await self._ask(machine, *connection):
-            kept.append(connection)
+    async def _probe_over(self, machine, connections):
+        """Sends a probe over the least recently used connection; keeps it if it may be reused."""
+        connection = connections.popleft()
+        if await self._send_probe(machine, *connection):
+            connections.append(connection)
         else:
             connection[1].transport.abort()
 
@@ -77,19 +76,19 @@
     async def _connect(machine):
         try:
             return await asyncio.wait_for(asyncio.open_connection(ip_of(machine), SERVICE),
-                                          PATIENCE)
+                                          RESPONSE_TIMEOUT)
         except (OSError, asyncio.TimeoutError):
             return None
 
-    async def _ask(self, machine, reader, writer):
-        """One question; whether the connection may be used again."""
+    async def _send_probe(self, machine, reader, writer):
+        """Sends one probe; returns whether the connection may be reused."""
         route = self._route()
         call = Call(f"{self._random.randrange(1 << 64):016x}", route, ip_of(machine), now())
         writer.write(f"GET {route}x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {call.request}\r\n"
-                     f"Deadline-Ms: {int(PATIENCE * 1000)}\r\n\r\n".encode())
+                     f"Deadline-Ms: {int(RESPONSE_TIMEOUT * 1000)}\r\n\r\n".encode())
         keep = False
         try:
-            keep = await asyncio.wait_for(self._read(call, reader), PATIENCE)
+            keep = await asyncio.wait_for(self._read(call, reader), RESPONSE_TIMEOUT)
         except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError):
             call.status = 0
         call.ended = now()
--- a/test/soak/routing_checks.py
+++ b/test/soak/routing_checks.py
@@ -1,55 +1,56 @@
-"""What gateways and control nodes may do by which version of the routing document, judged by the
-answers alone: in force in time, never back, read back new enough, proper requests not turned away.
+"""Checks, from responses alone, which version of the routing document gateways and control nodes
+use: in force in time, never older than before, current when read back, valid requests not rejected.
 
-A rule that has a bound in time holds for gateways in touch: not struck themselves for CONTACT, with
-links to the control nodes. Faults of control machines don't excuse a gateway where there are more
-than SMALL_CORE of them, unless they struck one that acknowledged the version in question.
+Rules with a time bound apply to connected gateways: no fault of their own for CONTACT, and links to
+the control nodes. With more than SMALL_CONTROL_GROUP control machines, their faults excuse a
+gateway only if they hit one that acknowledged the version in question.
 """
 
 import dataclasses
 import json
 
 from documents import SCORE_ROUTE, service_of
-from history import Acknowledged, Call, OperatorCall, Proof, ReadBack, Run, Sent, Span, Started
+from history import Acknowledged, Call, OperatorCall, Confirmation, ReadBack, Run, Sent, Span, \
+    Started
 from row import Row
 
-# Bounds of the users, in seconds.
+# Bounds promised to users, in seconds.
 CONTACT = 3.0
 IN_FORCE = 2.0
-# Beside the bound where control nodes were disturbed meanwhile, but a majority went on.
+# Added to the bound if control nodes were disturbed while a majority kept running.
 UNSTABLE = 5.0
 REVERT_SLACK = 0.25
-SMALL_CORE = 9
-# A call that scores a text may go on for as long as its route's time limit.
+SMALL_CONTROL_GROUP = 9
+# A call that scores a text may last as long as its route's time limit.
 SCORING_TAKES = 1.5
 CUTS = ("cut_in_two", "cut_zones")
 STOPS = ("stop", "stop_several")
-# A gateway that stood still can tell so by its clock when it wakes. That the machine was not to be
-# reached meanwhile is no reason to act by what was replaced: the control nodes answer it as soon as it
-# asks.
-STANDSTILLS = ("stand_still", "freeze", "suspend")
+# A paused gateway can detect the pause by its clock when it resumes. That its machine was
+# unreachable meanwhile does not excuse using a replaced version: the control nodes reply as soon as
+# it queries them.
+PAUSES = ("stand_still", "freeze", "suspend")
 ADDED_ASKED = 20
 ADDED_SHARE = 0.25
-# Statuses that say something else than that the request is wrong.
+# Statuses that do not reject the request as invalid.
 NOT_DENIED = (408, 421, 429)
 ALWAYS = ("/pages/", "/book/", "/moved/")
 
 
 @dataclasses.dataclass
-class Seen:
-    """What a gateway did with one request: sent it to a service, or said that no route leads on."""
+class Outcome:
+    """What a gateway did with one request: forwarded it to a service, or found no route."""
 
     call: Call
     service: str
     at: float
 
     def allowed_by(self, version):
-        """Whether a version allows it."""
+        """Whether a version allows this outcome."""
         return service_of(self.call.route, version) == (self.service or None)
 
 
-class Touch:
-    """Who was in touch when."""
+class Connectivity:
+    """Which machines were connected and undisturbed, and when."""
 
     def __init__(self, history, layout):
         self._layout = layout
@@ -63,14 +64,14 @@
         return span.begun <= end and span.over >= start - CONTACT
 
     def gateway(self, machine, start, end):
-        """Whether a gateway was undisturbed from CONTACT before `start` until `end`. One that was
-        told to stop CONTACT ago and still serves is in touch again."""
+        """Whether a gateway was undisturbed from CONTACT before `start` until `end`. Planned stops
+        count only near their begin and end: one that still serves CONTACT later is judged."""
         return not any(machine in span.machines and self._strikes(span, start, end)
                        for span in self._spans)
 
-    def gateway_but_for_standstill(self, machine, start, end):
-        """The same, where to have stood still counts as no disturbance."""
-        return not any(machine in span.machines and span.kind not in STANDSTILLS
+    def gateway_except_pauses(self, machine, start, end):
+        """Like `gateway`, but a pause of the process does not count as a disturbance."""
+        return not any(machine in span.machines and span.kind not in PAUSES
                        and self._strikes(span, start, end) for span in self._spans)
 
     def all_stores(self, start, end):
@@ -84,47 +85,48 @@
             return any(start - CONTACT <= moment <= end for moment in (span.begun, span.over))
         return self._overlaps(span, start, end)
 
-    def core(self, start, end, version):
-        """Whether the control nodes were, as far as counts for a version acknowledged by some."""
+    def control_group(self, start, end, version):
+        """Whether no fault of the control nodes excuses a gateway for `version`. Partitions and
+        kill_all always do; others only in a small group or on a node that acknowledged it."""
         return not any(self._counts(span, version) and self._disturbs(span, start, end)
                        for span in self._spans)
 
     def majority(self, start, end):
-        """Whether most control nodes went on all the while."""
+        """Whether the control nodes were not all killed between `start` and `end`."""
         return not any(span.kind == "kill_all" and self._overlaps(span, start, end)
                        for span in self._spans)
 
     def _counts(self, span, version):
         if not set(span.machines) & set(self._layout.machines):
             return False
-        if span.kind in (*CUTS, "kill_all") or len(self._layout.machines) <= SMALL_CORE:
+        if span.kind in (*CUTS, "kill_all") or len(self._layout.machines) <= SMALL_CONTROL_GROUP:
             return True
         return bool(set(span.machines) & self._ackers.get(version, set()))
 
     def _disturbs(self, span, start, end):
         if span.kind not in CUTS:
             return self._overlaps(span, start, end)
-        # Once it has been cut for a while, the majority is stable.
+        # The majority is stable once a partition has lasted for a while.
         return any(start - CONTACT <= moment <= end for moment in (span.begun, span.over))
 
 
-def seen_by(history):
-    """What gateways did with requests, in the order in which it happened."""
+def outcomes_of(history):
+    """What gateways did with requests, in order of time."""
     runs = {}
     for run in history.of(Run):
         runs.setdefault(run.request, run)
-    seen = []
+    outcomes = []
     for call in history.of(Call):
         run = runs.get(call.request)
         if run is not None:
-            seen.append(Seen(call, run.service, run.at))
+            outcomes.append(Outcome(call, run.service, run.at))
         elif call.status == 404:
-            seen.append(Seen(call, "", call.ended))
-    return sorted(seen, key=lambda entry: entry.at)
+            outcomes.append(Outcome(call, "", call.ended))
+    return sorted(outcomes, key=lambda entry: entry.at)
 
 
 class Versions:
-    """What was sent and acknowledged when."""
+    """When each version was sent and acknowledged."""
 
     def __init__(self, history):
         self.sent = sorted((record.version, record.at) for record in history.of(Sent))
@@ -135,25 +137,25 @@
         self.acknowledged = sorted((at, version) for version, at in first.items())
 
     def held(self, moment):
-        """The newest that was acknowledged by then; 0 is none."""
+        """The newest version acknowledged by `moment`; 0 is none."""
         return max((version for at, version in self.acknowledged if at < moment), default=0)
 
-    def possible(self, least, moment):
-        """Those that may be in force at `moment` where `least` is the oldest allowed."""
-        return [version for version, at in self.sent if version >= least and at <= moment]
+    def possible(self, oldest, moment):
+        """The versions that may be in force at `moment` if `least` is the oldest allowed."""
+        return [version for version, at in self.sent if version >= oldest and at <= moment]
 
 
-def check_in_force(seen, versions, touch):
-    """Gateways in touch act by nothing older than what was acknowledged IN_FORCE before, also as
-    they wake."""
+def check_in_force(outcomes, versions, connectivity):
+    """Connected gateways use no version older than the one acknowledged IN_FORCE before, also when
+    they resume after a pause."""
     row = Row("routes in force in time")
-    for entry in seen:
+    for entry in outcomes:
         call = entry.call
-        if not touch.gateway_but_for_standstill(call.machine, call.sent, entry.at):
+        if not connectivity.gateway_except_pauses(call.machine, call.sent, entry.at):
             continue
         held = versions.held(call.sent - IN_FORCE)
-        if not touch.core(call.sent, entry.at, held):
-            if not touch.majority(call.sent - UNSTABLE, entry.at):
+        if not connectivity.control_group(call.sent, entry.at, held):
+            if not connectivity.majority(call.sent - UNSTABLE, entry.at):
                 continue
             held = versions.held(call.sent - IN_FORCE - UNSTABLE)
         if not held:
@@ -163,47 +165,48 @@
     return row
 
 
-def check_proven(history, touch):
-    """Gateways in touch hold a proof of freshness."""
+def check_confirmed(history, connectivity):
+    """Connected gateways have a confirmed configuration."""
     row = Row("gateways in touch hold a proof")
-    for proof in history.of(Proof):
-        if not touch.gateway(proof.machine, proof.asked, proof.at):
+    for confirmation in history.of(Confirmation):
+        if not connectivity.gateway(confirmation.machine, confirmation.asked, confirmation.at):
             continue
-        if touch.core(proof.asked, proof.at, 0) and touch.majority(proof.asked, proof.at):
-            row.case(proof.valid, proof)
+        if connectivity.control_group(confirmation.asked, confirmation.at, 0) \
+                and connectivity.majority(confirmation.asked, confirmation.at):
+            row.case(confirmation.valid, confirmation)
     return row
 
 
-def check_never_back(seen, versions, history):
-    """Within one life a gateway acts by nothing older than what it has acted by."""
+def check_never_back(outcomes, versions, history):
+    """Within one incarnation a gateway uses no version older than one it has used."""
     row = Row("a gateway never goes back")
     starts = {}
     for record in history.of(Started):
         if record.role == "gateway":
             starts.setdefault(record.machine, []).append(record.at)
     floors = {}
-    for entry in seen:
-        life = sum(at <= entry.at for at in starts[entry.call.machine])
-        earlier = floors.setdefault((entry.call.machine, life), [])
+    for entry in outcomes:
+        incarnation = sum(at <= entry.at for at in starts[entry.call.machine])
+        earlier = floors.setdefault((entry.call.machine, incarnation), [])
         floor = max((version for at, version in earlier if at < entry.call.sent - REVERT_SLACK),
                     default=0)
         possible = [version for version in versions.possible(floor, entry.at)
                     if entry.allowed_by(version)]
-        # Before the first document is known to this life, nothing is asked of it.
+        # No requirement until this incarnation has received its first document.
         row.case(bool(possible) or not floor, (entry, floor))
         if possible and (not earlier or possible[0] > earlier[-1][1]):
             earlier.append((entry.at, possible[0]))
     return row
 
 
-def check_scorings(history, scorings, versions, touch):
-    """Texts are scored by nothing older than what was acknowledged IN_FORCE before. Which machine
-    with a disk scores is not seen here, so all have to be undisturbed."""
+def check_scorings(history, scorings, versions, connectivity):
+    """Texts are scored by no version older than the one acknowledged IN_FORCE before. The history
+    doesn't show which storage machine scored, so all of them must be undisturbed."""
     row = Row("texts scored by routes in force")
     for run in history.of(Run):
-        if run.request not in scorings or not touch.all_stores(run.at, run.at):
+        if run.request not in scorings or not connectivity.all_stores(run.at, run.at):
             continue
-        # The call may have waited for a place, and been tried elsewhere before.
+        # The call may have waited for a slot, after attempts elsewhere.
         held = versions.held(run.at - IN_FORCE - SCORING_TAKES)
         if held:
             possible = versions.possible(held, run.at)
@@ -213,7 +216,7 @@
 
 
 def check_invalid(history):
-    """Only what was sent as a document is ever acted by."""
+    """Invalid documents are never used."""
     row = Row("routes of invalid documents not served")
     runs = {run.request for run in history.of(Run)}
     for call in history.of(Call):
@@ -223,7 +226,7 @@
 
 
 def check_denied(history):
-    """Proper requests of routes that all documents have are not turned away as wrong."""
+    """Valid requests for routes that all documents have are not rejected as invalid."""
     row = Row("proper requests not turned away")
     for call in history.of(Call):
         if call.route in ALWAYS and call.status:
@@ -232,16 +235,16 @@
     return row
 
 
-def check_added(seen, history, touch):
-    """Routes that were added later are served like the first ones."""
+def check_added(outcomes, history, connectivity):
+    """Routes added later are served as reliably as the initial ones."""
     row = Row("added routes served like the first")
     asked = {}
     for call in history.of(Call):
-        if call.route in ALWAYS and touch.gateway(call.machine, call.sent, call.ended):
+        if call.route in ALWAYS and connectivity.gateway(call.machine, call.sent, call.ended):
             served = asked.setdefault("first", [0, 0])
             served[0] += 1
             served[1] += call.status == 200
-    for entry in seen:
+    for entry in outcomes:
         if entry.call.route.startswith("/added-") and entry.service:
             served = asked.setdefault("added", [0, 0])
             served[0] += 1
@@ -253,7 +256,7 @@
 
 
 def check_operator(history):
-    """Each call of the operator gets one of its right answers."""
+    """Each call of the operator gets one of its expected responses."""
     row = Row("the operator's calls answered right")
     for call in history.of(OperatorCall):
         row.case(call.status in call.allowed, call)
@@ -261,7 +264,7 @@
 
 
 def check_read_back(history, operator, versions):
-    """A read gives nothing older than what was acknowledged IN_FORCE before, as it was sent."""
+    """A read returns a version as sent, none older than the one acknowledged IN_FORCE before."""
     row = Row("configuration read back")
     contents = {}
     for read in history.of(ReadBack):
@@ -279,13 +282,13 @@
 
 
 def check_routing(history, operator, trainer, layout):
-    """All rows."""
-    seen = seen_by(history)
+    """The rows of all routing checks."""
+    outcomes = outcomes_of(history)
     versions = Versions(history)
-    touch = Touch(history, layout)
+    connectivity = Connectivity(history, layout)
     return [
-        check_in_force(seen, versions, touch), check_proven(history, touch),
-        check_never_back(seen, versions, history),
-        check_scorings(history, trainer.scorings, versions, touch),
-        check_invalid(history), check_denied(history), check_added(seen, history, touch),
+        check_in_force(outcomes, versions, connectivity), check_confirmed(history, connectivity),
+        check_never_back(outcomes, versions, history),
+        check_scorings(history, trainer.scorings, versions, connectivity),
+        check_invalid(history), check_denied(history), check_added(outcomes, history, connectivity),
         check_operator(history), check_read_back(history, operator, versions)]
--- a/test/soak/soak.py
+++ b/test/soak/soak.py
@@ -1,5 +1,5 @@
-"""Runs the real programs as processes under faults from outside and checks what callers and back
-ends saw. Exits 0 only if every promise was tried and none was broken.
+"""Runs the real programs as processes under injected faults and checks what callers and back ends
+observed. Exits 0 only if every check had cases and none was violated.
 
     python3 test/soak/soak.py --program build/bin/millstaird --seconds 120 --seed 1
 """
@@ -12,14 +12,14 @@
 import threading
 import time
 
-from back_ends import BackEndBoard
+from back_ends import BackEndProcess
 from callers import Client, CrashingCaller, Operator, Trainer
 from checks import check_all
 from faults import Faults
 from fleet import Fleet, Layout, use_free_subnet, use_subnet
 from history import History, now
 from probes import Prober
-from proofs import ProofReader
+from confirmations import ConfirmationReader
 
 START_LIMIT = 20.0
 RECOVERY = 12.0
@@ -27,7 +27,7 @@
 
 
 def parse_arguments():
-    """The command line."""
+    """Parses the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--program", required=True, help="millstaird")
     parser.add_argument("--before", default="",
@@ -35,17 +35,20 @@
                         "machine is replaced in turn among the faults; one goes back for a while")
     parser.add_argument("--clock", default="",
                         help="library that shifts clocks; without it none is shifted")
-    parser.add_argument("--seconds", type=float, default=120, help="how long faults are played")
+    parser.add_argument("--seconds", type=float, default=120,
+                        help="duration of the faults, in seconds")
     parser.add_argument("--seed", type=int, default=1, help="chooses the faults")
     parser.add_argument("--stores", type=int, default=5, help="machines with a disk")
     parser.add_argument("--gateways", type=int, default=6, help="machines with a gateway")
     parser.add_argument("--zones", type=int, default=3, help="zones of the machines")
     parser.add_argument("--tolerate", type=int, default=1,
-                        help="machines with a disk struck at a time")
-    parser.add_argument("--series", type=int, default=2, help="series of faults that overlap")
-    parser.add_argument("--kinds", default="", help="kinds of faults, by comma; all if empty")
+                        help="machines with a disk under a fault at a time")
+    parser.add_argument("--series", type=int, default=2,
+                        help="number of overlapping series of faults")
+    parser.add_argument("--kinds", default="",
+                        help="kinds of faults, separated by commas; all if empty")
     parser.add_argument("--pause", type=float, default=1.5,
-                        help="shortest pause of a series between two faults, in seconds")
+                        help="minimum pause between two faults of a series, in seconds")
     parser.add_argument("--clients", type=int, default=6, help="clients on connections they keep")
     parser.add_argument("--crashing", type=int, default=2,
                         help="requests that crash the back ends that run them")
@@ -54,14 +57,15 @@
     parser.add_argument("--change", type=float, default=2.5,
                         help="seconds between two changes of the configuration")
     parser.add_argument("--subnet", type=int,
-                        help="third number of the addresses; the first that is free if not given")
-    parser.add_argument("--show", type=int, default=3, help="broken cases shown of each promise")
-    parser.add_argument("--keep", action="store_true", help="keep logs and data of a good run")
+                        help="third byte of the addresses; by default the first free one")
+    parser.add_argument("--show", type=int, default=3, help="violations printed for each check")
+    parser.add_argument("--keep", action="store_true",
+                        help="keep logs and data of a successful run")
     return parser.parse_args()
 
 
 def await_first_configuration(operator):
-    """Waits until the cluster is founded."""
+    """Waits until the cluster is bootstrapped."""
     until = now() + START_LIMIT
     while now() < until:
         if operator.replace():
@@ -70,7 +74,7 @@
 
 
 def play_faults(faults, arguments):
-    """Series of faults that overlap, until the time is over."""
+    """Runs overlapping series of faults for the configured time."""
     until = now() + arguments.seconds
     series = [threading.Thread(target=faults.play_series, args=(until, arguments.pause))
               for _ in range(arguments.series)]
@@ -82,8 +86,8 @@
         one.join()
 
 
-def read_to_the_end(trainer):
-    """Reads every accepted step from the start once more; those that could not be read."""
+def reread_results(trainer):
+    """Reads every accepted step again from the start; returns the jobs that could not be read."""
     lost = []
     for step in trainer.steps:
         if not step.accepted_at or now() - step.accepted_at > 100:
@@ -98,7 +102,7 @@
 
 
 def play(arguments, fleet, back_ends, history):
-    """The run itself: what is to be reported."""
+    """Runs callers and faults; returns the rows of the checks and the unreadable jobs."""
     layout = fleet.layout
     fleet.start()
     operator = Operator(layout, history, arguments.change)
@@ -110,25 +114,25 @@
     callers = [Client(layout, history) for _ in range(arguments.clients)]
     callers += [CrashingCaller(layout, history, number) for number in range(arguments.crashing)]
     callers.append(Prober(layout, history, operator, arguments.probe))
-    callers.append(ProofReader(layout, history))
+    callers.append(ConfirmationReader(layout, history))
     trainer = Trainer(layout, history)
     operator.start()
     trainer.start()
     play_faults(faults, arguments)
-    # Once more while all else is calm, so that some callers are refused in every run.
+    # Without other faults, so that some callers are refused in every run.
     faults.play(faults.refuse)
     end_of_faults = now() + RECOVERY
     time.sleep(RECOVERY + LAST_CALM)
     for part in (*callers, operator, trainer):
         part.stopped = True
     trainer.ended.wait(20)
-    lost = read_to_the_end(trainer)
+    lost = reread_results(trainer)
     instances = back_ends.end(history)
     return check_all(history, operator, trainer, instances, layout, end_of_faults), lost
 
 
 def main():
-    """Runs the soak."""
+    """Runs the soak; returns the exit code."""
     arguments = parse_arguments()
     random.seed(arguments.seed)
     folder = tempfile.mkdtemp(prefix="millstair-soak.")
@@ -140,7 +144,7 @@
     else:
         use_subnet(arguments.subnet)
     counts = {"pages": 3, "shop": 3, "engines": 3}
-    back_ends = BackEndBoard(layout, counts, arguments.seed)
+    back_ends = BackEndProcess(layout, counts, arguments.seed)
     fleet = None
     good = False
     try:
@@ -162,13 +166,13 @@
 
 
 def report(rows, lost, fleet, shown):
-    """Prints the table and a closing line in the form of the other test programs; whether all
-    holds."""
+    """Prints the table and the summary line that the other test programs print; returns whether all
+    checks passed."""
     for row in rows:
         print(f"{row.name:45} tried {row.tried:6}  broken {len(row.broken):4}")
         for what in row.broken[:shown]:
             print(f"    {what}")
-    ended = [f"{node.role} of machine {node.machine}" for node in fleet.ended_by_themselves()]
+    ended = [f"{node.role} of machine {node.machine}" for node in fleet.exited_unexpectedly()]
     print(f"{'accepted jobs that could not be read':45} {lost}")
     print(f"{'processes that ended by themselves':45} {ended}")
     outcomes = [row.tried > 0 and not row.broken for row in rows] + [not lost, not ended]
