--- a/bench/demo/live_traffic.cc
+++ b/bench/demo/live_traffic.cc
@@ -70,7 +70,7 @@
   }
 
  private:
-  /// Sends a booking and, without a final response, retries it at another gateway with the same
+  /// Sends a booking and, without a final response, retries it at the next gateway with the same
   /// idempotency key. Every eighth one is sent to two gateways concurrently.
   void Book(LiveCall call, size_t index, Duration due) {
     std::thread duplicate;
--- a/bench/experiment/experiment_command.cc
+++ b/bench/experiment/experiment_command.cc
@@ -46,11 +46,12 @@
   for (const std::string& part : parts) {
     double value = 0;
     if (!absl::SimpleAtod(part, &value) || value <= 0) {
-      return absl::InvalidArgumentError(fmt::format("--step-ms: '{}' is no time", part));
+      return absl::InvalidArgumentError(
+          fmt::format("--step-ms: '{}' is not a positive number", part));
     }
     times.push_back(value);
   }
-  if (times.empty()) return absl::InvalidArgumentError("--step-ms: no time is given");
+  if (times.empty()) return absl::InvalidArgumentError("--step-ms: the list is empty");
   return times;
 }
 
@@ -70,14 +71,16 @@
   plan.threads = values["threads"].as<int>();
   plan.live_scale = values["live-scale"].as<double>();
   if (plan.seeds == 0 || plan.threads < 1 || plan.live_scale < 0) {
-    return absl::InvalidArgumentError("--seeds and --threads start at 1, --live-scale at 0");
+    return absl::InvalidArgumentError(
+        "--seeds and --threads must be at least 1, --live-scale at least 0");
   }
   return plan;
 }
 
 void ShowProgress(size_t done, size_t total) {
   const size_t every = std::max<size_t>(1, total / kProgressLines);
-  if (done % every == 0 || done == total) fmt::print(stderr, "{} of {} runs done\n", done, total);
+  if (done % every == 0 || done == total)
+    fmt::print(stderr, "{} of {} runs completed\n", done, total);
 }
 
 int RunPlan(const ExperimentPlan& plan, const std::string& folder) {
--- a/bench/micro/path_benchmark.cc
+++ b/bench/micro/path_benchmark.cc
@@ -30,7 +30,7 @@
   for (auto _ : state) {
     reader.Add(frame);
     const auto decoded = reader.Next();
-    if (!decoded.has_value()) state.SkipWithError("no frame");
+    if (!decoded.has_value()) state.SkipWithError("no frame was decoded");
   }
   state.SetBytesProcessed(state.iterations() * static_cast<int64_t>(frame.size()));
 }
@@ -42,7 +42,7 @@
   MemoryFileSystem files(environment, 3);
   auto log = SegmentedLog::Open(files, "log");
   if (!log.ok()) {
-    state.SkipWithError("the log does not open");
+    state.SkipWithError("cannot open the log");
     return;
   }
   uint64_t index = 0;
